--- a/oakmux/core/world.py
+++ b/oakmux/core/context.py
@@ -27,9 +27,9 @@
         "type",
         "zone",
         "spot",
-        "session",
-        "seq",
-        "token",
+        "agent_epoch",
+        "sequence",
+        "fencing_token",
         "notice_at",
         "tasks",
         "keeper",
@@ -65,9 +65,9 @@
         self.type = report.type
         self.zone = report.zone
         self.spot = report.spot
-        self.session = report.session
-        self.seq = report.seq
-        self.token = report.token
+        self.agent_epoch = report.agent_epoch
+        self.sequence = report.sequence
+        self.fencing_token = report.fencing_token
         self.notice_at = None if report.notice_s is None else now + report.notice_s
         self.tasks: dict[Task, tuple[str, str, bool]] = report.tasks
         self.heard = now
@@ -85,10 +85,10 @@
     @property
     def version(self) -> tuple[int, int]:
         """Return what orders the reports of a machine."""
-        return self.session, self.seq
+        return self.agent_epoch, self.sequence
 
 
-class World:
+class Context:
     """Shared by the parts of one controller; owned by Controller.step."""
 
     def __init__(self, settings: Settings, rng: random.Random, wall: int) -> None:
@@ -102,19 +102,21 @@
         self.failures = Failures(self.replica)
         self.types: dict[str, MachineType] = {}
         self.teams: dict[str, Team] = {team.name: team for team in settings.facts.teams}
-        self.wait_aims: dict[str, list[float]] = {}
-        self.finish_aims: dict[str, float] = {}
+        self.start_objectives: dict[str, list[float]] = {}
+        self.finish_objectives: dict[str, float] = {}
         # The GPUs that one array is taken to have to itself when its size makes it younger.
-        self.part_gpus = max(
+        self.array_share_gpus = max(
             1.0,
             constants.SIZE_PART * sum(team.gpus or team.gpus_max for team in settings.facts.teams),
         )
         for aim in settings.facts.objectives:
             if aim.kind == "wait" and aim.lane and aim.within_s is not None:
-                self.wait_aims.setdefault(aim.lane, []).append(aim.within_s)
+                self.start_objectives.setdefault(aim.lane, []).append(aim.within_s)
             elif aim.kind == "finished" and aim.lane and aim.within_s is not None:
-                self.finish_aims[aim.lane] = max(aim.within_s, self.finish_aims.get(aim.lane, 0.0))
-        self.guarantee_s = min(
+                self.finish_objectives[aim.lane] = max(
+                    aim.within_s, self.finish_objectives.get(aim.lane, 0.0)
+                )
+        self.guarantee_objective_s = min(
             (
                 aim.within_s
                 for aim in settings.facts.objectives
@@ -125,24 +127,24 @@
         self.machines: dict[str, Machine] = {}
         # Machines that are certainly gone, the newest last: copies of their reports may come late,
         # also after their record was cleaned up.
-        self.departed: dict[str, None] = {}
+        self.terminated: dict[str, None] = {}
         # When this process last went on after it had stood still: what it had heard before is old.
         self.resumed_at = -1e9
         # When the state service was last back after we had lost it: nothing could start meanwhile.
-        self.back_at = -1e9
+        self.store_recovered_at = -1e9
         self.draining: dict[str, float] = {}
         # Machines that were found unusable, to be looked at again when they are heard.
-        self.silent: set[str] = set()
+        self.unresponsive: set[str] = set()
         self.effects: list[tuple] = []
         self.inbox: list[tuple] = []
         self.term = 0
-        self.life = 0
-        self.my_roles: dict[str, int] = {}
-        self.state_heard = -1e9
-        self.dirty_machines: set[str] = set()
+        self.incarnation = 0
+        self.held_roles: dict[str, int] = {}
+        self.store_seen_at = -1e9
+        self.changed_workers: set[str] = set()
         # Roles beside teams and fleet, and how ids begin that jobs of users can't have, for
         # subsystems that are switched on.
-        self.more_roles: list[str] = []
+        self.extra_roles: list[str] = []
         self.reserved = ""
         # Machines that wait for gangs; set by the controller, which joins the parts.
         self.openings: Openings
@@ -163,15 +165,15 @@
         self.effects.append((effect[0], self._op, *effect[1:]))
 
     @property
-    def clock_ms(self) -> int:
+    def wall_clock_ms(self) -> int:
         """The time of day in milliseconds, by which jobs' ages are recorded."""
         return self.wall + int(self.now * 1000)
 
-    def state_said(self, asked: float) -> None:
+    def note_store_answer(self, asked: float) -> None:
         """The state service answered a question about all records, asked at a time."""
-        if self.now - self.state_heard >= constants.STATE_STALE_S:
-            self.back_at = self.now
-        self.state_heard = max(self.state_heard, asked)
+        if self.now - self.store_seen_at >= constants.STATE_STALE_S:
+            self.store_recovered_at = self.now
+        self.store_seen_at = max(self.store_seen_at, asked)
 
     def drain(self, name: str) -> None:
         """Put nothing new on a machine; said anew, the time of it counts from now."""
@@ -187,19 +189,19 @@
     def heard(self, machine: Machine) -> None:
         """A machine was heard just now, by us or by a peer that said so."""
         machine.heard = self.now
-        if machine.name in self.silent:
-            self.silent.discard(machine.name)
+        if machine.name in self.unresponsive:
+            self.unresponsive.discard(machine.name)
             self.replica.touch(machine.name)
 
-    def depart(self, name: str) -> None:
+    def mark_terminated(self, name: str) -> None:
         """A machine is certainly gone, and its name never comes again: forget what is on it."""
         self.machines.pop(name, None)
         self.draining.pop(name, None)
-        self.silent.discard(name)
+        self.unresponsive.discard(name)
         self.replica.touch(name)
-        self.departed[name] = None
-        while len(self.departed) > constants.MAX_QUEUE:
-            del self.departed[next(iter(self.departed))]
+        self.terminated[name] = None
+        while len(self.terminated) > constants.MAX_QUEUE:
+            del self.terminated[next(iter(self.terminated))]
 
     def types_changed(self) -> None:
         """The catalogue changed: what is free on a machine counts anew."""
--- a/oakmux/core/controller.py
+++ b/oakmux/core/controller.py
@@ -8,6 +8,7 @@
 from typing import Any, Protocol
 
 from oakmux import constants
+from oakmux.core.context import Context, event
 from oakmux.core.desk import Desk
 from oakmux.core.fleet import Fleet
 from oakmux.core.keeper import Keeper
@@ -15,7 +16,6 @@
 from oakmux.core.membership import FLEET, Membership
 from oakmux.core.owner import Owner
 from oakmux.core.spread.openings import Openings
-from oakmux.core.world import World, event
 from oakmux.settings import Settings
 from oakmux.wire import MachineType, Report
 
@@ -39,19 +39,19 @@
         settings: Settings,
         rng: random.Random,
         wall: int,
-        parts: Sequence[Callable[[World], Part]] = (),
+        parts: Sequence[Callable[[Context], Part]] = (),
     ) -> None:
-        self.world = World(settings, rng, wall)
-        self.world.openings = Openings(self.world)
-        self.membership = Membership(self.world)
-        self.keeper = Keeper(self.world, self.membership)
-        self.owner = Owner(self.world, self.keeper)
-        self.fleet = Fleet(self.world, self.keeper.word)
-        self.desk = Desk(self.world)
+        self.context = Context(settings, rng, wall)
+        self.context.openings = Openings(self.context)
+        self.membership = Membership(self.context)
+        self.keeper = Keeper(self.context, self.membership)
+        self.owner = Owner(self.context, self.keeper)
+        self.fleet = Fleet(self.context, self.keeper.word)
+        self.desk = Desk(self.context)
         self.next_alive = 0.0
         self.told_again = ""  # the machine of which peers were told last in `_tell_again`
         self.next_tick = 0.0
-        self.format = self.world.replica.format
+        self.format = self.context.replica.format
         self.handlers: dict[str, Callable[..., None]] = {
             "submit": self.desk.submit,
             "query": self.desk.query,
@@ -69,7 +69,7 @@
             "resend": self._resend,
             "short": self._short,
         }
-        self.parts = [make(self.world) for make in parts]
+        self.parts = [make(self.context) for make in parts]
         for more in self.parts:
             self.handlers.update(more.commands)
         self.messages: dict[str, Callable[..., None]] = {
@@ -81,28 +81,28 @@
             "move": self.keeper.orders.move,
             "drain": self._drain,
             "gone": self._gone,
-            "opening": self.world.openings.take,
-            "borrow": lambda label, wanted: self.world.emit("lend", label, wanted),
-            "lent": lambda given: self.world.emit("credit", given),
+            "opening": self.context.openings.take,
+            "borrow": lambda label, wanted: self.context.emit("lend", label, wanted),
+            "lent": lambda given: self.context.emit("credit", given),
         }
 
     def step(self, now: float, commands: Iterable[tuple]) -> list[tuple]:
         """Work through a batch of commands; return the effects."""
-        world = self.world
-        if now - world.now > constants.STOOD_STILL_S:
+        context = self.context
+        if now - context.now > constants.STOOD_STILL_S:
             # The process stood still while its clocks ran on. What is in its queue was said at
             # some time meanwhile: machines heard before are not silent, only unheard by us.
-            world.resumed_at = now
-            event("stood_still", seconds=round(now - world.now, 1))
-        world.now = max(world.now, now)
+            context.resumed_at = now
+            event("stood_still", seconds=round(now - context.now, 1))
+        context.now = max(context.now, now)
         for command in commands:
             try:
                 self.handlers[command[0]](*command[1:])
             except Exception:  # one request or answer must not end the process
                 log.exception("event=command_failed kind=%s", command[0])
         due = [self._settle]
-        if world.now >= self.next_tick:
-            self.next_tick = world.now + constants.TICK_S
+        if context.now >= self.next_tick:
+            self.next_tick = context.now + constants.TICK_S
             due += [
                 self.membership.tick,
                 self.owner.sampler.sample,
@@ -116,7 +116,7 @@
                 part()
             except Exception:  # a fault in one part must end neither the others nor the process
                 log.exception("event=part_failed part=%s", part.__qualname__)
-        effects, world.effects = world.effects, []
+        effects, context.effects = context.effects, []
         return effects
 
     # --- bringing all parts up to date ---
@@ -132,13 +132,13 @@
 
     def _local(self) -> None:
         """Deliver what we send to ourselves."""
-        world = self.world
+        context = self.context
         for _ in range(constants.SETTLE_ROUNDS):
-            if not world.inbox:
+            if not context.inbox:
                 return
-            mine, world.inbox = world.inbox, []
+            mine, context.inbox = context.inbox, []
             for message in mine:
-                self._message(world.label, message)
+                self._message(context.label, message)
 
     def _message(self, label: str, message: Any) -> None:
         try:
@@ -151,12 +151,16 @@
             log.exception("event=message_failed peer=%s", label)
 
     def _propagate(self) -> bool:
-        world = self.world
-        replica = world.replica
-        before = world.my_roles
+        context = self.context
+        replica = context.replica
+        before = context.held_roles
         won = self.membership.refresh_roles() if replica.loaded else []
-        more = set(world.more_roles)
-        held = {role for role, stamp in before.items() if world.my_roles.get(role) == stamp}
+        more = set(context.extra_roles)
+        held = {
+            role
+            for role, mod_revision in before.items()
+            if context.held_roles.get(role) == mod_revision
+        }
         if set(before) - held - more or set(won) - more:
             self.owner.lost(held)
         if set(won) - more:
@@ -169,11 +173,11 @@
             self.owner.buffer.switched()
         freed, replica.freed = replica.freed, []
         for job_id in freed:  # age and the aims for starting count from now
-            replica.jobs[job_id].since = world.wall + int(world.now * 1000)
+            replica.jobs[job_id].since = context.wall + int(context.now * 1000)
             event("ready", job=job_id)
         jobs, replica.changed_jobs = replica.changed_jobs, set()
         machines, replica.changed_machines = replica.changed_machines, set()
-        dirty, world.dirty_machines = world.dirty_machines, set()
+        dirty, context.changed_workers = context.changed_workers, set()
         for job_id in jobs:
             job = replica.jobs.get(job_id)
             if job is not None and job.state == "cancelled" and job_id in replica.active:
@@ -185,80 +189,81 @@
         for name in machines | dirty:
             self.owner.binder.machine_changed(name)
         for name in dirty:
-            self._tell(name, [m.label for m in world.settings.members])
+            self._tell(name, [m.label for m in context.settings.members])
         return bool(jobs or machines or dirty)
 
     # --- commands ---
 
     def _done(self, op: int, *result: Any) -> None:
-        then = self.world.ops.pop(op, None)
+        then = self.context.ops.pop(op, None)
         if then is not None:
             then(*result)
 
-    def _snapshot(self, rows: list, epoch: int, asked: float) -> None:
-        self.world.replica.load(rows, epoch)
+    def _snapshot(self, rows: list, revision: int, asked: float) -> None:
+        self.context.replica.load(rows, revision)
         self._recorded_types()
-        self.world.state_said(asked)
-        event("loaded", jobs=len(self.world.replica.jobs), epoch=epoch)
-
-    def _watch(self, events: list, epoch: int, asked: float) -> None:
-        replica = self.world.replica
-        for key, value, stamp in events:
-            replica.apply(key, value, stamp)
-        replica.epoch = max(replica.epoch, epoch)
+        self.context.note_store_answer(asked)
+        event("loaded", jobs=len(self.context.replica.jobs), revision=revision)
+
+    def _watch(self, events: list, revision: int, asked: float) -> None:
+        replica = self.context.replica
+        for key, value, mod_revision in events:
+            replica.apply(key, value, mod_revision)
+        replica.revision = max(replica.revision, revision)
         self._recorded_types()
-        self.world.state_said(asked)
+        self.context.note_store_answer(asked)
 
     def _recorded_types(self) -> None:
         """Until the cloud answers, the catalogue in the records has to do."""
-        if not self.world.types:
-            self.world.types = dict(self.world.replica.types)
-            self.world.types_changed()
+        if not self.context.types:
+            self.context.types = dict(self.context.replica.types)
+            self.context.types_changed()
 
     def _catalogue(self, types: list[MachineType]) -> None:
-        self.world.types = {t.name: t for t in types}
-        self.world.types_changed()
+        self.context.types = {t.name: t for t in types}
+        self.context.types_changed()
 
     def _health(self, rid: Any) -> None:
-        world = self.world
+        context = self.context
         fresh = self.keeper.word.state_fresh()
         served = any(
-            world.now - at < constants.STATE_STALE_S for at in self.keeper.word.peer_fresh.values()
+            context.now - at < constants.STATE_STALE_S
+            for at in self.keeper.word.peer_fresh.values()
         )
         # Without the state service alone, all may be: an outage. Without any peer as well, users
         # are served by whoever has them, if anybody: we can't tell, and could only refuse them.
         ready = (
-            world.replica.loaded
-            and not world.replica.foreign
-            and bool(world.types)
+            context.replica.loaded
+            and not context.replica.foreign
+            and bool(context.types)
             and (fresh or not (served or self.keeper.word.alone()))
         )
-        world.emit("answer", rid, 200 if ready else 503, self._summary(ready))
+        context.emit("answer", rid, 200 if ready else 503, self._summary(ready))
 
     def _status(self, rid: Any) -> None:
-        self.world.emit("answer", rid, 200, self._summary(self.keeper.word.state_fresh()))
+        self.context.emit("answer", rid, 200, self._summary(self.keeper.word.state_fresh()))
 
     def _summary(self, ready: bool) -> tuple:
-        world = self.world
-        kept = sum(1 for m in world.machines.values() if m.keeper == world.label)
-        return "health", world.label, ready, world.term, sorted(world.my_roles), kept
+        context = self.context
+        kept = sum(1 for m in context.machines.values() if m.keeper == context.label)
+        return "health", context.label, ready, context.term, sorted(context.held_roles), kept
 
     # --- peers ---
 
     def _peer(self, rid: Any, label: str, messages: list, since: int = -1) -> None:
         for message in messages:
             self._message(label, message)
-        world = self.world
+        context = self.context
         cancelled, until = self.keeper.word.answer(since)
-        world.emit(
+        context.emit(
             "answer",
             rid,
             200,
             (
                 "peer",
-                world.label,
-                world.life if world.replica.loaded else 0,
-                min(world.now - world.state_heard, 1e6),
+                context.label,
+                context.incarnation if context.replica.loaded else 0,
+                min(context.now - context.store_seen_at, 1e6),
                 cancelled,
                 until,
             ),
@@ -266,8 +271,8 @@
 
     def _peer_new(self, label: str) -> None:
         """A peer started anew: tell it all that we hear."""
-        for machine in self.world.machines.values():
-            if machine.keeper == self.world.label:
+        for machine in self.context.machines.values():
+            if machine.keeper == self.context.label:
                 self._tell(machine.name, [label], images=True)
 
     def _resend(self, label: str, names: list[str]) -> None:
@@ -275,11 +280,11 @@
             self._tell(name, [label])
 
     def _tell(self, name: str, labels: list[str], images: bool = False) -> None:
-        world = self.world
-        machine = world.machines.get(name)
-        if machine is None or machine.keeper != world.label:
+        context = self.context
+        machine = context.machines.get(name)
+        if machine is None or machine.keeper != context.label:
             return
-        notice = None if machine.notice_at is None else max(0.0, machine.notice_at - world.now)
+        notice = None if machine.notice_at is None else max(0.0, machine.notice_at - context.now)
         tasks = [[*task, *state] for task, state in self.keeper.reports.shown(machine).items()]
         message = (
             "view",
@@ -289,15 +294,15 @@
             machine.type,
             machine.zone,
             machine.spot,
-            machine.session,
-            machine.seq,
-            machine.token,
+            machine.agent_epoch,
+            machine.sequence,
+            machine.fencing_token,
             notice,
             tasks,
             list(machine.images.items()) if images else [],
         )
         for label in labels:
-            world.emit("send", label, message)
+            context.emit("send", label, message)
 
     def _view(
         self,
@@ -308,21 +313,21 @@
         type_name: str,
         zone: str,
         spot: bool,
-        session: int,
-        seq: int,
-        token: int,
+        agent_epoch: int,
+        sequence: int,
+        fencing_token: int,
         notice: float | None,
         tasks: list,
         images: list,
     ) -> None:
-        world = self.world
-        machine = world.machines.get(name)
+        context = self.context
+        machine = context.machines.get(name)
         if machine is not None:
-            newer = (session, seq) > machine.version
-            same = (session, seq) == machine.version and machine.keeper == label
+            newer = (agent_epoch, sequence) > machine.version
+            same = (agent_epoch, sequence) == machine.version and machine.keeper == label
             if not newer and not same:
                 return
-        elif name in world.replica.gone or name in world.departed:
+        elif name in context.replica.gone or name in context.terminated:
             return
         report = Report(
             name,
@@ -330,37 +335,37 @@
             type_name,
             zone,
             spot,
-            session,
-            seq,
-            token,
+            agent_epoch,
+            sequence,
+            fencing_token,
             notice,
             {(row[0], row[1]): (row[2], row[3], row[4]) for row in tasks},
         )
-        take_report(world, report, label, term)
+        take_report(context, report, label, term)
         for image, size_gb in images:
-            hold_image(world, world.machines[name], image, size_gb)
+            hold_image(context, context.machines[name], image, size_gb)
 
     def _say_alive(self) -> None:
-        world = self.world
-        if world.now < self.next_alive:
+        context = self.context
+        if context.now < self.next_alive:
             return
-        self.next_alive = world.now + constants.ALIVE_S
+        self.next_alive = context.now + constants.ALIVE_S
         self.keeper.word.forget()
         for name in [
             n
-            for n, at in world.draining.items()
-            if FLEET not in world.my_roles and world.now - at > constants.DRAIN_NOTICE_S
+            for n, at in context.draining.items()
+            if FLEET not in context.held_roles and context.now - at > constants.DRAIN_NOTICE_S
         ]:
-            world.undrain(name)
+            context.undrain(name)
         heard = [
             m.name
-            for m in world.machines.values()
-            if m.keeper == world.label
-            and world.now - m.heard < 2 * constants.ALIVE_S + world.facts.workers.report_s
+            for m in context.machines.values()
+            if m.keeper == context.label
+            and context.now - m.heard < 2 * constants.ALIVE_S + context.facts.workers.report_s
         ]
-        labels = [member.label for member in world.settings.members]
+        labels = [member.label for member in context.settings.members]
         for label in labels:
-            world.emit("send", label, ("heard", heard))
+            context.emit("send", label, ("heard", heard))
         self._tell_again(sorted(heard), labels)
 
     def _tell_again(self, mine: list[str], labels: list[str]) -> None:
@@ -376,25 +381,25 @@
 
     def _short(self, wanted: float) -> None:
         """We lack changes at the state service: ask all peers for a part."""
-        members = self.world.settings.members
+        members = self.context.settings.members
         for member in members:
-            self.world.emit(
+            self.context.emit(
                 "send",
                 member.label,
-                ("borrow", self.world.label, constants.BORROW_MORE * wanted / len(members)),
+                ("borrow", self.context.label, constants.BORROW_MORE * wanted / len(members)),
             )
 
     def _heard(self, label: str, heard: list[str]) -> None:
         for name in heard:
-            machine = self.world.machines.get(name)
+            machine = self.context.machines.get(name)
             if machine is not None and machine.keeper == label:
-                self.world.heard(machine)
+                self.context.heard(machine)
 
     def _drain(self, names: list[str]) -> None:
         for name in names:
-            self.world.drain(name)
+            self.context.drain(name)
 
     def _gone(self, names: list[str]) -> None:
         for name in names:
-            self.world.depart(name)
+            self.context.mark_terminated(name)
             self.keeper.ward.kept.pop(name, None)
--- a/oakmux/core/fleet/__init__.py
+++ b/oakmux/core/fleet/__init__.py
@@ -1,23 +1,23 @@
 """The fleet: what to rent, what to return, which machines are certainly gone."""
 
 from oakmux import constants
+from oakmux.core.context import Context
 from oakmux.core.fleet.demand import Demand
 from oakmux.core.fleet.lists import Lists
 from oakmux.core.fleet.returns import Returns
 from oakmux.core.keeper.word import Word
 from oakmux.core.membership import FLEET
-from oakmux.core.world import World
 
 
 class Fleet:
     """Rents and returns, while we hold the fleet role."""
 
-    def __init__(self, world: World, word: Word) -> None:
-        self.world = world
+    def __init__(self, context: Context, word: Word) -> None:
+        self.context = context
         self.word = word
-        self.lists = Lists(world)
-        self.demand = Demand(world, word, self.lists)
-        self.returns = Returns(world, word, self.lists)
+        self.lists = Lists(context)
+        self.demand = Demand(context, word, self.lists)
+        self.returns = Returns(context, word, self.lists)
         self.next_pass = 0.0
 
     def won(self) -> None:
@@ -27,17 +27,17 @@
 
     def changed(self, job_id: str) -> None:
         """The records of a job changed."""
-        if FLEET in self.world.my_roles:
+        if FLEET in self.context.held_roles:
             self.demand.changed(job_id)
 
     def tick(self) -> None:
         """Do what is due."""
-        world = self.world
-        if FLEET not in world.my_roles or not world.types:
+        context = self.context
+        if FLEET not in context.held_roles or not context.types:
             return
         self.lists.ask()
-        if world.now >= self.next_pass and self.word.state_fresh():
-            self.next_pass = world.now + constants.FLEET_PASS_S
+        if context.now >= self.next_pass and self.word.state_fresh():
+            self.next_pass = context.now + constants.FLEET_PASS_S
             self.lists.records()
             slots = self.demand.count()
             if not self.demand.unplaced:
--- a/oakmux/core/fleet/demand.py
+++ b/oakmux/core/fleet/demand.py
@@ -7,6 +7,7 @@
 
 from oakmux import constants
 from oakmux.core import teams
+from oakmux.core.context import Context, event
 from oakmux.core.fleet.lists import Listed, Lists
 from oakmux.core.index import Class, class_of, may_fit
 from oakmux.core.keeper.queue import rank
@@ -14,7 +15,6 @@
 from oakmux.core.keeper.word import Word
 from oakmux.core.owner.places import zone_allowed
 from oakmux.core.spread.lines import Lines, Shape
-from oakmux.core.world import World, event
 from oakmux.wire import JobSpec
 
 Key = tuple[str, str, bool]
@@ -41,16 +41,16 @@
 class Pool:
     """Slots by what tells them apart, so that a task finds one without a look at all."""
 
-    def __init__(self, world: World, slots: list[Slot]) -> None:
-        self.world = world
+    def __init__(self, context: Context, slots: list[Slot]) -> None:
+        self.context = context
         self.classes: dict[Class, list[Slot]] = {}
         for slot in slots:
             self.add(slot)
 
     def add(self, slot: Slot) -> None:
         """Put a slot where its room says; one without room is left out."""
-        if not full(self.world, slot.free):
-            kind = self.world.types[slot.type]
+        if not full(self.context, slot.free):
+            kind = self.context.types[slot.type]
             self.classes.setdefault(
                 class_of(kind, slot.zone, slot.spot, slot.free, slot.coming), []
             ).append(slot)
@@ -60,12 +60,12 @@
         where the job may use it and needs GPUs, those that are up, fullest."""
         rows = []
         for place in self.classes:
-            kind = self.world.types[place.type]
+            kind = self.context.types[place.type]
             if (
                 place.zone in zones
                 and (spec.spot or not place.spot)
                 and may_fit(spec, kind, place)
-                and self.world.fits_type(spec, place.type)
+                and self.context.fits_type(spec, place.type)
             ):
                 # Free GPUs, and the CPUs that they need, are left to work that needs them.
                 rows.append(
@@ -82,7 +82,7 @@
 
     def estimate(self, spec: JobSpec, place: Class) -> int:
         """Return how many tasks of a job find room in a class, at least."""
-        kind = self.world.types[place.type]
+        kind = self.context.types[place.type]
         cpus = place.cpu_level / constants.ROOM_LEVELS * kind.cpus
         memory_gb = place.memory_level / constants.ROOM_LEVELS * kind.memory_gb
         return len(self.classes[place]) * times((cpus, float(place.gpus), memory_gb), spec)
@@ -109,8 +109,8 @@
 class Demand:
     """Counts what is missing, and rents it."""
 
-    def __init__(self, world: World, word: Word, lists: Lists) -> None:
-        self.world = world
+    def __init__(self, context: Context, word: Word, lists: Lists) -> None:
+        self.context = context
         self.word = word
         self.lists = lists
         self.no_capacity: dict[Key, float] = {}
@@ -121,18 +121,18 @@
         self.troubled: set[Key] = set()
         self.there: Counter[str] = Counter()
         # Unfinished jobs of all teams that have tasks which are not bound, by the records.
-        self.lines = Lines(world)
+        self.lines = Lines(context)
 
     def won(self) -> None:
         """Begin to hold the role."""
         self.renting.clear()
         self.lines.clear()
-        for job_id in self.world.replica.active:
+        for job_id in self.context.replica.active:
             self.changed(job_id)
 
     def changed(self, job_id: str) -> None:
         """The records of a job changed."""
-        job = self.world.replica.jobs.get(job_id)
+        job = self.context.replica.jobs.get(job_id)
         if (
             job is not None
             and job.spec is not None
@@ -145,33 +145,33 @@
             self.lines.drop(job_id)
 
     def _slots(self) -> list[Slot]:
-        world = self.world
+        context = self.context
         slots = []
-        silent = world.facts.workers.lease_s
-        for machine in world.machines.values():
-            if counts(world, machine) and world.now - machine.heard < silent:
+        unresponsive = context.facts.workers.lease_s
+        for machine in context.machines.values():
+            if counts(context, machine) and context.now - machine.heard < unresponsive:
                 slots.append(
                     Slot(
                         machine.name,
                         machine.type,
                         machine.zone,
                         machine.spot,
-                        room(world, machine),
+                        room(context, machine),
                         False,
                     )
                 )
         late: Counter[Key] = Counter()
         for name, known in self.lists.listed.items():
-            kind = world.types.get(known.type)
+            kind = context.types.get(known.type)
             if (
-                name in world.machines
+                name in context.machines
                 or name in self.lists.returned
                 or kind is None
                 or known.state == "failed"
-                or world.now - known.since > constants.BOOT_PATIENCE * kind.boot_s
+                or context.now - known.since > constants.BOOT_PATIENCE * kind.boot_s
             ):
                 continue
-            if world.now - known.since > constants.BOOT_LATE * kind.boot_s:
+            if context.now - known.since > constants.BOOT_LATE * kind.boot_s:
                 # Neither room nor nothing: all of them counted on, work waits for what never
                 # comes; none, and a late hour rents everything twice.
                 late[(known.type, known.zone, known.spot)] += 1
@@ -188,7 +188,7 @@
             )
         self._note_trouble(late)
         for type_name, zone, spot, count in self.renting.values():
-            kind = world.types[type_name]
+            kind = context.types[type_name]
             slots.extend(
                 Slot("", type_name, zone, spot, (kind.cpus, kind.gpus, kind.memory_gb))
                 for _ in range(count)
@@ -197,7 +197,7 @@
 
     def _note_trouble(self, late: Counter[Key]) -> None:
         """Note the kinds of machines that come up late or never, zone by zone, for a while."""
-        lists, now = self.lists, self.world.now
+        lists, now = self.lists, self.context.now
         lists.never_up = [row for row in lists.never_up if now - row[0] < constants.BOOT_TROUBLE_S]
         late.update(key for _, key in lists.never_up)
         troubled = {key for key, count in late.items() if count >= constants.BOOT_TROUBLE}
@@ -207,11 +207,11 @@
 
     def count(self) -> list[Slot]:
         """Place unstarted tasks on what is there or coming; rent for the rest."""
-        world = self.world
+        context = self.context
         slots = self._slots()
         self.there = Counter(slot.zone for slot in slots)
-        pool = Pool(world, slots)
-        used = dict(teams.usage(world))
+        pool = Pool(context, slots)
+        used = dict(teams.usage(context))
         rent: dict[Key, int] = {}
         left = constants.DEMAND_TASKS
         self.unplaced = False
@@ -223,11 +223,11 @@
         heapq.heapify(turns)
         while turns and left > 0:
             _, _, job_id, shape, number = turns[0]
-            job = world.replica.jobs[job_id]
+            job = context.replica.jobs[job_id]
             spec = job.spec
             assert spec is not None
-            wanted = min(job.unbound(), left, teams.tasks_left(world, job.team, spec, used))
-            if world.failures.suspect(job):
+            wanted = min(job.unbound(), left, teams.tasks_left(context, job.team, spec, used))
+            if context.failures.suspect(job):
                 wanted = min(wanted, 1)  # it is tried one task at a time
             more = wanted > 0  # at its team's limit, no other of the line may start either
             if more and job_id not in self.word.cancelled:
@@ -263,17 +263,17 @@
         if number >= len(line):
             return None
         *_, job_id = line[number]
-        job = self.world.replica.jobs[job_id]
+        job = self.context.replica.jobs[job_id]
         assert job.spec is not None
-        return rank(self.world, job, job.spec, used), job.since, job_id, shape, number
+        return rank(self.context, job, job.spec, used), job.since, job_id, shape, number
 
     def _place(
         self, spec: JobSpec, zones: list[str], wanted: int, pool: Pool, rent: dict[Key, int]
     ) -> tuple[list[Slot], list[Slot]]:
         """Return a slot for each task that finds one, present ones first, and the new ones."""
-        world = self.world
+        context = self.context
         zones = list(zones)
-        allowed = world.facts.zones if spec.zone is None else [spec.zone]
+        allowed = context.facts.zones if spec.zone is None else [spec.zone]
         order = pool.order(spec, [z for z in allowed if zone_allowed(spec, zones, z)])
         if spec.one_zone and not zones:
             # All go to one zone: to where most of them find room already or can be rented for.
@@ -300,7 +300,7 @@
             key = self._cheapest(spec, zones, allowed)
             if key is None:
                 break
-            kind = world.types[key[0]]
+            kind = context.types[key[0]]
             rent[key] = rent.get(key, 0) + 1
             self.there[key[1]] += 1
             slot = Slot("", *key, (kind.cpus, kind.gpus, kind.memory_gb))
@@ -325,37 +325,43 @@
 
     def _cheapest(self, spec: JobSpec, zones: list[str], allowed: list[str]) -> Key | None:
         """Return the cheapest type, zone and kind to rent for a task, the emptier zone first."""
-        world = self.world
+        context = self.context
         best = None
-        for kind in world.types.values():
-            if not world.fits_type(spec, kind.name):
+        for kind in context.types.values():
+            if not context.fits_type(spec, kind.name):
                 continue
             for zone in kind.zones:
                 if zone not in allowed or not zone_allowed(spec, zones, zone):
                     continue
                 for spot in (True, False) if spec.spot else (False,):
                     key = (kind.name, zone, spot)
-                    if self.no_capacity.get(key, 0.0) > world.now:
+                    if self.no_capacity.get(key, 0.0) > context.now:
                         continue
                     price = kind.spot_price if spot else kind.price
-                    row = (key in self.troubled, price, self.there[zone], world.rng.random(), key)
+                    row = (
+                        key in self.troubled,
+                        price,
+                        self.there[zone],
+                        context.rng.random(),
+                        key,
+                    )
                     if best is None or row < best:
                         best = row
         return None if best is None else best[4]
 
     def _rent(self, type_name: str, zone: str, spot: bool, count: int) -> None:
-        if self.world.now < self.lists.cloud_after:
+        if self.context.now < self.lists.cloud_after:
             return
         self.requests += 1
         # The name holds our life's term, so no controller and no life uses it again.
-        name = f"oakmux-{self.world.life}-{self.requests}"
+        name = f"oakmux-{self.context.incarnation}-{self.requests}"
         self.renting[name] = (type_name, zone, spot, count)
         event("rent", request=name, type=type_name, zone=zone, spot=int(spot), count=count)
         self._ask(name, 1)
 
     def _ask(self, name: str, tries: int) -> None:
         type_name, zone, spot, count = self.renting[name]
-        self.world.call(
+        self.context.call(
             lambda s, r: self._rented(name, tries, s, r),
             "cloud",
             "rent",
@@ -367,7 +373,7 @@
         )
 
     def _rented(self, name: str, tries: int, status: int, result: Any) -> None:
-        world = self.world
+        context = self.context
         wanted = self.renting.get(name)
         if wanted is None:
             return
@@ -378,11 +384,11 @@
         type_name, zone, spot, count = wanted
         if status == 200:
             for machine in result:
-                self.lists.listed[machine] = Listed(type_name, zone, spot, "booting", world.now)
+                self.lists.listed[machine] = Listed(type_name, zone, spot, "booting", context.now)
             if len(result) < count:
-                self.no_capacity[(type_name, zone, spot)] = world.now + constants.NO_CAPACITY_S
+                self.no_capacity[(type_name, zone, spot)] = context.now + constants.NO_CAPACITY_S
         elif status == 503 and result == "no capacity":
-            self.no_capacity[(type_name, zone, spot)] = world.now + constants.NO_CAPACITY_S
+            self.no_capacity[(type_name, zone, spot)] = context.now + constants.NO_CAPACITY_S
         else:
-            self.lists.cloud_after = world.now + constants.BACKOFF_MOST_S
+            self.lists.cloud_after = context.now + constants.BACKOFF_MOST_S
         event("rented", request=name, status=status, got=len(result) if status == 200 else 0)
--- a/oakmux/core/fleet/lists.py
+++ b/oakmux/core/fleet/lists.py
@@ -5,9 +5,9 @@
 import msgspec
 
 from oakmux import constants
+from oakmux.core.context import Context, event
 from oakmux.core.jobs import TYPES_KEY, gone_key, value_bytes, value_limit
 from oakmux.core.keeper.room import silent_s
-from oakmux.core.world import World, event
 
 
 class Listed:
@@ -29,8 +29,8 @@
 class Lists:
     """Reads the cloud's list and records which machines are gone."""
 
-    def __init__(self, world: World) -> None:
-        self.world = world
+    def __init__(self, context: Context) -> None:
+        self.context = context
         self.since = 0.0
         self.listed: dict[str, Listed] = {}
         self.returned: dict[str, float] = {}
@@ -45,7 +45,7 @@
 
     def won(self) -> None:
         """Begin to hold the role."""
-        self.since = self.world.now
+        self.since = self.context.now
         self.listed.clear()
         self.known_since.clear()
         self.returning.clear()
@@ -53,17 +53,19 @@
 
     def ask(self) -> None:
         """Read the list when it is due."""
-        world = self.world
-        if not self.listing and world.now >= max(self.next_list, self.cloud_after):
+        context = self.context
+        if not self.listing and context.now >= max(self.next_list, self.cloud_after):
             self.listing = True
-            self.next_list = world.now + constants.LIST_EVERY_LAGS * world.facts.cloud.list_lag_s
-            world.call(lambda s, r, at=world.now: self._list_done(at, s, r), "cloud", "list")
+            self.next_list = (
+                context.now + constants.LIST_EVERY_LAGS * context.facts.cloud.list_lag_s
+            )
+            context.call(lambda s, r, at=context.now: self._list_done(at, s, r), "cloud", "list")
 
     def _list_done(self, asked: float, status: int, rows: Any) -> None:
-        world = self.world
+        context = self.context
         self.listing = False
         if status != 200:
-            self.cloud_after = world.now + constants.BACKOFF_MOST_S
+            self.cloud_after = context.now + constants.BACKOFF_MOST_S
             return
         names = set()
         for name, _, type_name, zone, spot, state, age in rows:
@@ -80,25 +82,25 @@
             known.absent = 0
             known.listed = True
             if state == "running" and known.running_since is None:
-                known.running_since = world.now
+                known.running_since = context.now
             if state == "failed":
                 self.gone(name, "failed")
-        lag = constants.ABSENT_LAGS * world.facts.cloud.list_lag_s
-        for name in {*self.listed, *world.machines, *world.replica.by_machine} - names:
-            since = self.known_since.setdefault(name, world.now)
+        lag = constants.ABSENT_LAGS * context.facts.cloud.list_lag_s
+        for name in {*self.listed, *context.machines, *context.replica.by_machine} - names:
+            since = self.known_since.setdefault(name, context.now)
             known = self.listed.get(name)
             if known is not None and not known.listed:
                 since = max(since, known.since)
             # Once listed, a machine stays listed until it is gone: for one that was, newer lists
             # prove it, and the silence of a few reports only guards against our own mistakes.
             silence = (
-                silent_s(world)
+                silent_s(context)
                 if known is not None and known.listed
-                else world.facts.workers.lease_s
+                else context.facts.workers.lease_s
             )
-            machine = world.machines.get(name)
+            machine = context.machines.get(name)
             if asked - since < lag or (
-                machine is not None and world.now - machine.heard < silence
+                machine is not None and context.now - machine.heard < silence
             ):
                 continue
             # Lists certainly newer than our knowledge of the machine lack it, repeatedly.
@@ -109,56 +111,61 @@
 
     def gone(self, name: str, why: str) -> None:
         """A machine and all on it are certainly gone; its name never comes again."""
-        world = self.world
+        context = self.context
         if name not in self.returned:
             event("machine_gone", machine=name, why=why)
-        self.returned[name] = world.now
+        self.returned[name] = context.now
         self.listed.pop(name, None)
         self.known_since.pop(name, None)
         self.returning.discard(name)
         for label in self.peers():
-            world.emit("send", label, ("gone", [name]))
+            context.emit("send", label, ("gone", [name]))
         if why == "failed":
-            world.call(lambda s, r: None, "cloud", "return", [name])
+            context.call(lambda s, r: None, "cloud", "return", [name])
 
     def peers(self) -> list[str]:
         """Return all controllers, ourselves included."""
-        return [self.world.label, *(m.label for m in self.world.settings.members)]
+        return [self.context.label, *(m.label for m in self.context.settings.members)]
 
     def records(self) -> None:
         """Write which machines are gone while bindings refer to them; drop old such records."""
-        world = self.world
-        limits = world.facts.state.least
+        context = self.context
+        limits = context.facts.state.least
         writes: list[tuple] = []
-        if set(world.types) != set(world.replica.types):
-            rows = [list(msgspec.to_builtins(kind)) for kind in world.types.values()]
+        if set(context.types) != set(context.replica.types):
+            rows = [list(msgspec.to_builtins(kind)) for kind in context.types.values()]
             if value_bytes(rows) <= value_limit(limits):
                 writes.append((TYPES_KEY, rows, None))
         most = max(1, limits.txn_ops // 2)
-        for name in world.replica.by_machine:
+        for name in context.replica.by_machine:
             if (
                 name in self.returned
-                and name not in world.replica.gone
-                and world.now - self.gone_written.get(name, -1e9) > constants.STATE_TIMEOUT_S
+                and name not in context.replica.gone
+                and context.now - self.gone_written.get(name, -1e9) > constants.STATE_TIMEOUT_S
             ):
-                self.gone_written[name] = world.now
+                self.gone_written[name] = context.now
                 writes.append((gone_key(name), True, None))
-        for name in world.replica.gone:
-            if name in world.replica.by_machine:
-                self.gone_written[name] = world.now
-            elif world.now - self.gone_written.setdefault(name, world.now) > constants.GONE_KEEP_S:
-                self.gone_written[name] = world.now
+        for name in context.replica.gone:
+            if name in context.replica.by_machine:
+                self.gone_written[name] = context.now
+            elif (
+                context.now - self.gone_written.setdefault(name, context.now)
+                > constants.GONE_KEEP_S
+            ):
+                self.gone_written[name] = context.now
                 writes.append((gone_key(name),))
         if writes:
             writes = writes[:most]
-            world.call(lambda s, r: self._recorded(writes, s, r), "txn", [], writes, 1)
+            context.call(lambda s, r: self._recorded(writes, s, r), "txn", [], writes, 1)
         if len(self.returned) > constants.MAX_QUEUE:
             for name in list(self.returned)[: constants.MAX_QUEUE // 2]:
-                if name not in world.replica.by_machine:
+                if name not in context.replica.by_machine:
                     del self.returned[name]
                     self.gone_written.pop(name, None)
 
     def _recorded(self, writes: list[tuple], status: int, result: Any) -> None:
         if status == 200:
             for write in writes:
-                self.world.replica.apply(write[0], write[1] if len(write) > 1 else None, result[0])
+                self.context.replica.apply(
+                    write[0], write[1] if len(write) > 1 else None, result[0]
+                )
--- a/oakmux/core/fleet/returns.py
+++ b/oakmux/core/fleet/returns.py
@@ -3,20 +3,20 @@
 from collections import Counter
 
 from oakmux import constants
+from oakmux.core.context import Context, Machine, event
 from oakmux.core.fleet.demand import Slot
 from oakmux.core.fleet.lists import Lists
 from oakmux.core.keeper.hearing import deaf_s, hears
 from oakmux.core.keeper.room import has_room, less, sick
 from oakmux.core.keeper.word import Word
 from oakmux.core.owner.places import zone_allowed
-from oakmux.core.world import Machine, World, event
 
 
 class Returns:
     """Drains and returns machines."""
 
-    def __init__(self, world: World, word: Word, lists: Lists) -> None:
-        self.world = world
+    def __init__(self, context: Context, word: Word, lists: Lists) -> None:
+        self.context = context
         self.word = word
         self.lists = lists
         self.moving: dict[str, float] = {}
@@ -25,61 +25,62 @@
         self.deaf_until: dict[str, float] = {}
 
     def _empty(self, name: str) -> bool:
-        machine = self.world.machines.get(name)
-        return not self.world.replica.by_machine.get(name) and (
+        machine = self.context.machines.get(name)
+        return not self.context.replica.by_machine.get(name) and (
             machine is None or machine.idle_since is not None
         )
 
     def idle(self, slots: list[Slot]) -> None:
         """Drain what has nothing to do, and return what is drained."""
-        world = self.world
+        context = self.context
         needed = {slot.name for slot in slots if slot.used}
-        for name, machine in world.machines.items():
+        for name, machine in context.machines.items():
             if name in self.lists.returning or name in self.lists.returned:
                 continue
-            drained = world.draining.get(name)
+            drained = context.draining.get(name)
             if drained is not None:
                 if not self._empty(name):
                     # Work came before the drain was known everywhere, or a move did not end.
-                    if not sick(world, machine) and self.moving.get(name, 0.0) < world.now:
-                        world.undrain(name)
+                    if not sick(context, machine) and self.moving.get(name, 0.0) < context.now:
+                        context.undrain(name)
                         self.moving.pop(name, None)
-                elif world.now - drained >= constants.DRAIN_S and name not in self.sick_since:
+                elif context.now - drained >= constants.DRAIN_S and name not in self.sick_since:
                     self._return([name], "idle")
             elif (
                 machine.idle_since is not None
                 and hears(machine)
                 and self._empty(name)
                 and name not in needed
-                and not world.openings.names(name)
+                and not context.openings.names(name)
                 # What ended in an outage left its machine idle for want of nothing but word.
-                and world.now - max(machine.idle_since, world.back_at) > constants.IDLE_KEEP_S
-                and world.now - machine.first_heard > constants.IDLE_KEEP_S
+                and context.now - max(machine.idle_since, context.store_recovered_at)
+                > constants.IDLE_KEEP_S
+                and context.now - machine.first_heard > constants.IDLE_KEEP_S
             ):
-                world.drain(name)
-        names = [name for name in world.draining if name in world.machines]
+                context.drain(name)
+        names = [name for name in context.draining if name in context.machines]
         if names:
             for label in self.lists.peers()[1:]:
-                world.emit("send", label, ("drain", names))
+                context.emit("send", label, ("drain", names))
 
     def consolidate(self, slots: list[Slot]) -> None:
         """Move the services off the emptiest machine when others have room and their images."""
-        world = self.world
+        context = self.context
         if any(
-            until > world.now and name in world.machines for name, until in self.moving.items()
+            until > context.now and name in context.machines for name, until in self.moving.items()
         ):
             return
-        self.moving = {n: t for n, t in self.moving.items() if n in world.draining}
-        others = [s for s in slots if s.name in world.machines]
+        self.moving = {n: t for n, t in self.moving.items() if n in context.draining}
+        others = [s for s in slots if s.name in context.machines]
         best = None
         for slot in others:
-            machine = world.machines[slot.name]
-            kind = world.types[slot.type]
+            machine = context.machines[slot.name]
+            kind = context.types[slot.type]
             if (
                 machine.idle_since is not None
                 or slot.used
-                or slot.name in world.draining
-                or world.now - machine.first_heard < constants.IDLE_KEEP_S
+                or slot.name in context.draining
+                or context.now - machine.first_heard < constants.IDLE_KEEP_S
             ):
                 continue
             left = slot.free[1] / kind.gpus if kind.gpus else slot.free[0] / kind.cpus
@@ -90,40 +91,40 @@
         if best is None:
             return
         _, name, moves = best
-        world.drain(name)
-        self.moving[name] = world.now + constants.MOVE_S
+        context.drain(name)
+        self.moving[name] = context.now + constants.MOVE_S
         event("move", machine=name, tasks=len(moves))
         for task, attempt in moves:
-            world.emit("send", world.machines[name].keeper, ("move", name, task, attempt))
+            context.emit("send", context.machines[name].keeper, ("move", name, task, attempt))
 
     def _moves(self, machine: Machine, others: list[Slot]) -> list[tuple[str, int]] | None:
         """Return the services to move off a machine, or None if that can't be done at once."""
-        world = self.world
+        context = self.context
         free = {slot.name: slot.free for slot in others}
         # Two tasks of one job may move at once: each must see where the other goes.
         zones_of: dict[str, list[str]] = {}
         moves = []
-        for (job_id, index), binding in world.replica.by_machine.get(machine.name, {}).items():
-            job = world.replica.jobs.get(job_id)
+        for (job_id, index), binding in context.replica.by_machine.get(machine.name, {}).items():
+            job = context.replica.jobs.get(job_id)
             task = (f"{job_id}/{index}", binding.attempt)
             if (
                 job is None
                 or job.spec is None
                 or job.spec.kind != "service"
                 or machine.tasks.get(task, ("",))[0] != "running"
-                or world.now - machine.since.get(task, world.now) < constants.IDLE_KEEP_S
+                or context.now - machine.since.get(task, context.now) < constants.IDLE_KEEP_S
             ):
                 return None
             spec = job.spec
             zones = zones_of.setdefault(job_id, [b.zone for b in job.bindings()])
             zones.remove(binding.zone)
             for slot in others:
-                other = world.machines[slot.name]
+                other = context.machines[slot.name]
                 if (
                     other.idle_since is None
                     and spec.image in other.images
                     and has_room(free[slot.name], spec)
-                    and world.fits(spec, other)
+                    and context.fits(spec, other)
                     and zone_allowed(spec, zones, slot.zone)
                 ):
                     free[slot.name] = less(free[slot.name], spec)
@@ -136,72 +137,75 @@
 
     def return_bad(self) -> None:
         """Return machines that never boot, fell silent or fail all that they run."""
-        world = self.world
-        silent = constants.SILENT_LEASES * world.facts.workers.lease_s
+        context = self.context
+        unresponsive = constants.SILENT_LEASES * context.facts.workers.lease_s
         deaf_zones = self._deaf_zones()
-        self.sick_since = {n: at for n, at in self.sick_since.items() if n in world.machines}
+        self.sick_since = {n: at for n, at in self.sick_since.items() if n in context.machines}
         for name, known in list(self.lists.listed.items()):
             if name in self.lists.returning or not known.listed:
                 continue
-            machine = world.machines.get(name)
-            kind = world.types.get(known.type)
+            machine = context.machines.get(name)
+            kind = context.types.get(known.type)
             if machine is None:
-                patience = constants.BOOT_PATIENCE * kind.boot_s if kind is not None else silent
-                if known.state == "booting" and world.now - known.since > patience:
-                    self.lists.never_up.append((world.now, (known.type, known.zone, known.spot)))
+                patience = (
+                    constants.BOOT_PATIENCE * kind.boot_s if kind is not None else unresponsive
+                )
+                if known.state == "booting" and context.now - known.since > patience:
+                    self.lists.never_up.append((context.now, (known.type, known.zone, known.spot)))
                     self._return([name], "never_booted")
                 elif (
                     known.running_since is not None
-                    and world.now - max(known.running_since, self.lists.since) > silent
+                    and context.now - max(known.running_since, self.lists.since) > unresponsive
                 ):
                     self._return([name], "never_heard")
                 continue
-            quiet = world.now - max(machine.heard, self.lists.since, world.resumed_at)
+            quiet = context.now - max(machine.heard, self.lists.since, context.resumed_at)
             keeper_hears = (
-                machine.keeper in world.replica.nodes
-                and machine.keeper != world.label
-                and world.now - self.word.peer_heard.get(machine.keeper, -1e9)
+                machine.keeper in context.replica.nodes
+                and machine.keeper != context.label
+                and context.now - self.word.peer_heard.get(machine.keeper, -1e9)
                 > constants.ALIVE_S * 3
             )
-            if quiet > silent * (2 if keeper_hears else 1):
+            if quiet > unresponsive * (2 if keeper_hears else 1):
                 self._return([name], "silent")
-            elif min(deaf_s(world, machine), world.now - self.lists.since) > silent * (
+            elif min(deaf_s(context, machine), context.now - self.lists.since) > unresponsive * (
                 2 if machine.zone in deaf_zones else 1
             ):
                 self._return([name], "deaf")
-            elif sick(world, machine):
+            elif sick(context, machine):
                 # Nothing new goes there; it is given back if that still stands once the jobs that
                 # failed there were tried elsewhere.
                 if name not in self.sick_since:
-                    self.sick_since[name] = world.now
-                    world.drain(name)
+                    self.sick_since[name] = context.now
+                    context.drain(name)
                 elif (
-                    self._empty(name) and world.now - self.sick_since[name] > constants.SICK_HOLD_S
+                    self._empty(name)
+                    and context.now - self.sick_since[name] > constants.SICK_HOLD_S
                 ):
                     self._return([name], "sick")
             elif self.sick_since.pop(name, None) is not None:
-                world.undrain(name)
+                context.undrain(name)
 
     def _deaf_zones(self) -> set[str]:
         """Return the zones where most machines don't hear us, or did not a lease ago: a fault of
         the way there that ends for all of them, though not for all in the same second."""
-        now = self.world.now
+        now = self.context.now
         all_of, deaf = Counter[str](), Counter[str]()
-        for machine in self.world.machines.values():
+        for machine in self.context.machines.values():
             all_of[machine.zone] += 1
             deaf[machine.zone] += not hears(machine)
         for zone, count in deaf.items():
             if count > 1 and count > all_of[zone] * constants.DEAF_SHARE:
-                self.deaf_until[zone] = now + self.world.facts.workers.lease_s
+                self.deaf_until[zone] = now + self.context.facts.workers.lease_s
         return {zone for zone, until in self.deaf_until.items() if until > now}
 
     def _return(self, names: list[str], why: str) -> None:
-        world = self.world
-        if world.now < self.lists.cloud_after:
+        context = self.context
+        if context.now < self.lists.cloud_after:
             return
         self.lists.returning.update(names)
         event("return", machines=",".join(names), why=why)
-        world.call(lambda s, r: self._return_done(names, s), "cloud", "return", names)
+        context.call(lambda s, r: self._return_done(names, s), "cloud", "return", names)
 
     def _return_done(self, names: list[str], status: int) -> None:
         self.lists.returning.difference_update(names)
@@ -209,4 +213,4 @@
             for name in names:
                 self.lists.gone(name, "returned")
         else:
-            self.lists.cloud_after = self.world.now + constants.BACKOFF_MOST_S
+            self.lists.cloud_after = self.context.now + constants.BACKOFF_MOST_S
--- a/oakmux/core/index.py
+++ b/oakmux/core/index.py
@@ -13,9 +13,9 @@
 from pyroaring import BitMap
 
 from oakmux import constants
+from oakmux.core.context import Context, Machine
 from oakmux.core.jobs import Job
 from oakmux.core.keeper.room import Room, room, times, usable
-from oakmux.core.world import Machine, World
 from oakmux.wire import JobSpec, MachineType
 
 Kind = tuple[str, str, bool]
@@ -99,8 +99,8 @@
 class Index:
     """Sets of machines for one controller."""
 
-    def __init__(self, world: World) -> None:
-        self.world = world
+    def __init__(self, context: Context) -> None:
+        self.context = context
         self.ids: dict[str, int] = {}
         self.machines: list[Machine | None] = []
         self.spare: list[int] = []
@@ -117,7 +117,7 @@
         # The classes where a task finds room, by what it needs, as long as neither these nor the
         # machine types change.
         self.orders: dict[tuple, list[Class]] = {}
-        self.types = world.types
+        self.types = context.types
         # Classes that a machine with more room than before has come to, until somebody takes note.
         self.gained: set[Class] = set()
 
@@ -125,13 +125,13 @@
 
     def refresh(self) -> None:
         """Find the place of every machine of which something changed."""
-        if self.types is not self.world.types:
-            self.types = self.world.types
+        if self.types is not self.context.types:
+            self.types = self.context.types
             self.orders.clear()
-        stale, self.world.replica.stale = self.world.replica.stale, set()
+        stale, self.context.replica.stale = self.context.replica.stale, set()
         for name in stale:
-            machine = self.world.machines.get(name)
-            if machine is None or machine.type not in self.world.types:
+            machine = self.context.machines.get(name)
+            if machine is None or machine.type not in self.context.types:
                 self._drop(name)
             else:
                 self._set(machine)
@@ -159,15 +159,15 @@
     def _set(self, machine: Machine) -> None:
         number = self._number(machine)
         self._hold(number, set(machine.images))
-        if not usable(self.world, machine):
+        if not usable(self.context, machine):
             self._leave(number)
-            self.world.silent.add(machine.name)
+            self.context.unresponsive.add(machine.name)
             return
         place = class_of(
-            self.world.types[machine.type],
+            self.context.types[machine.type],
             machine.zone,
             machine.spot,
-            room(self.world, machine),
+            room(self.context, machine),
             machine.idle_since is not None,
         )
         self._weigh(number, machine)
@@ -213,7 +213,7 @@
 
     def _weigh(self, number: int, machine: Machine) -> None:
         """Note what of a machine's work may be stopped at all, by priority and team."""
-        replica = self.world.replica
+        replica = self.context.replica
         priorities: set[int] = set()
         teams: set[str] = set()
         for job_id, _ in replica.by_machine.get(machine.name, ()):
@@ -256,10 +256,10 @@
                 self.orders.clear()
             rows = []
             for place in self.classes:
-                kind = self.world.types.get(place.type)
+                kind = self.context.types.get(place.type)
                 if (
                     kind is None
-                    or not self.world.fits_type(spec, place.type)
+                    or not self.context.fits_type(spec, place.type)
                     or spec.zone not in (None, place.zone)
                     or (place.spot and not spec.spot)
                     or not may_fit(spec, kind, place)
@@ -298,12 +298,12 @@
                     continue  # its last machine fell silent while we drew
                 if held is not None:
                     members = members & held if with_image else members - held
-                for number in pick(self.world.rng, members, looks):
+                for number in pick(self.context.rng, members, looks):
                     looks -= 1
                     machine = self._fresh(number)
                     if machine is None or machine.name in avoid:
                         continue
-                    free = room(self.world, machine)
+                    free = room(self.context, machine)
                     if left is not None:
                         free = left(machine, free)
                     count = times(free, spec)
@@ -319,9 +319,9 @@
     def _fresh(self, number: int) -> Machine | None:
         """Return a machine unless it fell silent meanwhile: then it stays out until it speaks."""
         machine = self.machines[number]
-        if machine is not None and not usable(self.world, machine):
+        if machine is not None and not usable(self.context, machine):
             self._leave(number)
-            self.world.silent.add(machine.name)
+            self.context.unresponsive.add(machine.name)
             return None
         return machine
 
@@ -335,7 +335,7 @@
                 if zone in zones
                 and spec.zone in (None, zone)
                 and (spec.spot or not spot)
-                and self.world.fits_type(spec, type_name)
+                and self.context.fits_type(spec, type_name)
             ),
         )
 
@@ -367,7 +367,7 @@
         """Return up to `count` usable machines of a set, at random."""
         return [
             machine
-            for number in pick(self.world.rng, ids, count)
+            for number in pick(self.context.rng, ids, count)
             if (machine := self._fresh(number)) is not None and machine.name not in avoid
         ]
 
--- a/oakmux/core/jobs.py
+++ b/oakmux/core/jobs.py
@@ -30,7 +30,7 @@
 
     attempt: int
     machine: str
-    session: int
+    agent_epoch: int
     term: int
     zone: str
     stop: bool = False
@@ -39,17 +39,17 @@
 class Chunk:
     """A run of a job's tasks: bindings, completed tasks, highest attempt used."""
 
-    __slots__ = ("stamp", "last", "done", "bound", "compact", "page")
+    __slots__ = ("mod_revision", "last", "done", "bound", "compact", "page")
 
     def __init__(
         self,
-        stamp: int = 0,
+        mod_revision: int = 0,
         last: int = 0,
         done: int = 0,
         bound: dict[int, Binding] | None = None,
         compact: bool = True,
     ) -> None:
-        self.stamp = stamp
+        self.mod_revision = mod_revision
         self.last = last
         self.done = done
         self.bound = bound if bound is not None else {}
@@ -59,7 +59,7 @@
 
     def copy(self) -> "Chunk":
         """Return a copy that can be worked on."""
-        made = Chunk(self.stamp, self.last, self.done, dict(self.bound), self.compact)
+        made = Chunk(self.mod_revision, self.last, self.done, dict(self.bound), self.compact)
         made.page = self.page
         return made
 
@@ -82,19 +82,19 @@
                 self.last,
                 f"{self.done:x}",
                 [
-                    [i, b.attempt, b.machine, b.session, b.term, b.zone, b.stop]
+                    [i, b.attempt, b.machine, b.agent_epoch, b.term, b.zone, b.stop]
                     for i, b in sorted(self.bound.items())
                 ],
             ]
         heads: dict[tuple, int] = {}
         groups: dict[tuple[str, int], list] = {}
         for i, b in sorted(self.bound.items()):
-            head = heads.setdefault((b.session, b.term, b.zone, int(b.stop)), len(heads))
+            head = heads.setdefault((b.agent_epoch, b.term, b.zone, int(b.stop)), len(heads))
             groups.setdefault((b.machine, head), [b.machine, head]).extend((i, b.attempt))
         return [self.last, f"{self.done:x}", [list(head) for head in heads], list(groups.values())]
 
 
-def chunk_from(value: Any, stamp: int) -> Chunk:
+def chunk_from(value: Any, mod_revision: int) -> Chunk:
     """Read a chunk's value, of either format."""
     last, done, *rest = value
     bound: dict[int, Binding] = {}
@@ -103,10 +103,10 @@
     else:
         heads, groups = rest
         for machine, head, *pairs in groups:
-            session, term, zone, stop = heads[head]
+            agent_epoch, term, zone, stop = heads[head]
             for i, attempt in zip(pairs[::2], pairs[1::2], strict=True):
-                bound[i] = Binding(attempt, machine, session, term, zone, bool(stop))
-    return Chunk(stamp, last, int(done, 16), bound, len(rest) > 1)
+                bound[i] = Binding(attempt, machine, agent_epoch, term, zone, bool(stop))
+    return Chunk(mod_revision, last, int(done, 16), bound, len(rest) > 1)
 
 
 def value_bytes(value: Any) -> int:
@@ -126,7 +126,7 @@
         "id",
         "team",
         "state",
-        "stamp",
+        "mod_revision",
         "spec",
         "chunks",
         "order",
@@ -144,7 +144,7 @@
         job_id: str,
         team: str,
         state: str,
-        stamp: int,
+        mod_revision: int,
         spec: JobSpec | None,
         order: int,
         tasks: int,
@@ -152,7 +152,7 @@
         self.id = job_id
         self.team = team
         self.state = state
-        self.stamp = stamp
+        self.mod_revision = mod_revision
         self.spec: JobSpec | None = None
         self.chunks: dict[int, Chunk] = {}
         self.order = order
--- a/oakmux/core/keeper/kept.py
+++ b/oakmux/core/keeper/kept.py
@@ -2,7 +2,7 @@
 
 import math
 
-from oakmux.core.world import Task
+from oakmux.core.context import Task
 
 
 class Reservation:
--- a/oakmux/core/keeper/minimum_share.py
+++ b/oakmux/core/keeper/minimum_share.py
@@ -3,10 +3,10 @@
 from collections.abc import Iterable
 
 from oakmux import constants
+from oakmux.core.context import Context
 from oakmux.core.jobs import Job
 from oakmux.core.keeper.room import Room, has_room
 from oakmux.core.spread.order import aged
-from oakmux.core.world import World
 from oakmux.wire import JobSpec, MachineType
 
 
@@ -28,10 +28,10 @@
     never more. Gangs gather room in their own way.
     """
 
-    def __init__(self, world: World) -> None:
-        self.world = world
+    def __init__(self, context: Context) -> None:
+        self.context = context
         self.owed = 0.0
-        self.share = world.settings.spread.minimum_share
+        self.share = context.settings.spread.minimum_share
 
     def oldest(self, kind: MachineType, free: Room, jobs: Iterable[Job]) -> Job | None:
         """Return who is due by age among jobs that have a reservation on a machine, or None."""
@@ -43,7 +43,7 @@
             if job.spec is not None
             and not job.spec.joint
             and has_room(free, job.spec)
-            and aged(self.world, job, job.spec)
+            and aged(self.context, job, job.spec)
         ]
         job = min(due, key=lambda job: (job.since, job.id), default=None)
         if job is None or job.spec is None or weight(job.spec, kind) > self.owed:
--- a/oakmux/core/keeper/orders.py
+++ b/oakmux/core/keeper/orders.py
@@ -3,19 +3,19 @@
 from collections.abc import Callable
 
 from oakmux import constants, wire
+from oakmux.core.context import Context, Machine, Task, event
 from oakmux.core.jobs import Binding, Job
 from oakmux.core.keeper.kept import Kept, Ward
 from oakmux.core.keeper.word import Word
 from oakmux.core.membership import Membership
-from oakmux.core.world import Machine, Task, World, event
 from oakmux.wire import Report
 
 
 class Orders:
     """Gives commands, in answers to reports and straight to workers."""
 
-    def __init__(self, world: World, ward: Ward, word: Word, membership: Membership) -> None:
-        self.world = world
+    def __init__(self, context: Context, ward: Ward, word: Word, membership: Membership) -> None:
+        self.context = context
         self.ward = ward
         self.word = word
         self.membership = membership
@@ -26,34 +26,34 @@
 
     def orders(self, kept: Kept, machine: Machine, forget: bool) -> tuple[list[dict], list[Task]]:
         """Return the commands that a machine needs now, and which tasks they start."""
-        world = self.world
+        context = self.context
         orders: list[dict] = []
         starts: list[Task] = []
-        bound = world.replica.by_machine.get(machine.name, {})
-        settled = machine.token == world.term
+        bound = context.replica.by_machine.get(machine.name, {})
+        settled = machine.fencing_token == context.term
         names: set[Task] = set()
         for (job_id, index), binding in bound.items():
             task = (f"{job_id}/{index}", binding.attempt)
             names.add(task)
-            job = world.replica.jobs.get(job_id)
+            job = context.replica.jobs.get(job_id)
             if job is None:
                 continue
             ended = job.final or job_id in self.word.cancelled
             state = machine.tasks.get(task)
             if state is not None:
                 if self._must_save(machine, job, state[0]):
-                    kept.stops.setdefault(task, world.now)
+                    kept.stops.setdefault(task, context.now)
                 if state[0] != "exited" and (ended or binding.stop or task in kept.stops):
                     self._stop(kept, machine, orders, task, state[0], job, ended)
                 continue
-            if task in kept.starting or task in kept.answered or binding.term != world.term:
+            if task in kept.starting or task in kept.answered or binding.term != context.term:
                 continue
-            if binding.session != machine.session or not settled:
+            if binding.agent_epoch != machine.agent_epoch or not settled:
                 continue
             if ended or binding.stop:
                 if task not in kept.refused:
                     kept.refused.add(task)
-                    world.dirty_machines.add(machine.name)
+                    context.changed_workers.add(machine.name)
             elif self._too_soon(kept, machine, job, binding, task):
                 self.delaying.add(machine.name)
             elif task not in kept.refused and self.word.state_fresh():
@@ -89,27 +89,27 @@
         Its answer was lost, or another controller gave it. A newer term would rule it out, and
         none can be had without the state service: then the worker's session has to end in time.
         """
-        world = self.world
+        context = self.context
         if self.word.state_fresh():
             return False
         if (
-            machine.token > world.term
-            and kept.since + world.facts.workers.lease_s > world.state_heard
+            machine.fencing_token > context.term
+            and kept.since + context.facts.workers.lease_s > context.store_seen_at
             and self.word.unseen(self.word.patience_s())
         ):
             # Whoever kept it before us, and gave orders for a lease after that at the most, may
             # have given a start of a job that was cancelled since, whose bindings we never saw.
             return True
-        for (job_id, index), binding in world.replica.by_machine.get(machine.name, {}).items():
+        for (job_id, index), binding in context.replica.by_machine.get(machine.name, {}).items():
             task = (f"{job_id}/{index}", binding.attempt)
-            sent = binding.term != world.term or task in kept.starting
+            sent = binding.term != context.term or task in kept.starting
             if (
                 sent
-                and binding.session == machine.session
-                and machine.token <= binding.term
+                and binding.agent_epoch == machine.agent_epoch
+                and machine.fencing_token <= binding.term
                 and task not in machine.tasks
                 and self.word.is_cancelled(job_id)
-                and world.now - self.word.cancelled.get(job_id, -1e9) >= self.word.patience_s()
+                and context.now - self.word.cancelled.get(job_id, -1e9) >= self.word.patience_s()
             ):
                 return True
         return False
@@ -122,18 +122,18 @@
         The task would wait for them, `gang_wait_s` at most, and end with the whole attempt: a
         fetch that takes longer was so given up and begun anew for ever.
         """
-        world, spec = self.world, job.spec
+        context, spec = self.context, job.spec
         if spec is None or not spec.joint or spec.image not in machine.images:
             return False
-        slowest = world.fetch_s(spec, machine.type) * constants.FETCH_SPREAD
-        patience = slowest - world.facts.workers.gang_wait_s * constants.GANG_WAIT_SHARE
-        if world.now - kept.delayed.setdefault(task, world.now) >= patience:
+        slowest = context.fetch_s(spec, machine.type) * constants.FETCH_SPREAD
+        patience = slowest - context.facts.workers.gang_wait_s * constants.GANG_WAIT_SHARE
+        if context.now - kept.delayed.setdefault(task, context.now) >= patience:
             return False
         for chunk in job.chunks.values():
             for index, other in chunk.bound.items():
                 if other.attempt != binding.attempt or other.machine == machine.name:
                     continue
-                there = world.machines.get(other.machine)
+                there = context.machines.get(other.machine)
                 state = there.tasks.get((f"{job.id}/{index}", other.attempt)) if there else None
                 if there is None:
                     continue
@@ -158,8 +158,8 @@
             or spec.tasks > 1
         ):
             return False
-        times_ = self.world.facts.workers
-        return machine.notice_at - self.world.now <= spec.save_s + 2 * times_.report_s
+        times_ = self.context.facts.workers
+        return machine.notice_at - self.context.now <= spec.save_s + 2 * times_.report_s
 
     def _stop(
         self,
@@ -175,85 +175,85 @@
         if state == "saving" and not ended:
             return
         orders.append(wire.order("stop", task[0], task[1], grace))
-        kept.stops.setdefault(task, self.world.now)
+        kept.stops.setdefault(task, self.context.now)
         event("stop", task=task[0], attempt=task[1], machine=machine.name, grace=grace)
 
     def _unbound(self, kept: Kept, machine: Machine, orders: list[dict], names: set[Task]) -> None:
         """Forget exited tasks that the records have let go of; stop live ones."""
-        world = self.world
-        orphans = {t: kept.orphans.get(t, world.now) for t in machine.tasks if t not in names}
+        context = self.context
+        orphans = {t: kept.orphans.get(t, context.now) for t in machine.tasks if t not in names}
         kept.orphans = orphans
         if not self.word.state_fresh():
             return
         for task, since in orphans.items():
             # Our replica may lag behind the keeper that started the task: wait a while.
             if machine.tasks[task][0] == "exited":
-                if world.now - since >= constants.ALIVE_S and task not in kept.starting:
+                if context.now - since >= constants.ALIVE_S and task not in kept.starting:
                     orders.append(wire.order("forget", *task))
-            elif world.now - since >= constants.ORPHAN_S:
+            elif context.now - since >= constants.ORPHAN_S:
                 orders.append(wire.order("stop", task[0], task[1], 0.0))
 
     def direct(self, name: str) -> None:
         """Send starts and stops straight to a worker, when there are any."""
-        world = self.world
+        context = self.context
         kept = self.ward.kept.get(name)
-        machine = world.machines.get(name)
+        machine = context.machines.get(name)
         if (
             kept is None
             or machine is None
-            or machine.keeper != world.label
+            or machine.keeper != context.label
             or kept.ordering
-            or world.now < kept.direct_after
-            or not world.term
-            or machine.token != world.term
-            or world.now - machine.heard > world.facts.workers.lease_s
+            or context.now < kept.direct_after
+            or not context.term
+            or machine.fencing_token != context.term
+            or context.now - machine.heard > context.facts.workers.lease_s
         ):
             return
         orders, starts = self.orders(kept, machine, forget=False)
         if not orders:
             return
-        term = world.term
+        term = context.term
         for task in starts:
             kept.starting[task] = term
-        world.dirty_machines.add(name)
+        context.changed_workers.add(name)
         kept.ordering = True
-        world.call(
+        context.call(
             lambda outcome, report: self._ordered(name, starts, term, outcome, report),
             "orders",
             machine.addr,
             term,
-            machine.session,
+            machine.agent_epoch,
             orders,
         )
 
     def _ordered(
         self, name: str, starts: list[Task], term: int, outcome: str, report: Report | None
     ) -> None:
-        world = self.world
+        context = self.context
         kept = self.ward.kept.setdefault(name, Kept())
         kept.ordering = False
         if outcome == "lost":
             # They may still be carried out, minutes later: only a newer term settles that.
-            kept.direct_after = world.now + constants.ORDERS_TIMEOUT_S
+            kept.direct_after = context.now + constants.ORDERS_TIMEOUT_S
             self.membership.need_term_above(term)
             return
         for task in starts:
             if kept.starting.get(task) == term:
                 del kept.starting[task]
         if outcome == "unsent":
-            kept.direct_after = world.now + constants.ORDERS_TIMEOUT_S
+            kept.direct_after = context.now + constants.ORDERS_TIMEOUT_S
         if report is not None and report.machine == name:
-            machine = world.machines.get(name)
-            if machine is None or (report.session, report.seq) > machine.version:
+            machine = context.machines.get(name)
+            if machine is None or (report.agent_epoch, report.sequence) > machine.version:
                 self.take(kept, report)
-        world.dirty_machines.add(name)
-        if report is not None and report.token > world.term:
-            self.membership.need_term_above(report.token)
+        context.changed_workers.add(name)
+        if report is not None and report.fencing_token > context.term:
+            self.membership.need_term_above(report.fencing_token)
 
     def move(self, name: str, task: str, attempt: int) -> None:
         """Stop a service so that its owner starts it on another machine."""
         kept = self.ward.kept.get(name)
-        machine = self.world.machines.get(name)
+        machine = self.context.machines.get(name)
         if kept is not None and machine is not None and (task, attempt) in machine.tasks:
-            kept.stops[(task, attempt)] = self.world.now
+            kept.stops[(task, attempt)] = self.context.now
             self.ward.poke.add(name)
--- a/oakmux/core/keeper/proof.py
+++ b/oakmux/core/keeper/proof.py
@@ -1,27 +1,27 @@
 """The proof that a bound task is gone, the only ground on which a binding ends (R ran_twice)."""
 
+from oakmux.core.context import Context, Machine, Task
 from oakmux.core.jobs import Binding
-from oakmux.core.world import Machine, Task, World
 
 
 def gone(
-    world: World,
+    context: Context,
     machine: Machine | None,
     task: Task,
     binding: Binding,
     shown: dict[Task, tuple[str, str, bool]],
 ) -> tuple[str, bool] | None:
     """Return (why, saved) if a bound task is proven gone from its machine, else None."""
-    if binding.machine in world.replica.gone:
+    if binding.machine in context.replica.gone:
         return "lost", False
-    if machine is None or machine.session < binding.session:
+    if machine is None or machine.agent_epoch < binding.agent_epoch:
         return None
-    if machine.session > binding.session:
+    if machine.agent_epoch > binding.agent_epoch:
         return "lost", False
     state = shown.get(task)
     if state is None:
         # No start under an older term can be carried out once the worker has a newer token.
-        return ("lost", False) if machine.token > binding.term else None
+        return ("lost", False) if machine.fencing_token > binding.term else None
     if state[0] == "exited":
         return state[1], state[2]
     if state[0] == "refused" and machine.keeper_term == binding.term:
--- a/oakmux/core/keeper/queue.py
+++ b/oakmux/core/keeper/queue.py
@@ -4,53 +4,59 @@
 
 from oakmux import constants
 from oakmux.core import teams
+from oakmux.core.context import Context, Machine, Task, event
 from oakmux.core.jobs import Job
 from oakmux.core.keeper.kept import Kept, Reservation, Ward
 from oakmux.core.keeper.minimum_share import MinimumShare
 from oakmux.core.keeper.room import Room, full, gather_s, has_room, less, room, usable
 from oakmux.core.keeper.word import Word
 from oakmux.core.spread.order import elder, late, turn_ms
-from oakmux.core.world import Machine, Task, World, event
 from oakmux.wire import JobSpec
 
 
 class Queue:
     """Queues reservations at the machines that we keep and offers their room."""
 
-    def __init__(self, world: World, ward: Ward, word: Word) -> None:
-        self.world = world
+    def __init__(self, context: Context, ward: Ward, word: Word) -> None:
+        self.context = context
         self.ward = ward
         self.word = word
         self.next_offer = 0
-        self.minimum_share = MinimumShare(world)
+        self.minimum_share = MinimumShare(context)
 
     def reserve(self, name: str, job_id: str, count: int, preempt: bool = False) -> None:
         """Queue a reservation at a machine that we keep; make room for it if told to."""
         kept = self.ward.kept.get(name)
-        machine = self.world.machines.get(name)
-        if kept is None or machine is None or machine.keeper != self.world.label:
+        machine = self.context.machines.get(name)
+        if kept is None or machine is None or machine.keeper != self.context.label:
             return
         known = kept.queue.get(job_id)
         if known is not None:
             known.count = max(known.count, count)
         elif len(kept.queue) < constants.MAX_QUEUE_PER_MACHINE:
-            kept.queue[job_id] = Reservation(job_id, count, self.world.now)
+            kept.queue[job_id] = Reservation(job_id, count, self.context.now)
         if preempt:
             self._preempt(kept, machine, job_id)
         self.ward.poke.add(name)
 
     def _preempt(self, kept: Kept, machine: Machine, job_id: str) -> None:
-        world = self.world
-        job = world.replica.jobs.get(job_id)
+        context = self.context
+        job = context.replica.jobs.get(job_id)
         # A task that was stopped stays in the reports until it is forgotten; it stops nothing.
         stopping = any(machine.tasks.get(task, ("exited",))[0] != "exited" for task in kept.stops)
-        if job is None or job.spec is None or job.final or stopping or not usable(world, machine):
+        if (
+            job is None
+            or job.spec is None
+            or job.final
+            or stopping
+            or not usable(context, machine)
+        ):
             return
         chosen = victims(
-            world, machine, job, job.spec, teams.usage(world), self.held(kept), kept.firm
+            context, machine, job, job.spec, teams.usage(context), self.held(kept), kept.firm
         )
         for task in chosen[1] if chosen is not None else ():
-            kept.stops[task] = world.now
+            kept.stops[task] = context.now
             event("preempt", task=task[0], attempt=task[1], machine=machine.name, by=job_id)
 
     def decline(self, name: str, offer_id: int) -> None:
@@ -61,16 +67,16 @@
 
     def held(self, kept: Kept) -> list[JobSpec]:
         """Return what is held for offers."""
-        now = self.world.now
+        now = self.context.now
         specs = []
         for offer_id, (job_id, until, claim) in list(kept.offers.items()):
-            job = self.world.replica.jobs.get(job_id)
+            job = self.context.replica.jobs.get(job_id)
             # Once the team has another owner, nothing can come of offers to the one before.
             if (
                 until <= now
                 or job is None
                 or job.spec is None
-                or self.world.replica.roles.get(job.team, ("", 0, 0))[2] != claim
+                or self.context.replica.roles.get(job.team, ("", 0, 0))[2] != claim
             ):
                 del kept.offers[offer_id]
             else:
@@ -83,7 +89,7 @@
         kept = self.ward.kept.get(name)
         if kept is None:
             return
-        bound = self.world.replica.by_machine.get(name, {})
+        bound = self.context.replica.by_machine.get(name, {})
         known = {(job_id, index, b.attempt) for (job_id, index), b in bound.items()}
         for job_id, _, _ in known - kept.known:
             for offer_id, (held_for, _, _) in kept.offers.items():
@@ -95,44 +101,46 @@
 
     def offer(self, name: str) -> None:
         """Offer free room to the owners of queued reservations, best rank first."""
-        world = self.world
+        context = self.context
         kept = self.ward.kept.get(name)
-        machine = world.machines.get(name)
+        machine = context.machines.get(name)
         if (
             kept is None
             or not kept.queue
             or machine is None
-            or machine.keeper != world.label
-            or machine.token != world.term
-            or not world.term
+            or machine.keeper != context.label
+            or machine.fencing_token != context.term
+            or not context.term
             or not self.word.state_fresh()
-            or not usable(world, machine)
+            or not usable(context, machine)
         ):
             return
-        free = room(world, machine, self.held(kept))
-        if full(world, free):
+        free = room(context, machine, self.held(kept))
+        if full(context, free):
             return
-        used = teams.usage(world)
+        used = teams.usage(context)
         ranked = []
         for reservation in list(kept.queue.values()):
-            job = world.replica.jobs.get(reservation.job_id)
+            job = context.replica.jobs.get(reservation.job_id)
             if (
                 job is None
                 or job.final
                 or job.spec is None
-                or world.now - reservation.since > constants.RETRY_MOST_S
+                or context.now - reservation.since > constants.RETRY_MOST_S
             ):
                 del kept.queue[reservation.job_id]
                 continue
-            if not has_room(free, job.spec) or world.openings.bars(name, job, job.spec):
+            if not has_room(free, job.spec) or context.openings.bars(name, job, job.spec):
                 continue
             # The age of the job, not of the reservation: of two gangs that wait for the same
             # machines, one must come first at all of them.
-            ranked.append((rank(world, job, job.spec, used), job.since, job.id, reservation, job))
+            ranked.append(
+                (rank(context, job, job.spec, used), job.since, job.id, reservation, job)
+            )
         ranked.sort(key=lambda row: row[:3])
-        kind = world.types[machine.type]
+        kind = context.types[machine.type]
         oldest = self.minimum_share.oldest(
-            kind, free, (row[-1] for row in ranked if row[-1].team in world.replica.roles)
+            kind, free, (row[-1] for row in ranked if row[-1].team in context.replica.roles)
         )
         if oldest is not None and oldest.spec is not None:
             # Work that came by its age is not stopped again for what stands above it.
@@ -142,7 +150,7 @@
         for *_, reservation, job in ranked:
             spec = job.spec
             assert spec is not None
-            if job.team not in world.replica.roles:
+            if job.team not in context.replica.roles:
                 continue
             while reservation.count > 0 and has_room(free, spec):
                 free = self._hand(kept, machine, job, spec, free)
@@ -150,8 +158,8 @@
 
     def _hand(self, kept: Kept, machine: Machine, job: Job, spec: JobSpec, free: Room) -> Room:
         """Offer room for one task of a job that has a reservation; return what is left."""
-        world = self.world
-        label, _, claim = world.replica.roles[job.team]
+        context = self.context
+        label, _, claim = context.replica.roles[job.team]
         reservation = kept.queue[job.id]
         reservation.count -= 1
         if reservation.count <= 0:
@@ -160,8 +168,8 @@
         hold = constants.OFFER_HOLD_S
         if spec.joint:
             hold += gather_s(spec) + constants.PREEMPT_S
-        kept.offers[self.next_offer] = (job.id, world.now + hold, claim)
-        world.emit(
+        kept.offers[self.next_offer] = (job.id, context.now + hold, claim)
+        context.emit(
             "send",
             label,
             (
@@ -169,25 +177,25 @@
                 machine.name,
                 job.id,
                 self.next_offer,
-                machine.session,
-                world.term,
-                world.label,
+                machine.agent_epoch,
+                context.term,
+                context.label,
             ),
         )
         return less(free, spec)
 
 
-def save_s(world: World, tasks: list[Task]) -> float:
+def save_s(context: Context, tasks: list[Task]) -> float:
     """Return the seconds for which tasks save once they are told to stop. A gang that did not
     wait for that let the room go that it had made, for minutes."""
-    specs = [world.replica.jobs[name.partition("/")[0]].spec for name, _ in tasks]
+    specs = [context.replica.jobs[name.partition("/")[0]].spec for name, _ in tasks]
     return max(
         (spec.save_s for spec in specs if spec is not None and spec.checkpoint_s), default=0.0
     )
 
 
 def victims(
-    world: World,
+    context: Context,
     machine: Machine,
     job: Job,
     spec: JobSpec,
@@ -201,10 +209,10 @@
     another team runs beyond its own guarantee. What has least to lose goes first, and nothing of
     the jobs in `firm`.
     """
-    beyond = teams.beyond(world, job, spec, used)
+    beyond = teams.beyond(context, job, spec, used)
     rows = []
-    for (job_id, index), binding in world.replica.by_machine.get(machine.name, {}).items():
-        other = world.replica.jobs.get(job_id)
+    for (job_id, index), binding in context.replica.by_machine.get(machine.name, {}).items():
+        other = context.replica.jobs.get(job_id)
         task = (f"{job_id}/{index}", binding.attempt)
         state = machine.tasks.get(task)
         if (
@@ -221,7 +229,7 @@
             continue
         if other.priority >= job.priority and other.team not in beyond:
             continue
-        lost = world.now - machine.since.get(task, world.now)
+        lost = context.now - machine.since.get(task, context.now)
         young = lost < constants.START_COUNTS_S
         if other.spec.checkpoint_s and state[0] == "running":
             lost = min(lost, other.spec.save_s)
@@ -229,7 +237,7 @@
         lost += other.priority**2 * constants.VICTIM_RANK_S * (2 if young else 1)
         rows.append((other.priority, lost, task, other.spec))
     rows.sort(key=lambda row: row[:3])
-    free = room(world, machine, held)
+    free = room(context, machine, held)
     chosen: list[Task] = []
     total = 0.0
     for _, lost, task, other_spec in rows:
@@ -249,16 +257,16 @@
     return total, chosen
 
 
-def rank(world: World, job: Job, spec: JobSpec, used: dict[str, tuple[float, float]]) -> tuple:
+def rank(context: Context, job: Job, spec: JobSpec, used: dict[str, tuple[float, float]]) -> tuple:
     """Return the order in a queue: guaranteed work and priority first, then what must begin at
     last, what has to start first for a deadline, what can meet its aim, fair between teams, and
     by turn."""
     return (
-        not teams.inside(world, job, spec, used),
+        not teams.inside(context, job, spec, used),
         -job.priority,
-        not elder(world, job),
+        not elder(context, job),
         job.latest,
-        late(world, job, spec),
-        teams.share(world, job.team, used),
-        turn_ms(world, job, spec),
+        late(context, job, spec),
+        teams.share(context, job.team, used),
+        turn_ms(context, job, spec),
     )
--- a/oakmux/core/keeper/room.py
+++ b/oakmux/core/keeper/room.py
@@ -3,39 +3,39 @@
 import math
 
 from oakmux import constants
+from oakmux.core.context import Context, Machine
 from oakmux.core.keeper.hearing import hears
-from oakmux.core.world import Machine, World
 from oakmux.wire import JobSpec
 
 Room = tuple[float, float, float]
 """Free CPUs, GPUs and memory (GB)."""
 
 
-def room(world: World, machine: Machine, extra: list[JobSpec] | None = None) -> Room:
+def room(context: Context, machine: Machine, extra: list[JobSpec] | None = None) -> Room:
     """Return what is free on a machine: reported tasks, records and `extra` taken off."""
-    free = world.replica.rooms.get(machine.name)
+    free = context.replica.rooms.get(machine.name)
     if free is None:
-        free = count_room(world, machine)
-        world.replica.rooms[machine.name] = free
+        free = count_room(context, machine)
+        context.replica.rooms[machine.name] = free
     for spec in extra or ():
         free = less(free, spec)
     return free
 
 
-def count_room(world: World, machine: Machine) -> Room:
+def count_room(context: Context, machine: Machine) -> Room:
     """Count the room of a machine anew; `room` keeps the result until something changes."""
-    kind = world.types.get(machine.type)
+    kind = context.types.get(machine.type)
     if kind is None:
         return 0.0, 0.0, 0.0
     cpus, gpus, memory = kind.cpus, kind.gpus, kind.memory_gb
-    jobs = world.replica.jobs
+    jobs = context.replica.jobs
     live = {
         task for (task, _), state in machine.tasks.items() if state[0] not in ("exited", "refused")
     }
-    for (job_id, index), binding in world.replica.by_machine.get(machine.name, {}).items():
+    for (job_id, index), binding in context.replica.by_machine.get(machine.name, {}).items():
         task = f"{job_id}/{index}"
         if (
-            binding.session >= machine.session
+            binding.agent_epoch >= machine.agent_epoch
             and machine.tasks.get((task, binding.attempt), ("",))[0] != "exited"
         ):
             live.add(task)
@@ -79,13 +79,13 @@
     return 1 if most == math.inf else max(0, math.floor(most))
 
 
-def full(world: World, free: Room) -> bool:
+def full(context: Context, free: Room) -> bool:
     """Whether no task of any unfinished job can have room here."""
     cpus, gpus, memory = free
     return (
         cpus <= constants.EPSILON
         or memory <= constants.EPSILON
-        or (gpus <= constants.EPSILON and not world.replica.gpuless)
+        or (gpus <= constants.EPSILON and not context.replica.gpuless)
     )
 
 
@@ -99,39 +99,39 @@
     )
 
 
-def silent_s(world: World) -> float:
+def silent_s(context: Context) -> float:
     """Return the seconds after which a machine that nobody hears is called silent."""
-    return constants.SILENT_REPORTS * world.facts.workers.report_s + 2 * constants.ALIVE_S
+    return constants.SILENT_REPORTS * context.facts.workers.report_s + 2 * constants.ALIVE_S
 
 
-def usable(world: World, machine: Machine) -> bool:
+def usable(context: Context, machine: Machine) -> bool:
     """Whether new tasks may be put on a machine: not on one that fell silent or does not hear us,
     where they would be stuck until it is proven gone."""
-    return hears(machine) and _open(world, machine)
+    return hears(machine) and _open(context, machine)
 
 
-def counts(world: World, machine: Machine) -> bool:
+def counts(context: Context, machine: Machine) -> bool:
     """Whether a machine counts as room, there or soon: also one that is new and has yet to show
     that it hears us, which takes a report or two. Else as much would be rented anew."""
-    new = world.now - machine.first_heard < silent_s(world)
-    return (new or hears(machine)) and _open(world, machine)
+    new = context.now - machine.first_heard < silent_s(context)
+    return (new or hears(machine)) and _open(context, machine)
 
 
-def _open(world: World, machine: Machine) -> bool:
+def _open(context: Context, machine: Machine) -> bool:
     """Whether nothing but not hearing us could keep new tasks off a machine."""
     return (
-        world.now - machine.heard < silent_s(world)
-        and machine.name not in world.draining
+        context.now - machine.heard < silent_s(context)
+        and machine.name not in context.draining
         and machine.notice_at is None
-        and machine.name not in world.replica.gone
-        and not sick(world, machine)
+        and machine.name not in context.replica.gone
+        and not sick(context, machine)
     )
 
 
-def sick(world: World, machine: Machine) -> bool:
+def sick(context: Context, machine: Machine) -> bool:
     """Whether tasks of several jobs failed on a machine, and none that fails elsewhere too."""
     return (
         len(machine.errors) >= constants.SICK_ERRORS
-        and sum(world.failures.blames(job_id, machine.name) for job_id in machine.errors)
+        and sum(context.failures.blames(job_id, machine.name) for job_id in machine.errors)
         >= constants.SICK_ERRORS
     )
--- a/oakmux/core/keeper/word.py
+++ b/oakmux/core/keeper/word.py
@@ -5,15 +5,15 @@
 """
 
 from oakmux import constants
+from oakmux.core.context import Context
 from oakmux.core.keeper.kept import Ward
-from oakmux.core.world import World
 
 
 class Word:
     """Whether we know enough to keep workers alive (R ran_cancelled) and to start tasks."""
 
-    def __init__(self, world: World, ward: Ward) -> None:
-        self.world = world
+    def __init__(self, context: Context, ward: Ward) -> None:
+        self.context = context
         self.ward = ward
         self.peer_fresh: dict[str, float] = {}
         self.peer_heard: dict[str, float] = {}
@@ -27,63 +27,65 @@
         self.told: dict[str, float] = {}
 
     @property
-    def epoch(self) -> int:
+    def revision(self) -> int:
         """The revision up to which we know of every cancellation: peers are asked from there."""
-        return max(self.reached, self.world.replica.epoch)
+        return max(self.reached, self.context.replica.revision)
 
     def cancels_known_until(self) -> float:
         """Return the time up to which we know of every cancellation that was answered."""
-        world = self.world
-        known = max(world.state_heard, self.reached_at)
-        members = world.settings.members
+        context = self.context
+        known = max(context.store_seen_at, self.reached_at)
+        members = context.settings.members
         if all(m.label in self.told for m in members):
             # Whatever any of them told a user until then, it has told us.
-            known = max(known, min((self.told[m.label] for m in members), default=world.now))
+            known = max(known, min((self.told[m.label] for m in members), default=context.now))
         return known
 
     def patience_s(self) -> float:
         """Return the seconds for which leases renewed after a cancellation still end in time."""
-        times_ = self.world.facts.workers
+        times_ = self.context.facts.workers
         return max(times_.cancel_s - times_.lease_s - constants.CANCEL_MARGIN_S, 0.0)
 
     def may_keep(self) -> bool:
         """Whether leases that we renew still end before a cancellation we can't know of."""
-        return self.world.now - self.cancels_known_until() < self.patience_s()
+        return self.context.now - self.cancels_known_until() < self.patience_s()
 
     def state_fresh(self) -> bool:
         """Whether our own records are current."""
-        return self.world.now - self.world.state_heard < constants.STATE_STALE_S
+        return self.context.now - self.context.store_seen_at < constants.STATE_STALE_S
 
     def alone(self) -> bool:
         """Whether no peer has said a word of late, if there are any."""
-        members = self.world.settings.members
+        members = self.context.settings.members
         return bool(members) and all(
-            self.world.now - self.peer_heard.get(m.label, -1e9) >= constants.ALONE_S
+            self.context.now - self.peer_heard.get(m.label, -1e9) >= constants.ALONE_S
             for m in members
         )
 
     def is_cancelled(self, job_id: str) -> bool:
         """Whether a job is cancelled, by our records or by a peer's word."""
-        job = self.world.replica.jobs.get(job_id)
+        job = self.context.replica.jobs.get(job_id)
         return job_id in self.cancelled or (job is not None and job.state == "cancelled")
 
     def unseen(self, seconds: float) -> bool:
         """Whether a job was cancelled that long ago after all that our records show: what was
         bound of it in between we don't know either."""
-        return any(self.world.now - at >= seconds for at in self.cancelled.values())
+        return any(self.context.now - at >= seconds for at in self.cancelled.values())
 
     def answer(self, since: int) -> tuple[list[str], int]:
         """Return what a peer must know that knows all cancellations up to a revision: those after
         it, and the revision up to which that is all of them; -1 if we can't say."""
         if since < 0:  # of a version that does not say what it has
-            return [job for _, job in self.world.replica.cancels[-constants.CANCELS_UNASKED :]], -1
-        found = self.world.replica.cancelled_since(since)
-        return ([], -1) if found is None else (found, self.world.replica.epoch)
+            return [
+                job for _, job in self.context.replica.cancels[-constants.CANCELS_UNASKED :]
+            ], -1
+        found = self.context.replica.cancelled_since(since)
+        return ([], -1) if found is None else (found, self.context.replica.revision)
 
     def peer_alive(
         self,
         label: str,
-        life: int,
+        incarnation: int,
         state_age: float,
         cancelled: list[str],
         asked: float,
@@ -96,13 +98,13 @@
         not by a peer that just started either, since all that its predecessor confirmed stands in
         the records that it has loaded.
         """
-        if life:
+        if incarnation:
             self.peer_heard[label] = asked
             self.peer_fresh[label] = max(self.peer_fresh.get(label, -1e9), asked - state_age)
         not_before = self.cancels_known_until()
-        complete = bool(life) and until >= 0
+        complete = bool(incarnation) and until >= 0
         for job_id in cancelled:
-            job = self.world.replica.jobs.get(job_id)
+            job = self.context.replica.jobs.get(job_id)
             if job_id in self.cancelled or (job is not None and job.final):
                 continue
             if len(self.cancelled) >= constants.CANCELS_KEPT:
@@ -117,12 +119,12 @@
 
     def forget(self) -> None:
         """Drop what our own records say by now."""
-        jobs = self.world.replica.jobs
+        jobs = self.context.replica.jobs
         for job_id in [j for j in self.cancelled if j in jobs and jobs[j].final]:
             del self.cancelled[job_id]
 
     def poke_job(self, job_id: str) -> None:
         """Stop a job's tasks wherever our records say that they may be."""
-        job = self.world.replica.jobs.get(job_id)
+        job = self.context.replica.jobs.get(job_id)
         if job is not None:
             self.ward.poke.update(b.machine for b in job.bindings())
--- a/oakmux/core/membership.py
+++ b/oakmux/core/membership.py
@@ -5,6 +5,7 @@
 from typing import Any
 
 from oakmux import constants
+from oakmux.core.context import Context, event
 from oakmux.core.jobs import (
     FORMAT_KEY,
     TERM_KEY,
@@ -13,7 +14,6 @@
     role_key,
     version_key,
 )
-from oakmux.core.world import World, event
 
 FLEET = "#fleet"
 
@@ -37,8 +37,8 @@
 class Membership:
     """Keeps our term, our lease and our roles."""
 
-    def __init__(self, world: World) -> None:
-        self.world = world
+    def __init__(self, context: Context) -> None:
+        self.context = context
         self.lease: int | None = None
         self.lease_since = 0.0
         self.next_renew = 0.0
@@ -53,49 +53,49 @@
         self.seen: tuple[int, int, int] | None = None
         self.early = False
 
-    def need_term_above(self, token: int) -> None:
+    def need_term_above(self, fencing_token: int) -> None:
         """Ask for a term above a token that a worker showed."""
-        if token >= self.world.term:
-            self.raise_above = max(self.raise_above, token)
+        if fencing_token >= self.context.term:
+            self.raise_above = max(self.raise_above, fencing_token)
             self.want_term = True
 
     def tick(self) -> None:
         """Do what is due."""
-        world = self.world
-        if not world.replica.loaded or world.replica.foreign or world.now < self.next_try:
+        context = self.context
+        if not context.replica.loaded or context.replica.foreign or context.now < self.next_try:
             return
         self._version()
         if self.want_term and "term" not in self.busy:
             self._raise_term()
-        if not world.life:
+        if not context.incarnation:
             return
         if self.lease is None:
             if "lease" not in self.busy:
                 self.busy.add("lease")
-                world.call(self._granted, "grant", constants.NODE_LEASE_S)
+                context.call(self._granted, "grant", constants.NODE_LEASE_S)
             return
-        if world.now >= self.next_renew and "renew" not in self.busy:
+        if context.now >= self.next_renew and "renew" not in self.busy:
             self.busy.add("renew")
-            self.next_renew = world.now + constants.NODE_RENEW_S
-            world.call(self._renewed, "renew", self.lease)
+            self.next_renew = context.now + constants.NODE_RENEW_S
+            context.call(self._renewed, "renew", self.lease)
         if (
             self.node_written
-            and world.replica.nodes.get(world.label) != world.life
-            and world.now - self.node_at > constants.STATE_STALE_S
+            and context.replica.nodes.get(context.label) != context.incarnation
+            and context.now - self.node_at > constants.STATE_STALE_S
         ):
             # A late write of the process before us has put its own life and lease there: once
             # that lease ends the key is gone, and others would share out roles without us.
             self.node_written = False
         if not self.node_written and "node" not in self.busy:
             self.busy.add("node")
-            world.call(
+            context.call(
                 self._node_done,
                 "txn",
                 [],
-                [(node_key(world.label), world.life, self.lease)],
+                [(node_key(context.label), context.incarnation, self.lease)],
                 constants.FIRST,
             )
-        if self.node_written and world.now - self.lease_since > constants.CLAIM_DELAY_S:
+        if self.node_written and context.now - self.lease_since > constants.CLAIM_DELAY_S:
             self._claim()
 
     def _version(self) -> None:
@@ -104,23 +104,23 @@
         The key has no lease: a process that was started anew has replaced the old one for good,
         so once every label stands there, no process writes an earlier format or can't read this.
         """
-        replica, label = self.world.replica, self.world.label
+        replica, label = self.context.replica, self.context.label
         if "version" in self.busy or replica.format >= replica.known_format:
             return
         key = version_key(label)
         value: Any = replica.known_format
         guards: list[tuple[str, int]] = []
         if replica.versions.get(label, 0) >= replica.known_format:
-            labels = [label, *(member.label for member in self.world.settings.members)]
+            labels = [label, *(member.label for member in self.context.settings.members)]
             common = min(replica.versions.get(name, 0) for name in labels)
             if common <= replica.format or label != min([label, *replica.nodes]):
                 return
-            key, guards = FORMAT_KEY, [(FORMAT_KEY, replica.format_stamp)]
+            key, guards = FORMAT_KEY, [(FORMAT_KEY, replica.format_revision)]
             # Tasks to a chunk stay as they were recorded first.
-            per_chunk = replica.per_chunk or chunk_tasks(self.world.facts.state.value_kb)
+            per_chunk = replica.per_chunk or chunk_tasks(self.context.facts.state.value_kb)
             value = [common, per_chunk]
         self.busy.add("version")
-        self.world.call(
+        self.context.call(
             lambda s, r: self._version_done(key, value, s, r),
             "txn",
             guards,
@@ -131,57 +131,57 @@
     def _version_done(self, key: str, value: Any, status: int, result: Any) -> None:
         self.busy.discard("version")
         if status == 200:
-            self.world.replica.apply(key, value, result[0])
+            self.context.replica.apply(key, value, result[0])
             event("version", key=key, value=value)
         else:  # if another was first, the watch brings it
-            self.next_try = self.world.now + constants.BACKOFF_FIRST_S
+            self.next_try = self.context.now + constants.BACKOFF_FIRST_S
 
     def _raise_term(self) -> None:
-        value, stamp = self.world.replica.term
+        value, mod_revision = self.context.replica.term
         self.busy.add("term")
-        new = max(value, self.raise_above, self.world.term) + 1
-        self.world.call(
+        new = max(value, self.raise_above, self.context.term) + 1
+        self.context.call(
             lambda status, result: self._term_done(new, status, result),
             "txn",
-            [(TERM_KEY, stamp)],
+            [(TERM_KEY, mod_revision)],
             [(TERM_KEY, new, None)],
             constants.FIRST,
         )
 
     def _term_done(self, new: int, status: int, result: Any) -> None:
-        world = self.world
+        context = self.context
         self.busy.discard("term")
         if status == 200:
-            world.replica.apply(TERM_KEY, new, result[0])
-            world.term = new
-            world.life = world.life or new
+            context.replica.apply(TERM_KEY, new, result[0])
+            context.term = new
+            context.incarnation = context.incarnation or new
             self.want_term = new <= self.raise_above
             event("term", term=new)
         elif status == 409:
             # Others raise it too, as all do at a cold start; what fails counts as a change.
-            self.next_try = world.now + world.rng.uniform(
-                0.0, constants.TERM_SPREAD_S * world.settings.size
+            self.next_try = context.now + context.rng.uniform(
+                0.0, constants.TERM_SPREAD_S * context.settings.size
             )
-            world.call(self._term_read, "get", TERM_KEY, 0)
+            context.call(self._term_read, "get", TERM_KEY, 0)
             self.busy.add("term")
         else:
             # The raise may still be carried out late; its number is then simply unused.
-            self.next_try = world.now + constants.BACKOFF_FIRST_S
+            self.next_try = context.now + constants.BACKOFF_FIRST_S
 
     def _term_read(self, status: int, result: Any) -> None:
         self.busy.discard("term")
         if status == 200:
-            self.world.replica.apply(TERM_KEY, *result)
+            self.context.replica.apply(TERM_KEY, *result)
 
     def _granted(self, status: int, result: Any) -> None:
         self.busy.discard("lease")
         if status == 200:
             self.lease = result
-            self.lease_since = self.world.now
-            self.next_renew = self.world.now + constants.NODE_RENEW_S
+            self.lease_since = self.context.now
+            self.next_renew = self.context.now + constants.NODE_RENEW_S
             self.node_written = False
         else:
-            self.next_try = self.world.now + constants.BACKOFF_FIRST_S
+            self.next_try = self.context.now + constants.BACKOFF_FIRST_S
 
     def _renewed(self, status: int, _: Any) -> None:
         self.busy.discard("renew")
@@ -190,7 +190,7 @@
 
     def drop_lease(self, why: str) -> None:
         """The lease is gone: our roles with it."""
-        event("lost_lease", why=why, roles=len(self.world.my_roles))
+        event("lost_lease", why=why, roles=len(self.context.held_roles))
         self.lease = None
         self.node_written = False
 
@@ -198,71 +198,73 @@
         self.busy.discard("node")
         if status == 200:
             self.node_written = True
-            self.node_at = self.world.now
+            self.node_at = self.context.now
         elif status == 400:
             self.drop_lease("no_such_lease")
         else:
-            self.next_try = self.world.now + constants.BACKOFF_FIRST_S
+            self.next_try = self.context.now + constants.BACKOFF_FIRST_S
 
     def _claim(self) -> None:
-        world = self.world
-        nodes = sorted({*world.replica.nodes, world.label})
-        roles = [*world.teams, FLEET]
-        held = {role: row[0] for role, row in world.replica.roles.items()}
+        context = self.context
+        nodes = sorted({*context.replica.nodes, context.label})
+        roles = [*context.teams, FLEET]
+        held = {role: row[0] for role, row in context.replica.roles.items()}
         due = assign([role for role in roles if role not in held], held, nodes)
         # Further roles are no part of that count, in which all controllers must agree: one that
         # runs without the subsystem, or is of an earlier version, would wait for others, and
         # others for it. Whoever keeps the subsystem claims them; the guard lets one have them.
-        due.update((role, world.label) for role in world.more_roles if role not in held)
-        roles += world.more_roles
+        due.update((role, context.label) for role in context.extra_roles if role not in held)
+        roles += context.extra_roles
         for role in roles:
-            row = world.replica.roles.get(role)
+            row = context.replica.roles.get(role)
             # A key that bears our label and another life is our dead predecessor's: its late
             # writes fail once we replace it, since they are guarded by the old key's stamp.
-            dead = row is not None and row[0] == world.label and row[1] != world.life
-            if role in self.busy or not (dead or due.get(role) == world.label):
+            dead = row is not None and row[0] == context.label and row[1] != context.incarnation
+            if role in self.busy or not (dead or due.get(role) == context.label):
                 continue
             self.busy.add(role)
             key = role_key(role)
-            value = [world.label, world.life]
-            world.call(
+            value = [context.label, context.incarnation]
+            context.call(
                 lambda s, r, role=role, value=value: self._claimed(role, value, s, r),
                 "txn",
                 [(key, row[2] if row else 0)],
                 [(key, value, self.lease)],
                 constants.FIRST,
             )
-        if not due and world.now >= self.next_yield:
-            self.next_yield = world.now + constants.YIELD_S
+        if not due and context.now >= self.next_yield:
+            self.next_yield = context.now + constants.YIELD_S
             self._yield(held, nodes)
 
     def _yield(self, held: dict[str, str], nodes: list[str]) -> None:
         """Give up a role when another controller has two fewer, so that it is claimed there."""
-        world = self.world
-        load = Counter(node for role, node in held.items() if role == FLEET or role in world.teams)
-        mine = sorted(role for role in world.my_roles if role in world.teams)
-        if not mine or load[world.label] < 2 + min(load[node] for node in nodes):
+        context = self.context
+        load = Counter(
+            node for role, node in held.items() if role == FLEET or role in context.teams
+        )
+        mine = sorted(role for role in context.held_roles if role in context.teams)
+        if not mine or load[context.label] < 2 + min(load[node] for node in nodes):
             return
         # Writes of ours that come late are guarded by the key's stamp, as after a takeover.
         event("yield", role=mine[0], roles=len(mine))
         key = role_key(mine[0])
-        world.call(
+        context.call(
             lambda s, r: self._yielded(key, s, r),
             "txn",
-            [(key, world.my_roles[mine[0]])],
+            [(key, context.held_roles[mine[0]])],
             [(key,)],
             1,
         )
 
     def _yielded(self, key: str, status: int, result: Any) -> None:
         if status == 200:
-            self.world.replica.apply(key, None, result[0])
+            self.context.replica.apply(key, None, result[0])
 
     def _claimed(self, role: str, value: list, status: int, result: Any) -> None:
         self.busy.discard(role)
         if status == 200:
-            self.world.replica.apply(role_key(role), value, result[0])
-            event("claimed", role=role, epoch=result[0])
+            self.context.replica.apply(role_key(role), value, result[0])
+            event("claimed", role=role, revision=result[0])
         elif status == 400:
             self.drop_lease("no_such_lease")
 
@@ -272,21 +274,32 @@
         A role counts only when the replica has all changes up to the claim: no write of an
         earlier owner can come after it, so the records are then complete.
         """
-        world = self.world
-        seen = (world.replica.role_changes, world.life, world.replica.epoch if self.early else 0)
+        context = self.context
+        seen = (
+            context.replica.role_changes,
+            context.incarnation,
+            context.replica.revision if self.early else 0,
+        )
         if seen == self.seen:
             return []
         self.early = any(
-            stamp > world.replica.epoch for _, _, stamp in world.replica.roles.values()
+            mod_revision > context.replica.revision
+            for _, _, mod_revision in context.replica.roles.values()
         )
-        self.seen = (*seen[:2], world.replica.epoch if self.early else 0)
+        self.seen = (*seen[:2], context.replica.revision if self.early else 0)
         held = {
-            role: stamp
-            for role, (label, life, stamp) in world.replica.roles.items()
-            if label == world.label and life == world.life and world.replica.epoch >= stamp
+            role: mod_revision
+            for role, (label, incarnation, mod_revision) in context.replica.roles.items()
+            if label == context.label
+            and incarnation == context.incarnation
+            and context.replica.revision >= mod_revision
         }
-        won = [role for role, stamp in held.items() if world.my_roles.get(role) != stamp]
-        if held != world.my_roles:
+        won = [
+            role
+            for role, mod_revision in held.items()
+            if context.held_roles.get(role) != mod_revision
+        ]
+        if held != context.held_roles:
             event("roles", roles=",".join(sorted(held)) or "none")
-        world.my_roles = held
+        context.held_roles = held
         return won
--- a/oakmux/core/owner/__init__.py
+++ b/oakmux/core/owner/__init__.py
@@ -1,5 +1,6 @@
 """The owner's side: sampling machines, binding tasks, writing the records."""
 
+from oakmux.core.context import Context
 from oakmux.core.index import Index
 from oakmux.core.keeper import Keeper
 from oakmux.core.owner.binding import Binder
@@ -9,22 +10,21 @@
 from oakmux.core.owner.write_buffer import WriteBuffer
 from oakmux.core.owner.writer import Writer
 from oakmux.core.spread.waiting import Waiting
-from oakmux.core.world import World
 
 
 class Owner:
     """Places the jobs of the teams that we own. Its parts share the open jobs."""
 
-    def __init__(self, world: World, keeper: Keeper) -> None:
+    def __init__(self, context: Context, keeper: Keeper) -> None:
         self.open: dict[str, Open] = {}
-        self.buffer = WriteBuffer(world)
-        self.writer = Writer(world, self.buffer)
-        self.index = Index(world)
-        self.gangs = Gangs(world, self.index, self.open)
-        self.waiting = Waiting(world, self.open)
-        self.binder = Binder(world, keeper, self.buffer, self.open, self.waiting)
+        self.buffer = WriteBuffer(context)
+        self.writer = Writer(context, self.buffer)
+        self.index = Index(context)
+        self.gangs = Gangs(context, self.index, self.open)
+        self.waiting = Waiting(context, self.open)
+        self.binder = Binder(context, keeper, self.buffer, self.open, self.waiting)
         self.sampler = Sampler(
-            world, self.index, self.buffer, self.binder, self.gangs, self.waiting
+            context, self.index, self.buffer, self.binder, self.gangs, self.waiting
         )
 
     def lost(self, held: set[str]) -> None:
--- a/oakmux/core/owner/allocation.py
+++ b/oakmux/core/owner/allocation.py
@@ -4,16 +4,16 @@
 from collections import Counter
 
 from oakmux import constants
+from oakmux.core.context import Context
 from oakmux.core.pages import reserved_bytes
-from oakmux.core.world import World
 
 
 class PageAllocator:
     """Gives each small job of ours room in a page for all of its bindings, before the first is
     written: a job must not wait for others of its page to end."""
 
-    def __init__(self, world: World, value_bytes: int) -> None:
-        self.world = world
+    def __init__(self, context: Context, value_bytes: int) -> None:
+        self.context = context
         self.limit = min(constants.PAGE_BYTES, value_bytes)
         # Rows that are not written yet, or not known to be: their page and bytes, by job.
         self.pending: dict[str, tuple[str, int]] = {}
@@ -31,7 +31,7 @@
         return name
 
     def _taken(self, name: str) -> int:
-        page = self.world.replica.pages.get(name)
+        page = self.context.replica.pages.get(name)
         return self.pending_bytes[name] + (page.reserved if page is not None else 0)
 
     def release(self, job_id: str) -> None:
--- a/oakmux/core/owner/binding.py
+++ b/oakmux/core/owner/binding.py
@@ -3,6 +3,7 @@
 import math
 
 from oakmux import constants
+from oakmux.core.context import Context, Machine, event
 from oakmux.core.jobs import FORMAT_COMPACT, Binding, Job
 from oakmux.core.keeper import Keeper
 from oakmux.core.keeper.proof import gone
@@ -12,7 +13,6 @@
 from oakmux.core.owner.state import Open
 from oakmux.core.owner.write_buffer import WriteBuffer
 from oakmux.core.spread.waiting import Waiting
-from oakmux.core.world import Machine, World, event
 from oakmux.wire import JobSpec
 
 
@@ -21,13 +21,13 @@
 
     def __init__(
         self,
-        world: World,
+        context: Context,
         keeper: Keeper,
         buffer: WriteBuffer,
         open_jobs: dict[str, Open],
         waiting: Waiting,
     ) -> None:
-        self.world = world
+        self.context = context
         self.keeper = keeper
         self.buffer = buffer
         self.open = open_jobs
@@ -37,16 +37,16 @@
 
     def won(self) -> None:
         """Begin with the records of a team just won."""
-        for job in list(self.world.replica.active.values()):
+        for job in list(self.context.replica.active.values()):
             if self.buffer.owns(job):
                 self.changed(job.id)
                 if self.buffer.form() >= FORMAT_COMPACT:
                     self.buffer.shrink(job)
-                self.world.dirty_machines.update(b.machine for b in job.bindings())
+                self.context.changed_workers.update(b.machine for b in job.bindings())
 
     def changed(self, job_id: str) -> None:
         """The records of a job changed."""
-        job = self.world.replica.jobs.get(job_id)
+        job = self.context.replica.jobs.get(job_id)
         if job is None or not self.buffer.owns(job):
             return
         if job.final:
@@ -61,7 +61,7 @@
                 ):
                     # A finished job needs no chunks any more.
                     in_page = job.chunks[number].page is not None
-                    due = self.world.now + self.buffer.coalesce_s if in_page else 0.0
+                    due = self.context.now + self.buffer.coalesce_s if in_page else 0.0
                     self.buffer.edit(job, number, due)
         elif not job.ready:
             return  # no reservations while it waits on others
@@ -69,17 +69,17 @@
             self.open[job_id] = Open()
             self.waiting.due(job)
         elif self.open[job_id].next_sample == math.inf:
-            self.waiting.later(job_id, self.world.now + constants.RESAMPLE_S)
+            self.waiting.later(job_id, self.context.now + constants.RESAMPLE_S)
         else:
             self.waiting.moved(job)
 
     def offer(
-        self, name: str, job_id: str, offer_id: int, session: int, term: int, keeper: str
+        self, name: str, job_id: str, offer_id: int, agent_epoch: int, term: int, keeper: str
     ) -> None:
         """Bind a task to offered room, or decline."""
-        world = self.world
-        job = world.replica.jobs.get(job_id)
-        machine = world.machines.get(name)
+        context = self.context
+        job = context.replica.jobs.get(job_id)
+        machine = context.machines.get(name)
         state = self.open.get(job_id)
         if (
             job is None
@@ -89,11 +89,11 @@
             or job.final
             or not job.ready
             or not self.buffer.owns(job)
-            or machine.session != session
-            or world.now < state.retry_at
-            or not usable(world, machine)
+            or machine.agent_epoch != agent_epoch
+            or context.now < state.retry_at
+            or not usable(context, machine)
             or name in state.avoid
-            or not world.fits(job.spec, machine)
+            or not context.fits(job.spec, machine)
             or job_id in self.keeper.word.cancelled
             or job_id in self.buffer.finish
             or not self._take_offer(
@@ -101,10 +101,10 @@
                 job.spec,
                 state,
                 machine,
-                (world.now, name, offer_id, session, term, keeper, machine.zone),
+                (context.now, name, offer_id, agent_epoch, term, keeper, machine.zone),
             )
         ):
-            world.emit("send", keeper, ("decline", name, offer_id))
+            context.emit("send", keeper, ("decline", name, offer_id))
 
     def _take_offer(
         self, job: Job, spec: JobSpec, state: Open, machine: Machine, offer: tuple
@@ -143,9 +143,9 @@
     def choose(self, job: Job, spec: JobSpec, state: Open) -> None:
         """Bind tasks to the best of the offers that came in; decline the others."""
         offers = [
-            (preference(self.world, job, spec, machine, room(self.world, machine)), offer)
+            (preference(self.context, job, spec, machine, room(self.context, machine)), offer)
             for offer in state.offers
-            if (machine := self.world.machines.get(offer[1])) is not None
+            if (machine := self.context.machines.get(offer[1])) is not None
         ]
         # Offers of one machine stay together: its tasks share one fetch.
         offers.sort(key=lambda row: (row[0], row[1][1]))
@@ -165,7 +165,7 @@
     def release(self, state: Open) -> None:
         """Decline all offers that a job holds."""
         for offer in state.offers:
-            self.world.emit("send", offer[5], ("decline", offer[1], offer[2]))
+            self.context.emit("send", offer[5], ("decline", offer[1], offer[2]))
         state.offers = []
 
     def _bind(self, job: Job, indexes: list[int], offers: list[tuple]) -> None:
@@ -175,22 +175,22 @@
             return
         attempt = self.buffer.next_attempt(job)
         for index, offer in zip(indexes, offers, strict=True):
-            _, name, _, session, term, _, zone = offer
+            _, name, _, agent_epoch, term, _, zone = offer
             chunk = self.buffer.edit(job, index // self.buffer.per_chunk)
             chunk.last = attempt
-            chunk.bound[index] = Binding(attempt, name, session, term, zone)
+            chunk.bound[index] = Binding(attempt, name, agent_epoch, term, zone)
             event("bind", task=f"{job.id}/{index}", attempt=attempt, machine=name)
 
     def machine_changed(self, name: str) -> None:
         """Go through our bindings on a machine whose news changed."""
-        world = self.world
-        bound = world.replica.by_machine.get(name)
+        context = self.context
+        bound = context.replica.by_machine.get(name)
         if not bound:
             return
-        machine = world.machines.get(name)
+        machine = context.machines.get(name)
         shown = self.keeper.reports.shown(machine) if machine is not None else {}
         for (job_id, index), binding in list(bound.items()):
-            job = world.replica.jobs.get(job_id)
+            job = context.replica.jobs.get(job_id)
             if job is None or not self.buffer.owns(job):
                 continue
             number = index // self.buffer.per_chunk
@@ -198,7 +198,7 @@
             if current is None or current.attempt != binding.attempt:
                 continue
             task = (f"{job_id}/{index}", binding.attempt)
-            proof = gone(world, machine, task, binding, shown)
+            proof = gone(context, machine, task, binding, shown)
             if proof is not None:
                 self._unbind(job, index, current, *proof)
             elif (
@@ -213,14 +213,14 @@
                 stop_rest(self.buffer, job, job.spec, binding.attempt)
 
     def _unbind(self, job: Job, index: int, binding: Binding, why: str, saved: bool) -> None:
-        world = self.world
+        context = self.context
         number, bit = divmod(index, self.buffer.per_chunk)
         # Starts go first; the ends of an array's tasks wait a little for one another, and so do
         # all of a page's: that a job is done is written at once, its row may go later.
         in_page = self.buffer.chunk(job, number).page is not None
         array = job.spec is not None and job.spec.kind == "array"
         lazy = (why == "done" and (array or in_page)) or (job.final and in_page)
-        due = world.now + (self.buffer.coalesce_s if lazy else 0.0)
+        due = context.now + (self.buffer.coalesce_s if lazy else 0.0)
         chunk = self.buffer.edit(job, number, due)
         del chunk.bound[index]
         event(
@@ -244,7 +244,7 @@
                 chunk.done |= 1 << bit
             if sum(c.done.bit_count() for c in self.buffer.chunks(job)) >= spec.tasks:
                 self.buffer.finish[job.id] = None
-                self.buffer.edit(job, number, due if in_page else world.now)
+                self.buffer.edit(job, number, due if in_page else context.now)
         elif spec.kind == "gang":
             stop_rest(self.buffer, job, spec, binding.attempt)
         if state is not None:
@@ -254,18 +254,18 @@
             if why == "error":
                 state.failures += 1
                 state.avoid.add(binding.machine)
-                if len(state.avoid) > max(1, len(world.machines) // 2):
+                if len(state.avoid) > max(1, len(context.machines) // 2):
                     state.avoid.clear()
                 pause = min(
                     constants.RETRY_FIRST_S * 2 ** (state.failures - 1), constants.RETRY_MOST_S
                 )
-                state.retry_at = world.now + (pause if state.failures > 1 else 0.0)
+                state.retry_at = context.now + (pause if state.failures > 1 else 0.0)
             elif why in ("unknown", "busy", "no_room"):
-                state.retry_at = world.now + constants.RETRY_FIRST_S
+                state.retry_at = context.now + constants.RETRY_FIRST_S
 
     def drop_lost(self, held: set[str]) -> None:
         """Forget jobs but of teams that we hold all the while."""
-        jobs = self.world.replica.jobs
+        jobs = self.context.replica.jobs
         for job_id in [j for j in self.open if jobs[j].team not in held]:
             self.waiting.leave(job_id)
             del self.open[job_id]
--- a/oakmux/core/owner/claims.py
+++ b/oakmux/core/owner/claims.py
@@ -4,8 +4,8 @@
 from typing import NamedTuple
 
 from oakmux import constants
+from oakmux.core.context import Context, Machine
 from oakmux.core.keeper.room import Room, less
-from oakmux.core.world import Machine, World
 from oakmux.wire import JobSpec
 
 
@@ -22,18 +22,18 @@
     bound there by the records or the job may ask elsewhere. Without that, all jobs that are
     sampled in a tick ask for the same few machines, and most of them in vain."""
 
-    def __init__(self, world: World) -> None:
-        self.world = world
+    def __init__(self, context: Context) -> None:
+        self.context = context
         self.by_machine: dict[str, dict[str, Claim]] = {}
 
     def ask(self, job_id: str, spec: JobSpec, chosen: Mapping[str, int], wanted: int) -> None:
         """Note that a job, which needs room for `wanted` tasks, asked for it on machines."""
-        until = self.world.now + constants.RESAMPLE_S
-        if len(self.by_machine) > 2 * len(self.world.machines):  # of machines that are gone
+        until = self.context.now + constants.RESAMPLE_S
+        if len(self.by_machine) > 2 * len(self.context.machines):  # of machines that are gone
             self.by_machine = {
                 name: claims
                 for name, claims in self.by_machine.items()
-                if name in self.world.machines
+                if name in self.context.machines
             }
         for name, tasks in chosen.items():
             count = min(tasks, wanted)
@@ -46,9 +46,9 @@
         claims = self.by_machine.get(machine.name)
         if not claims:
             return free
-        bound = {other for other, _ in self.world.replica.by_machine.get(machine.name, ())}
+        bound = {other for other, _ in self.context.replica.by_machine.get(machine.name, ())}
         for other, claim in list(claims.items()):
-            if claim.until <= self.world.now or other in bound:
+            if claim.until <= self.context.now or other in bound:
                 del claims[other]
             elif other != job_id:
                 free = less(free, claim.spec, claim.tasks)
--- a/oakmux/core/owner/gangs.py
+++ b/oakmux/core/owner/gangs.py
@@ -7,6 +7,7 @@
 from pyroaring import BitMap
 
 from oakmux import constants
+from oakmux.core.context import Context, Machine, event
 from oakmux.core.index import Drawn, Index
 from oakmux.core.jobs import FORMAT_COMPACT, Job
 from oakmux.core.keeper.minimum_share import weight
@@ -17,7 +18,6 @@
 from oakmux.core.spread.opening import choose
 from oakmux.core.spread.order import elder
 from oakmux.core.spread.sites import sites
-from oakmux.core.world import Machine, World, event
 from oakmux.wire import JobSpec
 
 Group = tuple[float, int, list[Drawn], list[str]]
@@ -36,8 +36,8 @@
     """Gathers room for gangs: what is missing is asked for, from free room first, then from work
     that has to give way. One gang of ours at a time may hold a part of what it needs for long."""
 
-    def __init__(self, world: World, index: Index, open_jobs: dict[str, Open]) -> None:
-        self.world = world
+    def __init__(self, context: Context, index: Index, open_jobs: dict[str, Open]) -> None:
+        self.context = context
         self.index = index
         self.open = open_jobs
         self.gathering = ""
@@ -65,13 +65,13 @@
 
     def left(self, job: Job, machine: Machine, free: Room) -> Room:
         """Return the room on a machine that other gangs of ours have not asked for."""
-        if job.spec is not None and self.world.openings.bars(machine.name, job, job.spec):
+        if job.spec is not None and self.context.openings.bars(machine.name, job, job.spec):
             return 0.0, 0.0, 0.0
         claims = self.claims.get(machine.name)
         if not claims:
             return free
         for other, claim in list(claims.items()):
-            if claim.until <= self.world.now:
+            if claim.until <= self.context.now:
                 del claims[other]
             elif other != job.id:
                 free = less(free, claim.spec, claim.tasks)
@@ -81,10 +81,12 @@
         self, job: Job, spec: JobSpec, state: Open, chosen: dict[str, int], wait_s: float
     ) -> None:
         """Note that machines were asked for room, and for how long an answer may take."""
-        now = self.world.now
-        if len(self.claims) > 2 * len(self.world.machines):  # of machines that are gone
+        now = self.context.now
+        if len(self.claims) > 2 * len(self.context.machines):  # of machines that are gone
             self.claims = {
-                name: claims for name, claims in self.claims.items() if name in self.world.machines
+                name: claims
+                for name, claims in self.claims.items()
+                if name in self.context.machines
             }
         for name, count in chosen.items():
             state.asked[name] = (now + wait_s, count)
@@ -92,11 +94,11 @@
 
     def _coming(self, state: Open, zones: list[str]) -> int:
         """Count the tasks of a gang for which room is held or may still be offered there."""
-        now = self.world.now
+        now = self.context.now
         held = Counter(offer[1] for offer in state.offers if offer[6] in zones)
         coming = sum(held.values())
         for name, (until, count) in state.asked.items():
-            machine = self.world.machines.get(name)
+            machine = self.context.machines.get(name)
             if until > now and machine is not None and machine.zone in zones:
                 coming += max(0, count - held[name])
         return coming
@@ -110,11 +112,11 @@
         a time, the oldest, holds the room that there is until more comes: several would each hold
         a part of what the others need.
         """
-        world = self.world
+        context = self.context
         if not state.gather_until:
-            state.gather_until = world.now + gather_s(spec)
+            state.gather_until = context.now + gather_s(spec)
         groups: list[Group] = []
-        all_zones = world.facts.zones
+        all_zones = context.facts.zones
         for zones in [[zone] for zone in all_zones] if spec.one_zone else [all_zones]:
             coming = self._coming(state, zones)
             if coming >= spec.tasks:
@@ -123,7 +125,7 @@
             counts = [(times(row.free, spec), row.held) for row in rows]
             groups.append(
                 (
-                    sum(count for count, held in counts if held) + coming + world.rng.random(),
+                    sum(count for count, held in counts if held) + coming + context.rng.random(),
                     sum(count for count, _ in counts) + coming,
                     rows,
                     zones,
@@ -136,8 +138,8 @@
                 self._reserve(job, spec, state, group)
             return True
         groups.sort(key=lambda group: -group[1])
-        if world.now >= max(state.next_wide, state.preempt_at):
-            state.next_wide = world.now + constants.WIDE_S
+        if context.now >= max(state.next_wide, state.preempt_at):
+            state.next_wide = context.now + constants.WIDE_S
             for group in groups:
                 _, there, rows, zones = group
                 fitting = self.index.fitting(spec, zones) - self.index.numbers(
@@ -156,7 +158,7 @@
         if (
             waiting is None
             or waiting.next_sample == math.inf
-            or (elder(world, job) and self._before(job, self.gathering))
+            or (elder(context, job) and self._before(job, self.gathering))
         ):
             self.gathering = job.id
         if self.gathering == job.id and not self._open(job, spec, state):
@@ -167,27 +169,27 @@
         """Whether a gang is to have machines opened for it though openings are off: a large one
         that must begin at last. Smaller ones find room without, and many openings at a time cost
         other work more than they gain."""
-        if not elder(self.world, job):
+        if not elder(self.context, job):
             return False
         machines = max(
             (
                 spec.tasks * weight(spec, kind)
-                for kind in self.world.types.values()
-                if self.world.fits_type(spec, kind.name)
+                for kind in self.context.types.values()
+                if self.context.fits_type(spec, kind.name)
             ),
             default=0.0,
         )
         large = min(
             constants.OPENING_MACHINES,
-            constants.OPENING_SHARE * len(self.index.fitting(spec, self.world.facts.zones)),
+            constants.OPENING_SHARE * len(self.index.fitting(spec, self.context.facts.zones)),
         )
         return machines >= large
 
     def _before(self, job: Job, name: str) -> bool:
         """Whether a gang that must begin at last goes before the one that gathers now."""
         mine, other = (
-            (-one.priority, not elder(self.world, one), one.since, one.id)
-            for one in (job, self.world.replica.jobs[name])
+            (-one.priority, not elder(self.context, one), one.since, one.id)
+            for one in (job, self.context.replica.jobs[name])
         )
         return mine < other
 
@@ -197,23 +199,23 @@
         Only where there is no room for all even with what can be stopped. Then nothing is held:
         the gang asks for all at once when all is ready.
         """
-        world = self.world
+        context = self.context
         if (
-            not (world.settings.spread.openings or self._must_open(job, spec))
-            or world.replica.format < FORMAT_COMPACT
+            not (context.settings.spread.openings or self._must_open(job, spec))
+            or context.replica.format < FORMAT_COMPACT
             or spec.tasks < constants.OPENING_TASKS
             or spec.spread
-            or world.clock_ms - job.since < 1000 * constants.OPENING_AFTER_S
+            or context.wall_clock_ms - job.since < 1000 * constants.OPENING_AFTER_S
         ):
             return False
-        if world.now < state.next_open:  # its word stands for longer than that
+        if context.now < state.next_open:  # its word stands for longer than that
             return bool(state.opening)
-        state.next_open = world.now + constants.OPENING_EVERY_S
-        fitting = self.index.fitting(spec, world.facts.zones)
-        others = world.openings.held(job)
+        state.next_open = context.now + constants.OPENING_EVERY_S
+        fitting = self.index.fitting(spec, context.facts.zones)
+        others = context.openings.held(job)
         taken = self.index.numbers(others)
         rows = sites(
-            world,
+            context,
             job,
             spec,
             self.index.some(fitting - taken, constants.OPENING_LOOKS, state.avoid),
@@ -249,8 +251,8 @@
 
     def _say(self, job: Job, names: list[str], ready_s: float) -> None:
         """Tell all controllers of an opening, or that it is over."""
-        for label in (self.world.label, *(m.label for m in self.world.settings.members)):
-            self.world.emit(
+        for label in (self.context.label, *(m.label for m in self.context.settings.members)):
+            self.context.emit(
                 "send", label, ("opening", job.id, job.priority, job.since, names, ready_s)
             )
 
@@ -265,8 +267,8 @@
         self, job: Job, spec: JobSpec, state: Open, among: BitMap, wanted: int, most: float
     ) -> bool:
         """Ask for work to stop on as many machines as tasks lack room; return whether it was."""
-        now = self.world.now
-        names = make_room(self.world, self.index, job, spec, state, among, wanted, most)
+        now = self.context.now
+        names = make_room(self.context, self.index, job, spec, state, among, wanted, most)
         if names:
             wait_s = state.preempt_at - now
             state.gather_until = min(
@@ -287,12 +289,14 @@
         if missing <= 0 or not fetching or spec.spread:
             return False
         if state.patient_until is None:  # tried for no longer than the fetch would take
-            state.patient_until = self.world.now + fetch_s(self.world, spec, fetching[0].machine)
+            state.patient_until = self.context.now + fetch_s(
+                self.context, spec, fetching[0].machine
+            )
         holders = self.index.holding(spec, zones) - self.index.numbers(
             [*(row.machine.name for row in held), *state.asked]
         )
-        if self.world.now > state.patient_until or not self._make_room(
-            job, spec, state, holders, missing, worth_s(self.world, spec, fetching[0].machine)
+        if self.context.now > state.patient_until or not self._make_room(
+            job, spec, state, holders, missing, worth_s(self.context, spec, fetching[0].machine)
         ):
             return False
         self._reserve(job, spec, state, (0.0, there, held, zones))
@@ -323,9 +327,9 @@
     def _reserve(self, job: Job, spec: JobSpec, state: Open, group: Group) -> None:
         """Reserve what was drawn in a zone, as far as it is still missing."""
         _, _, rows, zones = group
-        chosen = best(self.world, job, spec, rows, spec.tasks - self._coming(state, zones))
+        chosen = best(self.context, job, spec, rows, spec.tasks - self._coming(state, zones))
         self._ask(job, spec, state, chosen, constants.GANG_ANSWER_S)
-        reserve(self.world, job, chosen)
+        reserve(self.context, job, chosen)
 
 
 def stop_rest(buffer: WriteBuffer, job: Job, spec: JobSpec, attempt: int) -> None:
--- a/oakmux/core/owner/places.py
+++ b/oakmux/core/owner/places.py
@@ -6,26 +6,26 @@
 
 from oakmux import constants
 from oakmux.core import teams
+from oakmux.core.context import Context, Machine
 from oakmux.core.index import Drawn, Index
 from oakmux.core.jobs import Job
 from oakmux.core.keeper.queue import save_s, victims
 from oakmux.core.keeper.room import Room, times
 from oakmux.core.owner.state import Open
-from oakmux.core.world import Machine, World
 from oakmux.wire import JobSpec, MachineType
 
 
-def fetches(world: World, spec: JobSpec, machine: Machine) -> tuple[bool, list[Job]]:
+def fetches(context: Context, spec: JobSpec, machine: Machine) -> tuple[bool, list[Job]]:
     """Return whether a machine will have an image without a fetch of its own, and the jobs whose
     other images it fetches: by its report, and by bindings that it has not reported yet. Tasks
     bound one after the other to a fresh machine once fetched side by side, each for twice as
     long."""
     held = spec.image in machine.images
     others: list[Job] = []
-    for (job_id, index), binding in world.replica.by_machine.get(machine.name, {}).items():
+    for (job_id, index), binding in context.replica.by_machine.get(machine.name, {}).items():
         state = machine.tasks.get((f"{job_id}/{index}", binding.attempt))
-        job = world.replica.jobs.get(job_id)
-        if job is None or job.spec is None or binding.session != machine.session:
+        job = context.replica.jobs.get(job_id)
+        if job is None or job.spec is None or binding.agent_epoch != machine.agent_epoch:
             continue
         if state is None and job.spec.image == spec.image:
             held = True
@@ -36,11 +36,11 @@
     return held, others
 
 
-def fetch_s(world: World, spec: JobSpec, machine: Machine) -> float:
+def fetch_s(context: Context, spec: JobSpec, machine: Machine) -> float:
     """Return the seconds until a machine has the job's image, as far as we know: fetches at the
     same time share the machine's rate."""
-    held, others = fetches(world, spec, machine)
-    return 0.0 if held else world.fetch_s(spec, machine.type) * (1 + len(others))
+    held, others = fetches(context, spec, machine)
+    return 0.0 if held else context.fetch_s(spec, machine.type) * (1 + len(others))
 
 
 def strands(spec: JobSpec, kind: MachineType, free: Room) -> bool:
@@ -60,15 +60,15 @@
     return not spec.spread or zones.count(zone) + 1 <= math.ceil(spec.tasks / 2)
 
 
-def preference(world: World, job: Job, spec: JobSpec, machine: Machine, free: Room) -> tuple:
+def preference(context: Context, job: Job, spec: JobSpec, machine: Machine, free: Room) -> tuple:
     """Return what orders machines for a task: for one without GPUs, CPUs that the free GPUs
     can spare; image held, no other fetch under way where either is urgent (they would share
     the rate), spot if allowed, fullest. Spot machines are cheaper, but what needs no GPU takes
     what is left over on any, and may be lost with them."""
-    kind = world.types[machine.type]
+    kind = context.types[machine.type]
     urgent = job.priority >= constants.URGENT
     left = max(free[0] / kind.cpus, free[1] / (kind.gpus or 1.0))
-    held, others = fetches(world, spec, machine)
+    held, others = fetches(context, spec, machine)
     fetching = not held and any(urgent or other.priority >= constants.URGENT for other in others)
     dearer = spec.spot and not machine.spot if spec.gpus else machine.spot
     return (
@@ -81,12 +81,14 @@
     )
 
 
-def best(world: World, job: Job, spec: JobSpec, rows: list[Drawn], count: int) -> dict[str, int]:
+def best(
+    context: Context, job: Job, spec: JobSpec, rows: list[Drawn], count: int
+) -> dict[str, int]:
     """Choose among drawn machines with room: image held, spot if allowed, fullest; chance
     decides between equals."""
     ranked = sorted(
         (
-            (preference(world, job, spec, row.machine, row.free), world.rng.random(), row)
+            (preference(context, job, spec, row.machine, row.free), context.rng.random(), row)
             for row in rows
         ),
         key=lambda entry: entry[:2],
@@ -100,24 +102,24 @@
     return chosen
 
 
-def reserve(world: World, job: Job, chosen: dict[str, int]) -> None:
+def reserve(context: Context, job: Job, chosen: dict[str, int]) -> None:
     """Send reservations {machine: tasks} to the keepers of the machines."""
     for name, number in chosen.items():
-        world.emit("send", world.machines[name].keeper, ("reserve", name, job.id, number))
+        context.emit("send", context.machines[name].keeper, ("reserve", name, job.id, number))
 
 
-def worth_s(world: World, spec: JobSpec, machine: Machine) -> float:
+def worth_s(context: Context, spec: JobSpec, machine: Machine) -> float:
     """Return the lost work that is worth sparing a job the fetch on a machine: the fetch, and
     more if only without it an aim for starting this class can be met."""
-    fetch = fetch_s(world, spec, machine)
+    fetch = fetch_s(context, spec, machine)
     slow = fetch * constants.FETCH_SPREAD
-    if any(within < slow for within in world.wait_aims.get(spec.lane, ())):
+    if any(within < slow for within in context.start_objectives.get(spec.lane, ())):
         return fetch + constants.AIM_WORTH_S
     return fetch
 
 
 def make_room(
-    world: World,
+    context: Context,
     index: Index,
     job: Job,
     spec: JobSpec,
@@ -130,27 +132,27 @@
     that costs less than `most` seconds; return which were asked. For a gang, all its
     tasks must find room so. Looked at are some machines drawn from `among`, those that hold
     the image before others. Until `state.preempt_at` what was asked for may come."""
-    if world.now < state.preempt_at or world.failures.suspect(job):
+    if context.now < state.preempt_at or context.failures.suspect(job):
         return []
-    used = teams.usage(world)
-    among = among & index.yielding(job, teams.beyond(world, job, spec, used))
+    used = teams.usage(context)
+    among = among & index.yielding(job, teams.beyond(context, job, spec, used))
     looks = math.ceil(constants.PREEMPT_LOOKS * wanted) + constants.DRAW_LOOKS
     held = among & index.holders.get(spec.image, BitMap())
     machines = index.some(held, looks, state.avoid)
     machines += index.some(among - held, looks - len(machines), state.avoid)
     rows = []
     for machine in machines:
-        found = victims(world, machine, job, spec, used)
+        found = victims(context, machine, job, spec, used)
         if found is not None:
-            cost = found[0] + fetch_s(world, spec, machine)
+            cost = found[0] + fetch_s(context, spec, machine)
             if cost < most:
-                rows.append((cost, world.rng.random(), machine, save_s(world, found[1])))
+                rows.append((cost, context.rng.random(), machine, save_s(context, found[1])))
     rows.sort(key=lambda row: row[:2])
     if spec.kind == "gang" and len(rows) < wanted:
         return []
     for _, _, machine, saving in rows[:wanted]:
-        state.preempt_at = max(state.preempt_at, world.now + constants.PREEMPT_S + saving)
-        world.emit("send", machine.keeper, ("reserve", machine.name, job.id, 1, True))
+        state.preempt_at = max(state.preempt_at, context.now + constants.PREEMPT_S + saving)
+        context.emit("send", machine.keeper, ("reserve", machine.name, job.id, 1, True))
     return [machine.name for _, _, machine, _ in rows[:wanted]]
 
 
--- a/oakmux/core/owner/sampling.py
+++ b/oakmux/core/owner/sampling.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable
 
 from oakmux import constants
+from oakmux.core.context import Context, Machine
 from oakmux.core.index import Drawn, Index
 from oakmux.core.jobs import Job
 from oakmux.core.keeper.room import Room, times
@@ -17,7 +18,6 @@
 from oakmux.core.spread.lines import Shape
 from oakmux.core.spread.order import aged, elder
 from oakmux.core.spread.waiting import Waiting
-from oakmux.core.world import Machine, World
 from oakmux.wire import JobSpec
 
 
@@ -26,26 +26,26 @@
 
     def __init__(
         self,
-        world: World,
+        context: Context,
         index: Index,
         buffer: WriteBuffer,
         binder: Binder,
         gangs: Gangs,
         waiting: Waiting,
     ) -> None:
-        self.world = world
+        self.context = context
         self.index = index
         self.open = binder.open
         self.buffer = buffer
         self.binder = binder
         self.gangs = gangs
         self.waiting = waiting
-        self.claims = RoomClaims(world)
+        self.claims = RoomClaims(context)
         self.used: dict[str, tuple[float, float]] = {}
 
     def sample(self) -> None:
         """Send out reservations for jobs whose turn it is."""
-        world, waiting = self.world, self.waiting
+        context, waiting = self.context, self.waiting
         self._choose()
         waiting.ripen()
         self.index.refresh()
@@ -68,17 +68,17 @@
                 heapq.heappop(turns)
             else:
                 heapq.heapreplace(turns, turn)
-        for *_, job_id, _ in world.rng.sample(turns, min(len(turns), constants.SAMPLES_LOWER)):
+        for *_, job_id, _ in context.rng.sample(turns, min(len(turns), constants.SAMPLES_LOWER)):
             self._sample(job_id)  # nor do lines of lower priority go without
 
     def _choose(self) -> None:
         """Bind tasks to the offers that were gathered for long enough."""
         for job_id in list(self.binder.gathered):
             state = self.open.get(job_id)
-            job = self.world.replica.jobs[job_id]
+            job = self.context.replica.jobs[job_id]
             if state is None or not state.offers or job.spec is None:
                 del self.binder.gathered[job_id]
-            elif self.world.now - state.offers[0][0] >= constants.GATHER_S:
+            elif self.context.now - state.offers[0][0] >= constants.GATHER_S:
                 del self.binder.gathered[job_id]
                 self.binder.choose(job, job.spec, state)
 
@@ -86,8 +86,8 @@
         """Return the teams of ours that use less than at the last tick."""
         used = {
             team: self.buffer.team_use(team)
-            for team in self.world.my_roles
-            if team in self.world.teams
+            for team in self.context.held_roles
+            if team in self.context.teams
         }
         fell = [
             team
@@ -98,7 +98,7 @@
         return fell
 
     def _sample(self, job_id: str) -> None:
-        job = self.world.replica.jobs[job_id]
+        job = self.context.replica.jobs[job_id]
         state = self.open.get(job_id)
         if state is not None and job.spec is not None:
             self._sample_job(job, job.spec, state)
@@ -106,19 +106,19 @@
     def _sample_job(self, job: Job, spec: JobSpec, state: Open) -> None:
         """Look for room for one job. After this it is idle, waits for a time, or stands in its
         line, which is shut."""
-        world, waiting = self.world, self.waiting
-        if state.gather_until and world.now >= state.gather_until:
+        context, waiting = self.context, self.waiting
+        if state.gather_until and context.now >= state.gather_until:
             self.binder.release(state)
             self.gangs.end(job, state)
-            state.quiet_until = world.now + world.rng.uniform(0, constants.GANG_BACKOFF_S)
-        if world.now < max(state.quiet_until, state.retry_at):
+            state.quiet_until = context.now + context.rng.uniform(0, constants.GANG_BACKOFF_S)
+        if context.now < max(state.quiet_until, state.retry_at):
             waiting.later(job.id, max(state.quiet_until, state.retry_at))
             return
         wanted = self.buffer.unstarted(job)
         zones = [b.zone for b in self.buffer.bindings(job)]
         if spec.kind == "gang" and zones:
             wanted = 0  # a new attempt only when every task of the old one is proven gone
-        if not spec.joint and world.failures.suspect(job):
+        if not spec.joint and context.failures.suspect(job):
             # It fails wherever it starts: one task at a time, or a mistake in a large array takes
             # hundreds of places, and as many fetches, at each try.
             wanted = min(wanted, 0 if zones else 1)
@@ -138,10 +138,10 @@
             return
         # Room in a zone that the job's other tasks rule out must not hide that room has to be
         # made in another: a spread service once waited 50 s for its second replica so.
-        zones_left = [zone for zone in world.facts.zones if zone_allowed(spec, zones, zone)]
-        state.next_sample = world.now + constants.RESAMPLE_S
+        zones_left = [zone for zone in context.facts.zones if zone_allowed(spec, zones, zone)]
+        state.next_sample = context.now + constants.RESAMPLE_S
         if spec.joint:
-            if elder(world, job):
+            if elder(context, job):
                 # While it gathers room, its part of the limit is kept as well: younger work of
                 # its team took it in that time, and the gang began anew for minutes.
                 self.buffer.claim_limit(job, spec, wanted)
@@ -169,7 +169,7 @@
     def _left(self, job: Job, spec: JobSpec) -> Callable[[Machine, Room], Room]:
         """Return what takes off room that an opening keeps from a job, or that other jobs of ours
         have asked for."""
-        openings = self.world.openings
+        openings = self.context.openings
 
         def left(machine: Machine, free: Room) -> Room:
             if openings.by_machine and openings.bars(machine.name, job, spec):
@@ -183,15 +183,15 @@
         most = max(constants.MAX_RESERVATIONS_PER_JOB, spec.tasks if spec.kind == "gang" else 1)
         wanted = 0
         for job_id in self.waiting.lines.first(shape, most):
-            wanted += self.buffer.unstarted(self.world.replica.jobs[job_id])
+            wanted += self.buffer.unstarted(self.context.replica.jobs[job_id])
             if wanted >= most:
                 break
         return min(wanted, most)
 
     def _none_found(self, job: Job, state: Open, shape: Shape, zones: list[str]) -> None:
         """No room: nor would those behind the job find any, unless it has reasons of its own."""
-        if state.avoid or len(zones) < len(self.world.facts.zones):
-            self.waiting.later(job.id, self.world.now + constants.WIDE_S)
+        if state.avoid or len(zones) < len(self.context.facts.zones):
+            self.waiting.later(job.id, self.context.now + constants.WIDE_S)
         else:
             self.waiting.none_found(shape)
 
@@ -200,31 +200,35 @@
     ) -> bool:
         """Have room made, or queue at fitting machines, full as they are: reservations wait there
         for longer than it takes to look for room anew. Return whether room is made for all."""
-        world = self.world
-        if world.now < state.next_wide:
+        context = self.context
+        if context.now < state.next_wide:
             return False
-        state.next_wide = world.now + constants.WIDE_S
+        state.next_wide = context.now + constants.WIDE_S
         fitting = self.index.fitting(spec, zones)
-        made = make_room(world, self.index, job, spec, state, fitting, wanted, math.inf)
+        made = make_room(context, self.index, job, spec, state, fitting, wanted, math.inf)
         chosen: dict[str, int] = {}
         while count > 0 and (some := self.index.some(fitting, count, state.avoid)):
             for machine in some:
                 chosen[machine.name] = chosen.get(machine.name, 0) + 1
             count -= len(some)
-        reserve(world, job, chosen)
+        reserve(context, job, chosen)
         self._queue_oldest(job, spec)
         return len(made) >= wanted
 
     def _queue_oldest(self, job: Job, spec: JobSpec) -> None:
         """Queue a line's oldest job as well, once it is aged: keepers owe it a share."""
         shape = self.waiting.lines.put(job, spec)
-        oldest = self.world.replica.jobs[self.waiting.lines.oldest(shape)]
-        if oldest is not job and oldest.spec is not None and aged(self.world, oldest, oldest.spec):
-            fitting = self.index.fitting(oldest.spec, self.world.facts.zones)
+        oldest = self.context.replica.jobs[self.waiting.lines.oldest(shape)]
+        if (
+            oldest is not job
+            and oldest.spec is not None
+            and aged(self.context, oldest, oldest.spec)
+        ):
+            fitting = self.index.fitting(oldest.spec, self.context.facts.zones)
             some = self.index.some(
                 fitting, constants.MAX_RESERVATIONS_PER_JOB, self.open[oldest.id].avoid
             )
-            reserve(self.world, oldest, {machine.name: 1 for machine in some})
+            reserve(self.context, oldest, {machine.name: 1 for machine in some})
 
     def _take_room(
         self,
@@ -237,7 +241,7 @@
         count: int,
     ) -> None:
         """Reserve room that was drawn, or wait a little where the image is."""
-        world = self.world
+        context = self.context
         holders = self.index.holding(spec, zones)
         there = [row for row in rows if row.held]
         # A fetch blocks its place as well: stopping young work where the image is costs less.
@@ -245,44 +249,46 @@
             holders
             and not there
             and make_room(
-                world,
+                context,
                 self.index,
                 job,
                 spec,
                 state,
                 holders,
                 wanted,
-                worth_s(world, spec, rows[0].machine),
+                worth_s(context, spec, rows[0].machine),
             )
         ):
             state.next_sample = state.preempt_at
         elif len(holders) >= wanted > sum(
             times(row.free, spec) for row in there
         ) and self._patient(spec, state, rows[0].machine):
-            state.next_sample = world.now + constants.WAIT_RESAMPLE_S
+            state.next_sample = context.now + constants.WAIT_RESAMPLE_S
             queued = self.index.some(holders, count, state.avoid)
             reserve(
-                world, job, {**{m.name: 1 for m in queued}, **best(world, job, spec, there, count)}
+                context,
+                job,
+                {**{m.name: 1 for m in queued}, **best(context, job, spec, there, count)},
             )
         else:
-            chosen = best(world, job, spec, rows, count)
+            chosen = best(context, job, spec, rows, count)
             self.claims.ask(job.id, spec, chosen, wanted)
-            reserve(world, job, chosen)
+            reserve(context, job, chosen)
 
     def _patient(self, spec: JobSpec, state: Open, machine: Machine) -> bool:
         """Whether to wait at machines that hold the image rather than fetch it: for a part of the
         fetch, as far as the aims for starting this class and guaranteed work leave time. What
         holds a service's image are services mostly, which don't end."""
-        now = self.world.now
+        now = self.context.now
         if spec.kind == "service":
             return False
         if state.patient_until is None:
-            fetch = self.world.fetch_s(spec, machine.type)
+            fetch = self.context.fetch_s(spec, machine.type)
             patience = fetch * constants.PATIENCE_SHARE
-            for within in self.world.wait_aims.get(spec.lane, ()):
+            for within in self.context.start_objectives.get(spec.lane, ()):
                 if fetch / constants.FETCH_SPREAD < within:  # a fetch at once may meet the aim
                     patience = min(patience, max(0.0, within - fetch * constants.FETCH_SPREAD))
-            if self.world.guarantee_s is not None:
-                patience = min(patience, self.world.guarantee_s / 2)
+            if self.context.guarantee_objective_s is not None:
+                patience = min(patience, self.context.guarantee_objective_s / 2)
             state.patient_until = now + patience
         return now < state.patient_until
--- a/oakmux/core/owner/write_buffer.py
+++ b/oakmux/core/owner/write_buffer.py
@@ -5,6 +5,7 @@
 
 from oakmux import constants
 from oakmux.core import teams
+from oakmux.core.context import Context
 from oakmux.core.jobs import (
     FORMAT_COMPACT,
     FORMAT_PAGES,
@@ -19,7 +20,6 @@
 from oakmux.core.owner.state import Open
 from oakmux.core.pages import shares_page
 from oakmux.core.spread.order import elder
-from oakmux.core.world import World
 from oakmux.wire import JobSpec
 
 
@@ -38,40 +38,40 @@
 class WriteBuffer:
     """What we changed of the records of our teams' jobs, until the state service has it."""
 
-    def __init__(self, world: World) -> None:
-        self.world = world
+    def __init__(self, context: Context) -> None:
+        self.context = context
         self.work: dict[str, dict[int, Chunk]] = {}
         self.dirty: dict[tuple[str, int], float] = {}
         self.finish: dict[str, None] = {}
         # Whether a transaction was refused for its size.
         self.refused = False
         self.limit_claims: dict[str, LimitClaim] = {}
-        limits = world.facts.state.least
+        limits = context.facts.state.least
         self.least_bytes = value_limit(limits)
-        share = limits.write_rps / world.settings.size
-        self.own_chunk = chunk_tasks(world.facts.state.value_kb)
+        share = limits.write_rps / context.settings.size
+        self.own_chunk = chunk_tasks(context.facts.state.value_kb)
         self.coalesce_s = min(
             max(constants.COALESCE_S, constants.COALESCE_CHANGES / share),
             constants.COALESCE_MOST_S,
         )
-        self.pages = PageAllocator(world, self.least_bytes)
+        self.pages = PageAllocator(context, self.least_bytes)
 
     @property
     def per_chunk(self) -> int:
         """How many tasks share a record. The mapping never moves with the limits: a task that is
         bound would look unbound (R ran_twice). Once the format is recorded, it stands there."""
-        return self.world.replica.per_chunk or self.own_chunk
+        return self.context.replica.per_chunk or self.own_chunk
 
     def limit(self) -> int:
         """Bytes that a value may take when it is written. What earlier versions left larger may
         be written so until the switch, unless a transaction was refused."""
         if self.form() >= FORMAT_COMPACT or self.refused:
             return self.least_bytes
-        return value_limit(self.world.facts.state)
+        return value_limit(self.context.facts.state)
 
     def form(self) -> int:
         """Return the format that records are written in."""
-        return self.world.replica.format
+        return self.context.replica.format
 
     def holds(self, job: Job, number: int, offers: list[tuple]) -> bool:
         """Whether a chunk's record can hold bindings to what is offered as well. The coming limit
@@ -84,8 +84,8 @@
         trial = chunk.copy()
         trial.last = self.next_attempt(job)
         first = (number + 1) * self.per_chunk  # no task's number there is longer
-        for index, (_, name, _, session, term, _, zone) in enumerate(offers, first):
-            trial.bound[index] = Binding(trial.last, name, session, term, zone)
+        for index, (_, name, _, agent_epoch, term, _, zone) in enumerate(offers, first):
+            trial.bound[index] = Binding(trial.last, name, agent_epoch, term, zone)
         return value_bytes(trial.to_value(self.form())) <= self.least_bytes
 
     def next_attempt(self, job: Job) -> int:
@@ -94,7 +94,7 @@
 
     def switched(self) -> None:
         """A new format holds: write anew what earlier versions left larger than the limits."""
-        for job in list(self.world.replica.active.values()):
+        for job in list(self.context.replica.active.values()):
             if self.owns(job):
                 self.shrink(job)
 
@@ -111,7 +111,7 @@
 
     def owns(self, job: Job) -> bool:
         """Whether the job's team is ours."""
-        return job.team in self.world.my_roles
+        return job.team in self.context.held_roles
 
     def chunk(self, job: Job, number: int) -> Chunk:
         """Return a chunk as it will be written, or an empty one; only to be read."""
@@ -183,9 +183,9 @@
     def team_use(self, team: str) -> tuple[float, float]:
         """Return what a team of ours uses: all that is bound and not proven gone. The records'
         count is corrected by the working copies, which are few."""
-        cpus, gpus = teams.usage(self.world).get(team, (0.0, 0.0))
+        cpus, gpus = teams.usage(self.context).get(team, (0.0, 0.0))
         for job_id, mine in self.work.items():
-            job = self.world.replica.jobs[job_id]
+            job = self.context.replica.jobs[job_id]
             if job.team == team:
                 more = sum(len(chunk.bound) for chunk in mine.values()) - sum(
                     len(job.chunks[n].bound) for n in mine if n in job.chunks
@@ -197,12 +197,12 @@
     def beyond_limit(self, job: Job, spec: JobSpec, tasks: int = 1) -> bool:
         """Whether that many more tasks of a job would break its team's limit, with what is kept
         for jobs of higher priority that wait for it."""
-        limits = self.world.teams.get(job.team)
+        limits = self.context.teams.get(job.team)
         if limits is not None and not limits.cpus_max and not limits.gpus_max:
             return False  # nor is its use counted: asked at each offer to thousands of tiny jobs
         cpus, gpus = self.team_use(job.team)
         for other, claim in list(self.limit_claims.items()):
-            if claim.until <= self.world.now:
+            if claim.until <= self.context.now:
                 del self.limit_claims[other]
             elif (
                 claim.team == job.team
@@ -212,7 +212,7 @@
                 cpus += claim.cpus
                 gpus += claim.gpus
         return teams.beyond_limit(
-            self.world, job.team, cpus + tasks * spec.cpus, gpus + tasks * spec.gpus
+            self.context, job.team, cpus + tasks * spec.cpus, gpus + tasks * spec.gpus
         )
 
     def claim_limit(self, job: Job, spec: JobSpec, wanted: int) -> None:
@@ -223,27 +223,27 @@
         kept where that work could not make up for it: what services use they keep, and a gang that
         needed it kept the rest of the limit from all others for ever, itself without use for it.
         """
-        now = self.world.now
+        now = self.context.now
         least = spec.tasks if spec.kind == "gang" else 1
         use = cpus, gpus = self.team_use(job.team)
-        first = elder(self.world, job)
+        first = elder(self.context, job)
         old = first or (
             spec.kind == "gang"
-            and (self.world.clock_ms - job.since > 1000 * constants.OPENING_AFTER_S)
+            and (self.context.wall_clock_ms - job.since > 1000 * constants.OPENING_AFTER_S)
         )
-        for priority, lower in self.world.replica.used_ending.get(job.team, {}).items():
+        for priority, lower in self.context.replica.used_ending.get(job.team, {}).items():
             if priority < job.priority or (priority == job.priority and old):
                 cpus -= lower[0]
                 gpus -= lower[1]
         if (first or (cpus, gpus) != use) and not teams.beyond_limit(
-            self.world, job.team, cpus + least * spec.cpus, gpus + least * spec.gpus
+            self.context, job.team, cpus + least * spec.cpus, gpus + least * spec.gpus
         ):
             tasks = max(
                 least,
                 min(
                     wanted,
                     constants.MAX_RESERVATIONS_PER_JOB,
-                    teams.tasks_left(self.world, job.team, spec, {job.team: (cpus, gpus)}),
+                    teams.tasks_left(self.context, job.team, spec, {job.team: (cpus, gpus)}),
                 ),
             )
             self.limit_claims[job.id] = LimitClaim(
@@ -257,7 +257,7 @@
 
     def drop_lost(self, held: set[str]) -> None:
         """Drop working copies but of teams that we hold all the while."""
-        jobs = self.world.replica.jobs
+        jobs = self.context.replica.jobs
         for job_id in [j for j in self.work if jobs[j].team not in held]:
             for number in self.work.pop(job_id):
                 self.dirty.pop((job_id, number), None)
--- a/oakmux/core/owner/writer.py
+++ b/oakmux/core/owner/writer.py
@@ -12,6 +12,7 @@
 from typing import Any, NamedTuple
 
 from oakmux import constants
+from oakmux.core.context import Context, event
 from oakmux.core.jobs import (
     Chunk,
     Job,
@@ -23,7 +24,6 @@
 )
 from oakmux.core.owner.write_buffer import WriteBuffer
 from oakmux.core.pages import ONLY_CHUNK, Page, PageRow, page_key
-from oakmux.core.world import World, event
 
 log = logging.getLogger("oakmux.core")
 
@@ -72,8 +72,8 @@
 class Writer:
     """Writes the working copies of our teams' records."""
 
-    def __init__(self, world: World, buffer: WriteBuffer) -> None:
-        self.world = world
+    def __init__(self, context: Context, buffer: WriteBuffer) -> None:
+        self.context = context
         self.buffer = buffer
         # Jobs and pages of transactions without an outcome yet: each is in one at a time.
         self.writing: set[str] = set()
@@ -81,16 +81,16 @@
         self.write_after = 0.0
         self.in_flight = 0
         self.outgrown: set[str] = set()
-        limits = world.facts.state.least
+        limits = context.facts.state.least
         # A transaction far above our share of the rate would hold up all that comes after it.
-        share = int(constants.WRITES_S * limits.write_rps / world.settings.size)
+        share = int(constants.WRITES_S * limits.write_rps / context.settings.size)
         self.most_writes = min(limits.txn_ops, max(constants.WRITES_LEAST, share))
         self.most_guards = 4 * limits.txn_ops
 
     def flush(self) -> None:
         """Write what is due, many changes to a transaction."""
         if (
-            self.world.now < self.write_after
+            self.context.now < self.write_after
             or self.in_flight >= constants.WRITES_IN_FLIGHT
             or not self._something_due()
         ):
@@ -104,7 +104,7 @@
 
     def _something_due(self) -> bool:
         """Whether there is anything to write now."""
-        now = self.world.now
+        now = self.context.now
         return bool(self.buffer.finish) or any(at <= now for at in self.buffer.dirty.values())
 
     def _dirty(self) -> list[Dirty]:
@@ -114,7 +114,7 @@
         for (job_id, number), at in self.buffer.dirty.items():
             numbers.setdefault(job_id, []).append(number)
             due[job_id] = min(at, due.get(job_id, math.inf))
-        jobs = self.world.replica.jobs
+        jobs = self.context.replica.jobs
         rows = [Dirty(due[job_id], jobs[job_id], found) for job_id, found in numbers.items()]
         return sorted(rows, key=lambda row: row.due)
 
@@ -129,9 +129,9 @@
         found = Transaction()
         self._add_ends(found)
         for row in rows:
-            if row.due > self.world.now:
+            if row.due > self.context.now:
                 break
-            if row.job.team not in self.world.my_roles or self._busy(found, row.job):
+            if row.job.team not in self.context.held_roles or self._busy(found, row.job):
                 continue
             name = self._page_of(row)
             if name is None:
@@ -160,7 +160,7 @@
         if len(found.writes) + len(numbers) + 1 > self.most_writes:
             if found.writes:
                 return
-            numbers = numbers[: self.world.facts.state.least.txn_ops - 1]
+            numbers = numbers[: self.context.facts.state.least.txn_ops - 1]
         form = self.buffer.form()
         work = self.buffer.work[job.id]
         values = {number: work[number].to_value(form) for number in numbers}
@@ -171,13 +171,13 @@
         part = Transaction()
         part.bytes = sum(value_bytes(values[number]) for number in numbers)
         finishing = self._finishing(job) and len(numbers) == len(row.numbers)
-        part.guards[role_key(job.team)] = self.world.my_roles[job.team]
-        part.guards[job_key(job.id)] = job.stamp
+        part.guards[role_key(job.team)] = self.context.held_roles[job.team]
+        part.guards[job_key(job.id)] = job.mod_revision
         if finishing:
             self._finish(part, job)
         for number in numbers:
             key, old = chunk_key(job.id, number), job.chunks.get(number)
-            part.guards[key] = old.stamp if old is not None else 0
+            part.guards[key] = old.mod_revision if old is not None else 0
             part.sent.append(SentChunk(job.id, number))
             if not self._over(job, work[number], finishing):
                 part.writes.append((key, values[number], None))
@@ -234,7 +234,7 @@
             limit = self.buffer.limit()
             log.error("event=record_too_large key=%s bytes=%s limit=%s", key, size, limit)
         for chunk in chunks:
-            self.buffer.dirty[chunk] = self.world.now + constants.RETRY_MOST_S
+            self.buffer.dirty[chunk] = self.context.now + constants.RETRY_MOST_S
 
     # --- chunks in pages ---
 
@@ -244,19 +244,19 @@
         for job_id in self.buffer.finish:
             if len(found.writes) >= self.most_writes:
                 return
-            job = self.world.replica.jobs[job_id]
+            job = self.context.replica.jobs[job_id]
             work = self.buffer.work.get(job_id, {}).get(ONLY_CHUNK)
             if (
                 work is None
                 or work.page is None
                 or job.final
-                or job.team not in self.world.my_roles
+                or job.team not in self.context.held_roles
                 or self._busy(found, job)
                 or len(found.guards) + 2 > self.most_guards
             ):
                 continue
-            found.guards[role_key(job.team)] = self.world.my_roles[job.team]
-            found.guards[job_key(job_id)] = job.stamp
+            found.guards[role_key(job.team)] = self.context.held_roles[job.team]
+            found.guards[job_key(job_id)] = job.mod_revision
             found.jobs.add(job_id)
             self._finish(found, job)
 
@@ -266,12 +266,12 @@
         Other rows stay as the records have them. A job's stamp guards what binds tasks of it; what
         only lets go of tasks can't undo anything that happened to the job.
         """
-        page = self.world.replica.pages.get(name) or Page(0, {})
+        page = self.context.replica.pages.get(name) or Page(0, {})
         rows = dict(page.rows)
         part = Transaction()
         part.pages.add(name)
-        part.guards[role_key(team)] = self.world.my_roles[team]
-        part.guards[page_key(name)] = page.stamp
+        part.guards[role_key(team)] = self.context.held_roles[team]
+        part.guards[page_key(name)] = page.mod_revision
         for row in dirty:
             if not self._fits(found, part):
                 break
@@ -302,7 +302,7 @@
         """Bring one job's row up to date."""
         chunk = self.buffer.work[job.id][ONLY_CHUNK]
         if chunk.binds_more_than(job.chunks.get(ONLY_CHUNK)):
-            part.guards[job_key(job.id)] = job.stamp
+            part.guards[job_key(job.id)] = job.mod_revision
         if self._over(job, chunk, finishing=False):
             rows.pop(job.id, None)
         else:
@@ -316,7 +316,7 @@
         self.writing |= transaction.jobs
         self.writing_pages |= transaction.pages
         self.in_flight += 1
-        self.world.call(
+        self.context.call(
             lambda status, result: self._written(transaction, status, result),
             "txn",
             list(transaction.guards.items()),
@@ -336,21 +336,21 @@
         for chunk in transaction.sent:
             if chunk.number in self.buffer.work.get(chunk.job_id, ()):
                 self.buffer.dirty.setdefault((chunk.job_id, chunk.number), 0.0)
-        self.write_after = self.world.now + constants.BACKOFF_FIRST_S
+        self.write_after = self.context.now + constants.BACKOFF_FIRST_S
         if status == 400:
             # Certainly not written, and never will be as it is: the limits have fallen.
             self.buffer.refused = True
-            self.write_after = self.world.now + constants.BACKOFF_MOST_S
+            self.write_after = self.context.now + constants.BACKOFF_MOST_S
         elif status == 409 and result is not None:
             self._reread(result[1])
         elif status != 503:  # 503: certainly not written
             event("write_unsure", status=status, jobs=len(transaction.jobs))
             self._reread(write[0] for write in transaction.writes)
 
-    def _take_over(self, transaction: Transaction, epoch: int) -> None:
+    def _take_over(self, transaction: Transaction, revision: int) -> None:
         """A transaction was carried out: the records say what it wrote."""
         for key, *rest in transaction.writes:
-            self.world.replica.apply(key, rest[0] if rest else None, epoch)
+            self.context.replica.apply(key, rest[0] if rest else None, revision)
         for job_id in transaction.finishing:
             self.buffer.finish.pop(job_id, None)
             event("job_done", job=job_id)
@@ -360,10 +360,10 @@
 
     def _reread(self, keys: Iterable[str]) -> None:
         for key in keys:
-            self.world.call(lambda s, r, key=key: self._take_row(key, s, r), "get", key, 1)
+            self.context.call(lambda s, r, key=key: self._take_row(key, s, r), "get", key, 1)
 
     def _take_row(self, key: str, status: int, result: Any) -> None:
         if status == 200:
-            self.world.replica.apply(key, *result)
+            self.context.replica.apply(key, *result)
         elif status == 404 and result is not None:
-            self.world.replica.apply(key, None, result[1])
+            self.context.replica.apply(key, None, result[1])
--- a/oakmux/core/pages.py
+++ b/oakmux/core/pages.py
@@ -30,10 +30,10 @@
 class Page:
     """A page as the records have it: its revision and its rows by job."""
 
-    __slots__ = ("stamp", "rows", "reserved")
+    __slots__ = ("mod_revision", "rows", "reserved")
 
-    def __init__(self, stamp: int, rows: dict[str, PageRow]) -> None:
-        self.stamp = stamp
+    def __init__(self, mod_revision: int, rows: dict[str, PageRow]) -> None:
+        self.mod_revision = mod_revision
         self.rows = rows
         # Bytes that its rows may grow to take.
         self.reserved = sum(reserved_bytes(row.tasks) for row in rows.values())
@@ -44,17 +44,17 @@
     return f"{PREFIX}p/{name}"
 
 
-def page_from(value: list[list[Any]], stamp: int) -> Page:
+def page_from(value: list[list[Any]], mod_revision: int) -> Page:
     """Read a page's value; raises ValueError or TypeError."""
     rows: dict[str, PageRow] = {}
     for job_id, tasks, *chunk in value:
         rows[job_id] = PageRow(job_id, int(tasks), chunk)
-    return Page(stamp, rows)
+    return Page(mod_revision, rows)
 
 
-def row_chunk(row: PageRow, name: str, stamp: int) -> Chunk:
+def row_chunk(row: PageRow, name: str, mod_revision: int) -> Chunk:
     """Return the chunk that a row of a page holds."""
-    chunk = chunk_from(row.chunk, stamp)
+    chunk = chunk_from(row.chunk, mod_revision)
     chunk.page = name
     return chunk
 
