--- a/oakmux/core/replica.py
+++ b/oakmux/core/replica.py
@@ -33,7 +33,7 @@
     def keys(self) -> set[str]:
         """Return the keys of all its records."""
 
-    def apply(self, rest: str, value: Any, stamp: int) -> None:
+    def apply(self, rest: str, value: Any, mod_revision: int) -> None:
         """Take one change; `rest` is the key without what is common to its kind."""
 
 
@@ -41,7 +41,7 @@
     """All records as far as the watch has brought them, and what our own writes changed."""
 
     def __init__(self) -> None:
-        self.epoch = 0
+        self.revision = 0
         self.loaded = False
         self.jobs: dict[str, Job] = {}
         # Records that hold the bindings of many small jobs, by team/number.
@@ -62,7 +62,7 @@
         self.format = 1
         # The latest format that we can read and write.
         self.known_format = FORMAT
-        self.format_stamp = 0
+        self.format_revision = 0
         # Tasks to a chunk, as recorded with the format: the mapping never moves.
         self.per_chunk: int | None = None
         self.bad: set[str] = set()
@@ -102,14 +102,14 @@
         self.rooms.pop(machine, None)
         self.stale.add(machine)
 
-    def load(self, rows: list[tuple[str, Any, int]], epoch: int) -> None:
+    def load(self, rows: list[tuple[str, Any, int]], revision: int) -> None:
         """Take a complete list of all keys: what is missing was deleted."""
         names = {key for key, _, _ in rows}
         for key in self._keys() - names:
-            self.apply(key, None, epoch)
-        for key, value, stamp in rows:
-            self.apply(key, value, stamp)
-        self.epoch = max(self.epoch, epoch)
+            self.apply(key, None, revision)
+        for key, value, mod_revision in rows:
+            self.apply(key, value, mod_revision)
+        self.revision = max(self.revision, revision)
         self.loaded = True
 
     def _keys(self) -> set[str]:
@@ -128,32 +128,32 @@
             keys.update(guest.keys())
         return keys
 
-    def apply(self, key: str, value: Any, stamp: int) -> None:
+    def apply(self, key: str, value: Any, mod_revision: int) -> None:
         """Take one change; older news of a key than we have is dropped."""
         try:
-            self._apply(key, value, stamp)
+            self._apply(key, value, mod_revision)
         except (TypeError, ValueError, LookupError, msgspec.ValidationError) as error:
             # Of a version that we don't know: said once a key, not at every change.
             if key not in self.bad and len(self.bad) < constants.MAX_QUEUE:
                 self.bad.add(key)
                 log.error("event=bad_record key=%s why=%r", key, str(error))
 
-    def _apply(self, key: str, value: Any, stamp: int) -> None:
+    def _apply(self, key: str, value: Any, mod_revision: int) -> None:
         kind, _, rest = key.removeprefix(PREFIX).partition("/")
         if kind == "j":
-            self._apply_job(rest, value, stamp)
+            self._apply_job(rest, value, mod_revision)
         elif kind == "t":
             job_id, _, number = rest.partition("/")
-            self._apply_chunk(job_id, int(number), value, stamp)
+            self._apply_chunk(job_id, int(number), value, mod_revision)
         elif kind == "p":
-            self._apply_page(rest, value, stamp)
+            self._apply_page(rest, value, mod_revision)
         elif kind == "own":
             self.role_changes += 1
             if value is None:
-                if rest in self.roles and self.roles[rest][2] <= stamp:
+                if rest in self.roles and self.roles[rest][2] <= mod_revision:
                     del self.roles[rest]
-            elif rest not in self.roles or self.roles[rest][2] < stamp:
-                self.roles[rest] = (value[0], value[1], stamp)
+            elif rest not in self.roles or self.roles[rest][2] < mod_revision:
+                self.roles[rest] = (value[0], value[1], mod_revision)
         elif kind == "n":
             if value is None:
                 self.nodes.pop(rest, None)
@@ -163,49 +163,49 @@
             if value is None:
                 self.gone.pop(rest, None)
             else:
-                self.gone[rest] = stamp
+                self.gone[rest] = mod_revision
                 self.touch(rest)
                 self.changed_machines.add(rest)
         elif kind == "types" and value is not None:
             self.types = {row[0]: msgspec.convert(row, MachineType) for row in value}
-        elif kind == "term" and value is not None and stamp > self.term[1]:
-            self.term = (value, stamp)
+        elif kind == "term" and value is not None and mod_revision > self.term[1]:
+            self.term = (value, mod_revision)
         elif kind in self.guests:
-            self.guests[kind].apply(rest, value, stamp)
+            self.guests[kind].apply(rest, value, mod_revision)
         elif kind == "version" and value is not None:
             self.versions[rest] = value
         elif kind == "format" and value is not None:
-            self._apply_format(value, stamp)
+            self._apply_format(value, mod_revision)
 
-    def _apply_format(self, value: list, stamp: int) -> None:
-        if stamp <= self.format_stamp:
+    def _apply_format(self, value: list, mod_revision: int) -> None:
+        if mod_revision <= self.format_revision:
             return
-        self.format, self.format_stamp = value[0], stamp
+        self.format, self.format_revision = value[0], mod_revision
         if self.foreign:
             log.error("event=unknown_format format=%s known=%s", self.format, self.known_format)
         else:
             self.per_chunk = value[1]
 
-    def _apply_job(self, job_id: str, value: Any, stamp: int) -> None:
+    def _apply_job(self, job_id: str, value: Any, mod_revision: int) -> None:
         if value is None:
             return  # records of jobs are never deleted
         job = self.jobs.get(job_id)
-        if job is not None and job.stamp >= stamp:
+        if job is not None and job.mod_revision >= mod_revision:
             return
         state, team, raw, order, tasks = value
         spec = None if raw is None else msgspec.convert(raw, JobSpec)
         new = job is None
         if job is None:
-            job = self.jobs[job_id] = Job(job_id, team, state, stamp, spec, order, tasks)
+            job = self.jobs[job_id] = Job(job_id, team, state, mod_revision, spec, order, tasks)
             job.chunks.update(self.loose.pop(job_id, {}))
             self._count(job, len(job.bindings()))
             for binding in job.bindings():
                 self.touch(binding.machine)
         else:
-            job.state, job.stamp = state, stamp
+            job.state, job.mod_revision = state, mod_revision
             job.describe(spec or job.spec)
         if job.state == "cancelled":
-            self._note_cancel(stamp, job_id)
+            self._note_cancel(mod_revision, job_id)
         if job.final:
             self._ended(job)
         elif new and spec is not None:
@@ -215,10 +215,10 @@
         if job.final:
             self.changed_machines.update(b.machine for b in job.bindings())
 
-    def _note_cancel(self, stamp: int, job_id: str) -> None:
-        if stamp <= self.cancels_floor:
+    def _note_cancel(self, mod_revision: int, job_id: str) -> None:
+        if mod_revision <= self.cancels_floor:
             return
-        bisect.insort(self.cancels, (stamp, job_id))
+        bisect.insort(self.cancels, (mod_revision, job_id))
         if len(self.cancels) > 2 * constants.CANCELS_KEPT:
             old, self.cancels = (
                 self.cancels[: constants.CANCELS_KEPT],
@@ -226,15 +226,15 @@
             )
             self.cancels_floor = old[-1][0]
 
-    def cancelled_since(self, epoch: int) -> list[str] | None:
+    def cancelled_since(self, revision: int) -> list[str] | None:
         """Return all jobs cancelled after a revision, as far as we know; None if it is too old.
 
         Our own cancellations are among them from the moment that their write is answered, those
         of all others up to our own revision.
         """
-        if epoch < self.cancels_floor:
+        if revision < self.cancels_floor:
             return None
-        first = bisect.bisect_right(self.cancels, epoch, key=lambda row: row[0])
+        first = bisect.bisect_right(self.cancels, revision, key=lambda row: row[0])
         return [job_id for _, job_id in self.cancels[first:]]
 
     # --- jobs that wait on others ---
@@ -313,18 +313,23 @@
             if job.spec is not None and not job.spec.gpus and job.ready:
                 self.gpuless.add(job.id)
 
-    def _apply_chunk(self, job_id: str, number: int, value: Any, stamp: int) -> None:
-        self._set_chunk(job_id, number, None if value is None else chunk_from(value, stamp), stamp)
+    def _apply_chunk(self, job_id: str, number: int, value: Any, mod_revision: int) -> None:
+        self._set_chunk(
+            job_id,
+            number,
+            None if value is None else chunk_from(value, mod_revision),
+            mod_revision,
+        )
 
-    def _apply_page(self, name: str, value: Any, stamp: int) -> None:
+    def _apply_page(self, name: str, value: Any, mod_revision: int) -> None:
         """Take a page: of its rows those that changed, and those that are gone."""
         old = self.pages.get(name)
-        if old is not None and old.stamp >= stamp:
+        if old is not None and old.mod_revision >= mod_revision:
             return
         before = old.rows if old is not None else {}
-        page = page_from(value or [], stamp)
+        page = page_from(value or [], mod_revision)
         chunks = {
-            job_id: row_chunk(row, name, stamp)
+            job_id: row_chunk(row, name, mod_revision)
             for job_id, row in page.rows.items()
             if before.get(job_id) != row
         }
@@ -333,19 +338,19 @@
         else:  # not there: what writes it next is guarded by its absence
             self.pages.pop(name, None)
         for job_id in before.keys() - page.rows.keys():
-            self._set_chunk(job_id, ONLY_CHUNK, None, stamp)
+            self._set_chunk(job_id, ONLY_CHUNK, None, mod_revision)
         for job_id, chunk in chunks.items():
-            self._set_chunk(job_id, ONLY_CHUNK, chunk, stamp)
+            self._set_chunk(job_id, ONLY_CHUNK, chunk, mod_revision)
 
-    def _set_chunk(self, job_id: str, number: int, chunk: Chunk | None, stamp: int) -> None:
+    def _set_chunk(self, job_id: str, number: int, chunk: Chunk | None, mod_revision: int) -> None:
         """Take the newer state of a chunk, or that it is gone."""
         job = self.jobs.get(job_id)
         chunks = job.chunks if job is not None else self.loose.setdefault(job_id, {})
         old = chunks.get(number)
-        if old is not None and old.stamp >= stamp:
+        if old is not None and old.mod_revision >= mod_revision:
             return
         key = f"{job_id}/{number}"
-        if old is None and self.removed.get(key, -1) >= stamp:
+        if old is None and self.removed.get(key, -1) >= mod_revision:
             return  # a deletion that we know of is newer than this news
         bound = 0
         if old is not None:
@@ -354,7 +359,7 @@
                 self._unbind(job_id, index, binding)
         if chunk is None:
             chunks.pop(number, None)
-            self.removed[key] = stamp
+            self.removed[key] = mod_revision
             if len(self.removed) > constants.MAX_QUEUE:
                 del self.removed[next(iter(self.removed))]
         else:
--- a/oakmux/core/spread/lines.py
+++ b/oakmux/core/spread/lines.py
@@ -12,10 +12,10 @@
 from sortedcontainers import SortedList
 
 from oakmux import constants
+from oakmux.core.context import Context
 from oakmux.core.index import Class
 from oakmux.core.jobs import Job
 from oakmux.core.spread.order import elder, elder_s, late, turn_ms
-from oakmux.core.world import World
 from oakmux.wire import JobSpec
 
 
@@ -63,12 +63,12 @@
         )
 
 
-def needs_of(world: World, spec: JobSpec) -> Needs:
+def needs_of(context: Context, spec: JobSpec) -> Needs:
     """Return what a task takes of each machine type that it fits."""
     return tuple(
         Need(kind.name, _level(spec.cpus / kind.cpus), _level(spec.memory_gb / kind.memory_gb))
-        for kind in world.types.values()
-        if world.fits_type(spec, kind.name)
+        for kind in context.types.values()
+        if context.fits_type(spec, kind.name)
     )
 
 
@@ -77,14 +77,14 @@
     return math.ceil(part * constants.ROOM_LEVELS - constants.EPSILON)
 
 
-def shape_of(world: World, job: Job, spec: JobSpec) -> Shape:
+def shape_of(context: Context, job: Job, spec: JobSpec) -> Shape:
     """Return the line where a job stands."""
     return Shape(
         job.team,
         job.priority,
         spec.kind,
         spec.tasks if spec.joint else 0,
-        needs_of(world, spec),
+        needs_of(context, spec),
         spec.gpus,
         spec.zone,
         spec.spot,
@@ -101,8 +101,8 @@
 class Lines:
     """Lines of jobs by their shape."""
 
-    def __init__(self, world: World) -> None:
-        self.world = world
+    def __init__(self, context: Context) -> None:
+        self.context = context
         self.lines: dict[Shape, SortedList] = {}
         self.ages: dict[Shape, SortedList] = {}
         self.where: dict[str, tuple[Shape, Place, float]] = {}
@@ -116,7 +116,8 @@
         """Line all jobs up anew if the machine types changed, and with them the shapes; return
         whether they did."""
         sizes = {
-            kind.name: (kind.cpus, kind.gpus, kind.memory_gb) for kind in self.world.types.values()
+            kind.name: (kind.cpus, kind.gpus, kind.memory_gb)
+            for kind in self.context.types.values()
         }
         if sizes == self.sizes:
             return False
@@ -124,19 +125,19 @@
         names = list(self.where)
         self.clear()
         for name in names:
-            job = self.world.replica.jobs[name]
+            job = self.context.replica.jobs[name]
             if job.spec is not None:
                 self.put(job, job.spec)
         return True
 
     def put(self, job: Job, spec: JobSpec) -> Shape:
         """Put a job where it belongs now; return its line."""
-        shape = shape_of(self.world, job, spec)
+        shape = shape_of(self.context, job, spec)
         place = (
-            not elder(self.world, job),
+            not elder(self.context, job),
             job.latest,
-            late(self.world, job, spec),
-            turn_ms(self.world, job, spec),
+            late(self.context, job, spec),
+            turn_ms(self.context, job, spec),
             job.id,
         )
         if self.where.get(job.id) != (shape, place, job.since):
@@ -149,7 +150,7 @@
             self.ages[shape].add((job.since, job.id))
             self.where[job.id] = (shape, place, job.since)
             at = job.since + 1000 * elder_s(job)
-            if at >= self.world.clock_ms and job.id not in self.growing:
+            if at >= self.context.wall_clock_ms and job.id not in self.growing:
                 self.growing.add(job.id)
                 heapq.heappush(self.elders, (at, job.id))
         return shape
@@ -157,11 +158,11 @@
     def grow_old(self) -> None:
         """Put those anew that have waited for so long that they come first: their place in line
         was found when they were younger."""
-        while self.elders and self.elders[0][0] < self.world.clock_ms:
+        while self.elders and self.elders[0][0] < self.context.wall_clock_ms:
             _, job_id = heapq.heappop(self.elders)
             self.growing.discard(job_id)
-            job = self.world.replica.jobs[job_id]
-            if job_id in self.where and job.spec is not None and elder(self.world, job):
+            job = self.context.replica.jobs[job_id]
+            if job_id in self.where and job.spec is not None and elder(self.context, job):
                 self.put(job, job.spec)
 
     def drop(self, job_id: str) -> None:
@@ -185,8 +186,8 @@
         """Return who stands first in a line, or None."""
         while line := self.lines.get(shape):  # it is another once its only job was put anew
             place: Place = line[0]
-            job = self.world.replica.jobs[place[4]]
-            if place[2] or job.spec is None or not late(self.world, job, job.spec):
+            job = self.context.replica.jobs[place[4]]
+            if place[2] or job.spec is None or not late(self.context, job, job.spec):
                 return place
             self.put(job, job.spec)  # its aim was lost meanwhile: it goes behind the others
         return None
--- a/oakmux/core/spread/openings.py
+++ b/oakmux/core/spread/openings.py
@@ -3,9 +3,9 @@
 from typing import NamedTuple
 
 from oakmux import constants
+from oakmux.core.context import Context
 from oakmux.core.jobs import Job
 from oakmux.core.spread.order import elder
-from oakmux.core.world import World
 from oakmux.wire import JobSpec
 
 
@@ -22,8 +22,8 @@
 class Openings:
     """Openings of all owners. The older gang has a machine that two of them name."""
 
-    def __init__(self, world: World) -> None:
-        self.world = world
+    def __init__(self, context: Context) -> None:
+        self.context = context
         self.by_job: dict[str, Standing] = {}
         self.by_machine: dict[str, str] = {}
 
@@ -31,7 +31,7 @@
         self, job_id: str, priority: int, since: float, names: list[str], ready_s: float
     ) -> None:
         """Take an owner's word; no names end the opening."""
-        now = self.world.now
+        now = self.context.now
         self.by_job.pop(job_id, None)
         for other in [o for o, row in self.by_job.items() if row.until <= now]:
             del self.by_job[other]
@@ -50,27 +50,27 @@
         it and may not end in time; and what could be stopped but would have to be very soon."""
         name = self.by_machine.get(machine)
         row = self.by_job.get(name or "")
-        if row is None or name == job.id or row.until <= self.world.now:
+        if row is None or name == job.id or row.until <= self.context.now:
             return False
         if job.priority > row.priority:
             return False
         if job.priority == row.priority and (job.since, job.id) < (row.since, name):
             # Older work goes first, but not on and on: what has begun lets the others begin.
-            other = self.world.replica.jobs.get(name or "")
-            if not job.begun or other is None or not elder(self.world, other):
+            other = self.context.replica.jobs.get(name or "")
+            if not job.begun or other is None or not elder(self.context, other):
                 return False
-        left = row.ready_at - self.world.now
+        left = row.ready_at - self.context.now
         if job.priority < row.priority and spec.kind != "service" and not spec.joint:
             return left < constants.OPENING_SOON_S
         ends = spec.estimate_s * constants.OPENING_ERROR + max(
-            (self.world.fetch_s(spec, name) for name in self.world.types), default=0.0
+            (self.context.fetch_s(spec, name) for name in self.context.types), default=0.0
         )
         return spec.kind == "service" or ends > left
 
     def names(self, machine: str) -> bool:
         """Whether a machine waits for a gang: it is empty for that, not for want of work."""
         row = self.by_job.get(self.by_machine.get(machine, ""))
-        return row is not None and row.until > self.world.now
+        return row is not None and row.until > self.context.now
 
     def held(self, job: Job) -> set[str]:
         """Return the machines that openings of jobs before this one name. What younger ones wait
--- a/oakmux/core/spread/order.py
+++ b/oakmux/core/spread/order.py
@@ -8,18 +8,18 @@
 """
 
 from oakmux import constants
+from oakmux.core.context import Context
 from oakmux.core.jobs import Job
-from oakmux.core.world import World
 from oakmux.wire import JobSpec
 
 
-def elder(world: World, job: Job) -> bool:
+def elder(context: Context, job: Job) -> bool:
     """Whether a job of which nothing has started comes before all others of its priority: it is
     well on its way to the time by which all work must have begun, the largest too."""
     return (
-        world.clock_ms - job.since > 1000 * elder_s(job)
+        context.wall_clock_ms - job.since > 1000 * elder_s(job)
         and not job.begun
-        and not world.failures.suspect(job)
+        and not context.failures.suspect(job)
     )
 
 
@@ -30,27 +30,27 @@
     return constants.BEGIN_S * (constants.ELDER_GANG_SHARE if joint else constants.ELDER_SHARE)
 
 
-def turn_ms(world: World, job: Job, spec: JobSpec) -> float:
+def turn_ms(context: Context, job: Job, spec: JobSpec) -> float:
     """Return the time (ms) by which a job's age counts: an array of much work is younger."""
-    if spec.kind != "array" or elder(world, job):
+    if spec.kind != "array" or elder(context, job):
         return job.since
     work = spec.tasks * spec.estimate_s * max(spec.gpus, constants.GPULESS_WEIGHT)
-    return job.since + 1000 * min(constants.SIZE_MOST_S, work / world.part_gpus)
+    return job.since + 1000 * min(constants.SIZE_MOST_S, work / context.array_share_gpus)
 
 
-def late(world: World, job: Job, spec: JobSpec) -> bool:
+def late(context: Context, job: Job, spec: JobSpec) -> bool:
     """Whether an array can't meet its class's aim for finishing any more, by its estimate."""
-    within = world.finish_aims.get(spec.lane)
+    within = context.finish_objectives.get(spec.lane)
     return (
         spec.kind == "array"
         and within is not None
-        and world.clock_ms > job.since + 1000 * (within - spec.estimate_s)
-        and not elder(world, job)
+        and context.wall_clock_ms > job.since + 1000 * (within - spec.estimate_s)
+        and not elder(context, job)
     )
 
 
-def aged(world: World, job: Job, spec: JobSpec) -> bool:
+def aged(context: Context, job: Job, spec: JobSpec) -> bool:
     """Whether a job has waited for so long that a share of what frees up is for it."""
-    aims = world.wait_aims.get(spec.lane)
+    aims = context.start_objectives.get(spec.lane)
     patience = constants.AGED_AIMS * max(aims) if aims else constants.AGED_S
-    return world.clock_ms - job.since > 1000 * patience or elder(world, job)
+    return context.wall_clock_ms - job.since > 1000 * patience or elder(context, job)
--- a/oakmux/core/spread/sites.py
+++ b/oakmux/core/spread/sites.py
@@ -5,41 +5,43 @@
 
 from oakmux import constants
 from oakmux.core import teams
+from oakmux.core.context import Context, Machine, Task
 from oakmux.core.jobs import Binding, Job
 from oakmux.core.keeper.room import room
 from oakmux.core.spread.opening import Held, Site
-from oakmux.core.world import Machine, Task, World
 from oakmux.wire import JobSpec
 
 
-def left_s(world: World, machine: Machine, task: Task, spec: JobSpec) -> float:
+def left_s(context: Context, machine: Machine, task: Task, spec: JobSpec) -> float:
     """Return the seconds until a task ends by itself, by its owner's estimate."""
     if spec.kind == "service":
         return math.inf
     state = machine.tasks.get(task, ("",))[0]
-    ran = world.now - machine.since.get(task, world.now)
+    ran = context.now - machine.since.get(task, context.now)
     if state != "running":  # it has yet to fetch its image, or to meet its gang
-        return spec.estimate_s + world.fetch_s(spec, machine.type)
+        return spec.estimate_s + context.fetch_s(spec, machine.type)
     overrun = max(constants.OVERRUN_LEAST_S, constants.OVERRUN_SHARE * ran)
     return max(spec.estimate_s - ran, overrun if ran > spec.estimate_s else 0.0)
 
 
-def sites(world: World, job: Job, spec: JobSpec, machines: Iterable[Machine]) -> list[Site]:
+def sites(context: Context, job: Job, spec: JobSpec, machines: Iterable[Machine]) -> list[Site]:
     """Return machines for a job that looks for room on them."""
-    beyond = teams.beyond(world, job, spec, teams.usage(world))
+    beyond = teams.beyond(context, job, spec, teams.usage(context))
     found = []
     for machine in machines:
         held = []
-        for (name, index), binding in world.replica.by_machine.get(machine.name, {}).items():
-            other = world.replica.jobs.get(name)
+        for (name, index), binding in context.replica.by_machine.get(machine.name, {}).items():
+            other = context.replica.jobs.get(name)
             if other is not None and other.spec is not None and name != job.id:
-                held.append(_held(world, job, machine, other, other.spec, index, binding, beyond))
-        found.append(Site(machine.name, machine.zone, room(world, machine), tuple(held)))
+                held.append(
+                    _held(context, job, machine, other, other.spec, index, binding, beyond)
+                )
+        found.append(Site(machine.name, machine.zone, room(context, machine), tuple(held)))
     return found
 
 
 def _held(
-    world: World,
+    context: Context,
     job: Job,
     machine: Machine,
     other: Job,
@@ -57,6 +59,6 @@
         and not spec.joint
         and (other.priority < job.priority or other.team in beyond)
     ):
-        ran = world.now - machine.since.get(task, world.now)
+        ran = context.now - machine.since.get(task, context.now)
         return Held(takes, 0.0, min(ran, spec.save_s) if spec.checkpoint_s else ran)
-    return Held(takes, left_s(world, machine, task, spec), 0.0)
+    return Held(takes, left_s(context, machine, task, spec), 0.0)
--- a/oakmux/core/spread/waiting.py
+++ b/oakmux/core/spread/waiting.py
@@ -12,10 +12,10 @@
 from typing import TYPE_CHECKING
 
 from oakmux import constants
+from oakmux.core.context import Context
 from oakmux.core.index import Class
 from oakmux.core.jobs import Job
 from oakmux.core.spread.lines import Lines, Shape
-from oakmux.core.world import World
 
 if TYPE_CHECKING:  # the owner's parts import this one
     from oakmux.core.owner.state import Open
@@ -40,10 +40,10 @@
 class Waiting:
     """The jobs of our teams, by when they are sampled next."""
 
-    def __init__(self, world: World, open_jobs: "dict[str, Open]") -> None:
-        self.world = world
+    def __init__(self, context: Context, open_jobs: "dict[str, Open]") -> None:
+        self.context = context
         self.open = open_jobs
-        self.lines = Lines(world)
+        self.lines = Lines(context)
         self.shut: dict[Shape, Shut] = {}
         # Room that a line's jobs have asked for within RESAMPLE_S: [(until, tasks)].
         self.asked: dict[Shape, list[tuple[float, int]]] = {}
@@ -99,17 +99,17 @@
         )
         old = self.shut.get(shape)
         pause = constants.WIDE_S if old is None else min(most, 2 * old.pause)
-        self.shut[shape] = Shut(self.world.now + pause, pause, False)
+        self.shut[shape] = Shut(self.context.now + pause, pause, False)
 
     def beyond_limit(self, shape: Shape) -> None:
         """The team's limit keeps a line back."""
-        self.shut[shape] = Shut(self.world.now + constants.RESAMPLE_S, constants.WIDE_S, True)
+        self.shut[shape] = Shut(self.context.now + constants.RESAMPLE_S, constants.WIDE_S, True)
 
     def found(self, shape: Shape, wanted: int, there: int | None) -> None:
         """A job of a line asked for room for so many tasks. Where all that there is was counted
         (`there`) and is asked for now, those behind it wait until more comes or some of it was not
         had: each would ask for the same."""
-        now = self.world.now
+        now = self.context.now
         self.shut.pop(shape, None)
         asked = [row for row in self.asked.get(shape, ()) if row[0] > now]
         asked.append((now + constants.RESAMPLE_S, wanted))
@@ -139,12 +139,12 @@
 
     def ripen(self) -> None:
         """Put jobs whose time has come into their lines."""
-        now = self.world.now
+        now = self.context.now
         if self.lines.resize():
             self.shut.clear()
             self.asked.clear()
         self.lines.grow_old()
-        jobs = self.world.replica.jobs
+        jobs = self.context.replica.jobs
         while self.timers and self.timers[0][0] <= now:
             at, job_id = heapq.heappop(self.timers)
             state = self.open.get(job_id)
@@ -157,7 +157,7 @@
 
     def turns(self) -> list[Turn]:
         """Return the first job of each open line as a heap, the most urgent first."""
-        now = self.world.now
+        now = self.context.now
         rows: list[Turn] = []
         for shape in list(self.lines.lines):
             shut = self.shut.get(shape)
@@ -172,6 +172,6 @@
         """Return the turn of a line's first job, or None if the line is shut or empty."""
         shut = self.shut.get(shape)
         head = self.lines.head(shape)
-        if head is None or (shut is not None and shut.until > self.world.now):
+        if head is None or (shut is not None and shut.until > self.context.now):
             return None
         return (-shape.priority, *head, shape)
--- a/oakmux/core/teams.py
+++ b/oakmux/core/teams.py
@@ -1,14 +1,14 @@
 """Limits and guarantees of teams."""
 
 from oakmux import constants
+from oakmux.core.context import Context
 from oakmux.core.jobs import Job
-from oakmux.core.world import World
 from oakmux.wire import JobSpec
 
 
-def beyond_limit(world: World, team: str, cpus: float, gpus: float) -> bool:
+def beyond_limit(context: Context, team: str, cpus: float, gpus: float) -> bool:
     """Whether use of this much would break the team's limit."""
-    limits = world.teams.get(team)
+    limits = context.teams.get(team)
     if limits is None:
         return True
     return bool(
@@ -18,10 +18,10 @@
 
 
 def tasks_left(
-    world: World, team: str, spec: JobSpec, used: dict[str, tuple[float, float]]
+    context: Context, team: str, spec: JobSpec, used: dict[str, tuple[float, float]]
 ) -> int:
     """Return how many more tasks of a job its team's limit allows."""
-    limits = world.teams.get(team)
+    limits = context.teams.get(team)
     if limits is None:
         return 0
     cpus, gpus = used.get(team, (0.0, 0.0))
@@ -36,13 +36,13 @@
     return max(0, min(counts, default=spec.tasks))
 
 
-def never_fits(world: World, spec: JobSpec) -> str | None:
+def never_fits(context: Context, spec: JobSpec) -> str | None:
     """Return why a job can never run, or None."""
-    if spec.team not in world.teams:
+    if spec.team not in context.teams:
         return "unknown team"
-    if spec.zone is not None and spec.zone not in world.facts.zones:
+    if spec.zone is not None and spec.zone not in context.facts.zones:
         return "unknown zone"
-    kinds = [kind for name, kind in world.types.items() if world.fits_type(spec, name)]
+    kinds = [kind for name, kind in context.types.items() if context.fits_type(spec, name)]
     if not kinds:
         return "a task fits no allowed machine type"
     zones = {zone for kind in kinds for zone in kind.zones if spec.zone in (None, zone)}
@@ -51,19 +51,19 @@
     count = 1 if spec.kind == "array" else spec.tasks
     if spec.spread and count > 1 and (spec.one_zone or len(zones) < 2):
         return "tasks that run at the same time can't be spread over one zone"
-    if beyond_limit(world, spec.team, spec.cpus * count, spec.gpus * count):
+    if beyond_limit(context, spec.team, spec.cpus * count, spec.gpus * count):
         return "more than the team's limit"
     return None
 
 
-def usage(world: World) -> dict[str, tuple[float, float]]:
+def usage(context: Context) -> dict[str, tuple[float, float]]:
     """Return what each team's tasks use by the records: {team: (cpus, gpus)}; only to be read."""
-    return world.replica.used
+    return context.replica.used
 
 
-def within_guarantee(world: World, team: str, cpus: float, gpus: float) -> bool:
+def within_guarantee(context: Context, team: str, cpus: float, gpus: float) -> bool:
     """Whether this use lies within what the team is guaranteed."""
-    limits = world.teams.get(team)
+    limits = context.teams.get(team)
     if limits is None or not (limits.cpus or limits.gpus):
         return False
     return (not limits.cpus or cpus <= limits.cpus + constants.EPSILON) and (
@@ -72,31 +72,31 @@
 
 
 def inside(
-    world: World, job: Job, spec: JobSpec, used: dict[str, tuple[float, float]], count: int = 1
+    context: Context, job: Job, spec: JobSpec, used: dict[str, tuple[float, float]], count: int = 1
 ) -> bool:
     """Whether so many more tasks of a job stay within what its team is guaranteed."""
     cpus, gpus = used.get(job.team, (0.0, 0.0))
-    return within_guarantee(world, job.team, cpus + count * spec.cpus, gpus + count * spec.gpus)
+    return within_guarantee(context, job.team, cpus + count * spec.cpus, gpus + count * spec.gpus)
 
 
 def beyond(
-    world: World, job: Job, spec: JobSpec, used: dict[str, tuple[float, float]]
+    context: Context, job: Job, spec: JobSpec, used: dict[str, tuple[float, float]]
 ) -> list[str]:
     """Return the other teams whose work must give way to a job, since they use more than they
     are guaranteed and it is within its own team's guarantee."""
-    if not inside(world, job, spec, used, spec.tasks if spec.kind == "gang" else 1):
+    if not inside(context, job, spec, used, spec.tasks if spec.kind == "gang" else 1):
         return []
     return [
         team
-        for team in world.teams
-        if team != job.team and not within_guarantee(world, team, *used.get(team, (0.0, 0.0)))
+        for team in context.teams
+        if team != job.team and not within_guarantee(context, team, *used.get(team, (0.0, 0.0)))
     ]
 
 
-def share(world: World, team: str, used: dict[str, tuple[float, float]]) -> float:
+def share(context: Context, team: str, used: dict[str, tuple[float, float]]) -> float:
     """Return a team's use as a share of its guarantee, for fairness between teams."""
     cpus, gpus = used.get(team, (0.0, 0.0))
-    limits = world.teams.get(team)
+    limits = context.teams.get(team)
     if limits is None:
         return 1e9
     parts = [
--- a/oakmux/net/peers.py
+++ b/oakmux/net/peers.py
@@ -26,7 +26,7 @@
 
     tag: str
     label: str
-    life: int
+    incarnation: int
     state_age: float
     cancelled: list[str]
     until: int = -1
@@ -71,7 +71,7 @@
         self.outbox: list[tuple] = []
         self.woken = asyncio.Event()
         self.hurry = asyncio.Event()
-        self.life = -1
+        self.incarnation = -1
 
     def send(self, message: tuple) -> None:
         """Queue a message."""
@@ -132,9 +132,17 @@
             word = msgspec.convert(wire.decode(answer), Answer)
         except msgspec.ValidationError as error:
             raise wire.Malformed(str(error)) from None
-        if word.life != self.life:
-            self.life = word.life
+        if word.incarnation != self.incarnation:
+            self.incarnation = word.incarnation
             self.put(("peer_new", self.peer))
         self.put(
-            ("peer_alive", self.peer, word.life, word.state_age, word.cancelled, asked, word.until)
+            (
+                "peer_alive",
+                self.peer,
+                word.incarnation,
+                word.state_age,
+                word.cancelled,
+                asked,
+                word.until,
+            )
         )
--- a/oakmux/net/state.py
+++ b/oakmux/net/state.py
@@ -223,28 +223,28 @@
     async def follow(self) -> None:
         """Read all records, then watch them for ever."""
         tries = 0
-        epoch: int | None = None
+        revision: int | None = None
         loop = asyncio.get_running_loop()
         while True:
             try:
-                if epoch is None:
-                    epoch = await self._load()
+                if revision is None:
+                    revision = await self._load()
                 asked = loop.time()
                 path = (
-                    f"{wire.PATH_WATCH}?prefix={PREFIX}&since={epoch}"
+                    f"{wire.PATH_WATCH}?prefix={PREFIX}&since={revision}"
                     f"&block_ms={int(constants.WATCH_BLOCK_S * 1000)}"
                 )
                 status, answer = await self._paced(
                     path, constants.WATCH_BLOCK_S + constants.STATE_TIMEOUT_S
                 )
                 if status == 200:
-                    events, epoch = wire.parse_events(answer)
-                    self.put(("watch", events, epoch, asked))
+                    events, revision = wire.parse_events(answer)
+                    self.put(("watch", events, revision, asked))
                     tries = 0
                     await asyncio.sleep(max(0.0, asked + self.watch_gap - loop.time()))
                     continue
                 if status == 410:
-                    epoch = None
+                    revision = None
                     continue
             except (NotSent, NoAnswer, wire.Malformed) as error:
                 log.debug("event=watch_failed why=%s", error)
@@ -265,9 +265,9 @@
             status, answer = await self._paced(path, 2 * constants.STATE_TIMEOUT_S)
             if status != 200:
                 raise NoAnswer(f"status {status}")
-            items, more, epoch = wire.parse_rows(answer)
+            items, more, revision = wire.parse_rows(answer)
             rows += items
-            first = epoch if first is None else first
+            first = revision if first is None else first
             if not more or not items:
                 break
             since = items[-1][0]
--- a/oakmux/net/workers.py
+++ b/oakmux/net/workers.py
@@ -17,12 +17,12 @@
         self.client = Client(constants.WORKER_CONNECTIONS)
 
     async def orders(
-        self, op: int, addr: str, token: int, session: int, orders: list[dict]
+        self, op: int, addr: str, fencing_token: int, agent_epoch: int, orders: list[dict]
     ) -> None:
         """Send orders: ok, refused, unsent (certainly nothing done) or lost (not known)."""
         outcome, report = "lost", None
         try:
-            body = wire.encode(wire.orders_body(token, session, orders))
+            body = wire.encode(wire.orders_body(fencing_token, agent_epoch, orders))
             status, answer = await self.client.request(
                 addr, "POST", wire.PATH_ORDERS, body, constants.ORDERS_TIMEOUT_S
             )
--- a/oakmux/schedules/clock.py
+++ b/oakmux/schedules/clock.py
@@ -15,8 +15,8 @@
 from typing import Any
 
 from oakmux import constants
+from oakmux.core.context import Context, event
 from oakmux.core.jobs import job_key, job_value, role_key
-from oakmux.core.world import World, event
 from oakmux.schedules import policy, records, templates
 from oakmux.schedules.records import Entry, Slot, Store
 from oakmux.schedules.turns import Turn, mark_at, turns
@@ -27,8 +27,8 @@
 class Daytime:
     """The time of day, from what the machine's clock said last and the steady clock since."""
 
-    def __init__(self, world: World) -> None:
-        self.world = world
+    def __init__(self, context: Context) -> None:
+        self.context = context
         self.said: tuple[int, float] | None = None
         self.hold_until = 0.0
 
@@ -37,20 +37,20 @@
         if self.said is not None:
             step = ms - self.now_ms()
             if abs(step) > constants.JUMP_S * 1000:
-                self.hold_until = self.world.now + constants.JUMP_HOLD_S
+                self.hold_until = self.context.now + constants.JUMP_HOLD_S
                 event("clock_jump", step_ms=step)
-        self.said = (ms, self.world.now)
+        self.said = (ms, self.context.now)
 
     def now_ms(self) -> int:
         """Return the time of day (ms since 1970)."""
         if self.said is None:
-            return self.world.wall + int(self.world.now * 1000)
-        return self.said[0] + int((self.world.now - self.said[1]) * 1000)
+            return self.context.wall + int(self.context.now * 1000)
+        return self.said[0] + int((self.context.now - self.said[1]) * 1000)
 
     @property
     def steady(self) -> bool:
         """Whether the clock is known and was not just stepped."""
-        return self.said is not None and self.world.now >= self.hold_until
+        return self.said is not None and self.context.now >= self.hold_until
 
 
 class Plan:
@@ -145,8 +145,8 @@
 class Clock:
     """Makes the turns of all entries while the role is ours."""
 
-    def __init__(self, world: World, store: Store, daytime: Daytime) -> None:
-        self.world = world
+    def __init__(self, context: Context, store: Store, daytime: Daytime) -> None:
+        self.context = context
         self.store = store
         self.daytime = daytime
         self.held = 0  # the version of the role that the plans were made under
@@ -165,10 +165,10 @@
 
     def tick(self) -> None:
         """Do what is due; at most so much that other work goes on."""
-        stamp = self.world.my_roles.get(CLOCK, 0)
-        if stamp != self.held:
-            self._taken(stamp)
-        if not stamp:
+        mod_revision = self.context.held_roles.get(CLOCK, 0)
+        if mod_revision != self.held:
+            self._taken(mod_revision)
+        if not mod_revision:
             self.store.changed.clear()
             return
         self._again(self.store.changed)
@@ -177,7 +177,7 @@
         # Without news from the state service nothing can be written, and what runs is not known.
         if (
             not self.daytime.steady
-            or self.world.now - self.world.state_heard > constants.STATE_STALE_S
+            or self.context.now - self.context.store_seen_at > constants.STATE_STALE_S
         ):
             return
         now_ms = self.daytime.now_ms()
@@ -188,17 +188,17 @@
             plan = self.plans.get(name)
             if plan is not None and id(plan) == serial:
                 self._now_due(plan)
-        if self.world.now >= self.next_look:
-            self.next_look = self.world.now + constants.QUEUED_LOOK_S
+        if self.context.now >= self.next_look:
+            self.next_look = self.context.now + constants.QUEUED_LOOK_S
             for name in sorted(self.queued):
                 plan = self.plans.get(name)
                 if plan is not None and not self.busy(plan.entry, plan.slot):
                     self._now_due(plan)
         self._write(now_ms)
 
-    def _taken(self, stamp: int) -> None:
+    def _taken(self, mod_revision: int) -> None:
         """The role came or went: what was planned under it is void."""
-        self.held = stamp
+        self.held = mod_revision
         for held in (
             self.plans,
             self.heap,
@@ -212,7 +212,7 @@
             self.tried,
         ):
             held.clear()
-        if stamp:
+        if mod_revision:
             event("clock_taken", entries=len(self.store.entries))
             self._again(set(self.store.entries))
 
@@ -258,7 +258,7 @@
             )
 
     def _due_ms(self, entry: Entry, turn: Turn) -> int:
-        return policy.planned_ms(entry, turn) + math.ceil(self.world.facts.skew_ms)
+        return policy.planned_ms(entry, turn) + math.ceil(self.context.facts.skew_ms)
 
     # --- writing ---
 
@@ -268,7 +268,7 @@
 
     def live(self, entry: Entry, slot: Slot) -> list[Any]:
         """Return the jobs of the turns that the slot still knows."""
-        jobs, steps = self.world.replica.jobs, self.store.steps(entry)
+        jobs, steps = self.context.replica.jobs, self.store.steps(entry)
         return [
             jobs[name]
             for row in slot.rows
@@ -284,7 +284,7 @@
         waiting = [
             (best, number)
             for number, best in self.due.best().items()
-            if number not in self.flying and self.not_before.get(number, 0) <= self.world.now
+            if number not in self.flying and self.not_before.get(number, 0) <= self.context.now
         ]
         if not waiting:
             return
@@ -329,8 +329,8 @@
         entry = plan.entry
         slot = plan.slot
         template = self.store.templates.get(entry.template)
-        refusal = templates.refusal(self.world, template)
-        if template is not None and templates.early(self.world, template):
+        refusal = templates.refusal(self.context, template)
+        if template is not None and templates.early(self.context, template):
             # An upgrade is under way: waits_on can't be recorded yet. Others go on meanwhile.
             self.due.pop(entry.name)
             heapq.heappush(self.heap, (now_ms + 1000, entry.name, id(plan)))
@@ -406,7 +406,7 @@
 
     def _fits(self, batch: Batch, plan: Plan, made: policy.Decision, at: int, now_ms: int) -> bool:
         """Add the jobs of a decision if there is room in the transaction."""
-        limits = self.world.facts.state.least
+        limits = self.context.facts.state.least
         if not made.make:
             return len(batch.writes) + 1 <= limits.txn_ops
         entry, store = plan.entry, self.store
@@ -422,7 +422,7 @@
                             None,
                         )
                     )
-                    guards[job_key(job.id)] = job.stamp
+                    guards[job_key(job.id)] = job.mod_revision
         if len(batch.writes) + len(writes) + 1 > limits.txn_ops:
             if batch.writes or batch.slots:
                 return False
@@ -449,7 +449,7 @@
         guards = {role_key(CLOCK): self.held, **self.store.guards(write[0]), **batch.guards}
         self.flying.add(number)
         held = self.held
-        self.world.call(
+        self.context.call(
             lambda s, r: self._sent(batch, write[1], held, s, r),
             "txn",
             list(guards.items()),
@@ -465,7 +465,7 @@
                 self._failed(batch, status, result)
             return
         self.failed.pop(batch.shard, None)
-        replica, store = self.world.replica, self.store
+        replica, store = self.context.replica, self.store
         for key, row, _ in batch.writes:
             replica.apply(key, row, result[0])
         for said in batch.said:
@@ -501,7 +501,7 @@
         if status == 400:
             event("turns_refused", shard=batch.shard, jobs=len(batch.writes))
             pause = constants.RETRY_MOST_S
-        self.not_before[batch.shard] = self.world.now + pause
+        self.not_before[batch.shard] = self.context.now + pause
         if status == 409 and result is not None:
             self._taken_ids(batch, result)
         self._again(set(batch.slots))
--- a/oakmux/schedules/dav/serve.py
+++ b/oakmux/schedules/dav/serve.py
@@ -176,7 +176,7 @@
             CAL + "calendar-home-set": Prop("", home),
         }
 
-    def _calendar_props(self, team: str, title: str, epoch: int) -> dict[str, Prop]:
+    def _calendar_props(self, team: str, title: str, revision: int) -> dict[str, Prop]:
         reports = [
             element(DAV + "supported-report", "", element(DAV + "report", "", element(tag)))
             for tag in (CAL + "calendar-query", CAL + "calendar-multiget", DAV + "sync-collection")
@@ -192,8 +192,8 @@
             DAV + "displayname": Prop(title),
             DAV + "current-user-principal": Prop("", (href(f"{ROOT}{team}/"),)),
             DAV + "owner": Prop("", (href(f"{ROOT}{team}/"),)),
-            DAV + "sync-token": Prop(f"{SYNC}{epoch}"),
-            CS + "getctag": Prop(f"{SYNC}{epoch}"),
+            DAV + "sync-token": Prop(f"{SYNC}{revision}"),
+            CS + "getctag": Prop(f"{SYNC}{revision}"),
             DAV + "supported-report-set": Prop("", tuple(reports)),
             DAV + "current-user-privilege-set": Prop("", tuple(rights)),
             CAL + "supported-calendar-component-set": Prop(
--- a/oakmux/schedules/desk.py
+++ b/oakmux/schedules/desk.py
@@ -13,8 +13,8 @@
 import msgspec
 
 from oakmux import constants
+from oakmux.core.context import Context, event
 from oakmux.core.jobs import value_bytes, value_limit
-from oakmux.core.world import World, event
 from oakmux.schedules import templates, zones
 from oakmux.schedules.clock import Daytime
 from oakmux.schedules.records import (
@@ -48,11 +48,11 @@
 class Desk:
     """Serves one controller's requests about schedules."""
 
-    def __init__(self, world: World, store: Store, daytime: Daytime) -> None:
-        self.world = world
+    def __init__(self, context: Context, store: Store, daytime: Daytime) -> None:
+        self.context = context
         self.store = store
         self.daytime = daytime
-        self.shows = Shows(world, store)
+        self.shows = Shows(context, store)
         self.again: list[tuple[float, Callable[[], None]]] = []
         self.operations: dict[str, Callable[[Any, dict], None]] = {
             "template": self._put_template,
@@ -79,13 +79,13 @@
 
     def request(self, rid: Any, operation: str, args: dict) -> None:
         """Serve a request; answers at once, or when what it writes is written."""
-        world = self.world
+        context = self.context
         serve = self.operations.get(operation)
         if serve is None or not isinstance(args, dict):
             self._error(rid, Refused(404, "unknown operation"))
-        elif not world.replica.loaded or world.replica.foreign:
+        elif not context.replica.loaded or context.replica.foreign:
             self._error(rid, Refused(503, "starting"))
-        elif world.now - world.state_heard > constants.STATE_STALE_S:
+        elif context.now - context.store_seen_at > constants.STATE_STALE_S:
             self._error(rid, Refused(503, "no current records"))
         else:
             self._attempt(rid, partial(serve, rid, args))
@@ -102,13 +102,13 @@
             self._error(rid, Refused(400, f"bad request: {error!r}"[: constants.NOTE_TEXT]))
 
     def _error(self, rid: Any, error: Refused) -> None:
-        self.world.emit("answer", rid, error.status, ("error", str(error)))
+        self.context.emit("answer", rid, error.status, ("error", str(error)))
 
     def tick(self) -> None:
         """Go on with what waits for newer records."""
         due, self.again = (
-            [row for row in self.again if row[0] <= self.world.now],
-            [row for row in self.again if row[0] > self.world.now],
+            [row for row in self.again if row[0] <= self.context.now],
+            [row for row in self.again if row[0] > self.context.now],
         )
         for _, run in due:
             try:
@@ -147,7 +147,7 @@
         def done(outcome: int, result: Any) -> None:
             if outcome == 200:
                 for write in writes:
-                    self.world.replica.apply(
+                    self.context.replica.apply(
                         write[0], write[1] if len(write) > 1 else None, result[0]
                     )
                 if said:
@@ -161,7 +161,7 @@
                 # The watch brings what was in the way within a moment.
                 self.again.append(
                     (
-                        self.world.now + constants.TICK_S * (1 + tries),
+                        self.context.now + constants.TICK_S * (1 + tries),
                         lambda: self._write(rid, build, then, tries + 1, said),
                     )
                 )
@@ -170,7 +170,7 @@
             else:
                 self._error(rid, Refused(503, "not known to be written"))
 
-        self.world.call(done, "txn", list(guards.items()), writes, 0)
+        self.context.call(done, "txn", list(guards.items()), writes, 0)
 
     # --- templates ---
 
@@ -179,7 +179,7 @@
         self._need_types()
         said: dict[str, Any] = {}
         template = templates.from_steps(args["steps"], team)
-        templates.check(self.world, template)
+        templates.check(self.context, template)
         key = template_key(name)
 
         def build() -> Change:
@@ -199,7 +199,7 @@
             self._write(rid, build, said=said)
 
     def _need_types(self) -> None:
-        if not self.world.types:
+        if not self.context.types:
             raise Refused(503, "machine types are not known yet")
 
     def _remove_template(self, rid: Any, args: dict) -> None:
@@ -256,7 +256,7 @@
         if template.partition("/")[0] != name.partition("/")[0]:
             raise Refused(422, f"{template} is another team's template")
         self._need_types()
-        templates.check(self.world, self.store.templates[template])
+        templates.check(self.context, self.store.templates[template])
         until, deadline = int(args.get("until") or 0), args.get("deadline_s")
         if not 0 <= until < 10**11 or deadline is not None and not 0 < deadline < 1e12:
             raise Refused(422, "until or deadline_s: out of range")
@@ -277,7 +277,7 @@
 
     def _now_s(self) -> int:
         """Return the time (s) up to which, by any clock here, turns may not have been made."""
-        return (self.daytime.now_ms() - int(self.world.facts.skew_ms)) // 1000
+        return (self.daytime.now_ms() - int(self.context.facts.skew_ms)) // 1000
 
     def _fresh_slot(self, entry: Entry, old: Slot | None) -> Slot:
         """Return where turns begin: those before the edit are over or dropped."""
@@ -290,14 +290,14 @@
 
     def _shard(self, number_of_new: int) -> tuple[int, int]:
         """Return a shard with room, and for how many of the new entries."""
-        capacity = max(1, value_limit(self.world.facts.state.least) // constants.SLOT_BYTES)
+        capacity = max(1, value_limit(self.context.facts.state.least) // constants.SLOT_BYTES)
         found: list[int] = []
         number = 0
         while len(found) < constants.SHARD_CHOICES:
             if len(self.store.shards.get(number, ())) < capacity:
                 found.append(number)
             number += 1
-        chosen = self.world.rng.choice(found)
+        chosen = self.context.rng.choice(found)
         return chosen, min(number_of_new, capacity - len(self.store.shards.get(chosen, ())))
 
     def _check(self, rid: Any, args: dict) -> None:
@@ -351,7 +351,7 @@
             if args.get("if_match"):
                 raise Refused(412, "no such entry")
             number, room = self._shard(len(left))
-            limits = self.world.facts.state.least
+            limits = self.context.facts.state.least
             guards = self.store.guards(shard_key(number))
             writes: list[tuple] = []
             slots: dict[str, Slot] = {}
@@ -416,14 +416,14 @@
 
     def _sized(self, entry: Entry) -> Any:
         value = value_of(entry)
-        size, most = value_bytes(value), value_limit(self.world.facts.state.least)
+        size, most = value_bytes(value), value_limit(self.context.facts.state.least)
         if size > most:
             raise Refused(413, f"{entry.name}: {size} bytes: a record holds {most}")
         return value
 
     def _parts(self, name: str, text: str) -> list[tuple]:
         """Return the writes of a calendar object's text, cut so that each fits a record."""
-        limits = self.world.facts.state.least
+        limits = self.context.facts.state.least
         most = value_limit(limits)
         parts: list[tuple] = []
         rest = text
@@ -534,16 +534,16 @@
         def build() -> Change:
             entry, slot = self.shows.entry(args)
             template = self.store.templates.get(entry.template)
-            refusal = templates.refusal(self.world, template)
+            refusal = templates.refusal(self.context, template)
             if refusal is not None or template is None:
                 raise Refused(422, refusal or "no template")
             turn = f"hand:{word}"
             now_ms = self.daytime.now_ms()
             ids, guards, writes = templates.submission(entry, template, turn, now_ms)
             body = {"name": entry.name, "jobs": ids}
-            if ids[0] in self.world.replica.jobs:
+            if ids[0] in self.context.replica.jobs:
                 return {}, [], 200, body
-            if templates.early(self.world, template):
+            if templates.early(self.context, template):
                 raise Refused(503, "an upgrade is under way: waits_on can't be recorded yet")
             guards.update(self.store.guards(entry_key(entry.name), template_key(entry.template)))
             self._with_slot(
--- a/oakmux/schedules/part.py
+++ b/oakmux/schedules/part.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from oakmux.core.world import World
+from oakmux.core.context import Context
 from oakmux.schedules.clock import CLOCK, Clock, Daytime
 from oakmux.schedules.desk import Desk
 from oakmux.schedules.records import KIND, RESERVED, Store
@@ -11,15 +11,15 @@
 class Schedules:
     """Joins records, clock and desk to a controller."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, context: Context) -> None:
         self.store = Store()
-        self.daytime = Daytime(world)
-        self.clock = Clock(world, self.store, self.daytime)
-        self.desk = Desk(world, self.store, self.daytime)
-        self.world = world
-        world.replica.guests[KIND] = self.store
-        world.more_roles.append(CLOCK)
-        world.reserved = RESERVED
+        self.daytime = Daytime(context)
+        self.clock = Clock(context, self.store, self.daytime)
+        self.desk = Desk(context, self.store, self.daytime)
+        self.context = context
+        context.replica.guests[KIND] = self.store
+        context.extra_roles.append(CLOCK)
+        context.reserved = RESERVED
         self.commands: dict[str, Callable[..., None]] = {
             "time": self.daytime.say,
             "schedules": self.desk.request,
@@ -27,9 +27,9 @@
 
     def tick(self) -> None:
         """Make turns that are due and go on with requests."""
-        if not self.world.replica.loaded:
+        if not self.context.replica.loaded:
             return
         if not self.store.log_since:
-            self.store.log_since = self.world.replica.epoch
+            self.store.log_since = self.context.replica.revision
         self.desk.tick()
         self.clock.tick()
--- a/oakmux/schedules/plugin.py
+++ b/oakmux/schedules/plugin.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from oakmux import constants, settings, wire
+from oakmux.core.context import Context
 from oakmux.core.controller import Part
-from oakmux.core.world import World
 from oakmux.net.http import Request
 from oakmux.schedules import zones
 from oakmux.schedules.dav import tokens
@@ -34,7 +34,7 @@
 class Plugin:
     """Schedules, outside the core."""
 
-    parts: Sequence[Callable[[World], Part]] = (Schedules,)
+    parts: Sequence[Callable[[Context], Part]] = (Schedules,)
 
     def __init__(self, caldav: CalDav | None) -> None:
         self.caldav = caldav
--- a/oakmux/schedules/records.py
+++ b/oakmux/schedules/records.py
@@ -191,13 +191,13 @@
         """Return the keys of all records that stand."""
         return set(self.stamps)
 
-    def stamp(self, key: str) -> int:
+    def mod_revision(self, key: str) -> int:
         """Return a key's version for a guard; 0: there is none."""
         return self.stamps.get(key, 0)
 
     def guards(self, *keys: str) -> dict[str, int]:
         """Return the guards that hold while these records are as they stand here."""
-        return {key: self.stamp(key) for key in keys}
+        return {key: self.mod_revision(key) for key in keys}
 
     def slot(self, name: str) -> Slot | None:
         """Return how far an entry's turns are decided; None if it or its shard is not here."""
@@ -210,25 +210,25 @@
         rows.pop(gone, None)
         return shard_key(number), [value_of(slot) for slot in rows.values()], None
 
-    def apply(self, rest: str, value: Any, stamp: int) -> None:
+    def apply(self, rest: str, value: Any, mod_revision: int) -> None:
         """Take one change of the key `ox/s/<rest>`; older news than we have is dropped."""
         key = f"{PREFIX}{KIND}/{rest}"
-        if stamp <= max(self.stamps.get(key, 0), self.removed.get(key, 0)):
+        if mod_revision <= max(self.stamps.get(key, 0), self.removed.get(key, 0)):
             return
         kind, _, name = rest.partition("/")
         take = self._takers.get(kind)
         if take is None:
             return  # of a later version
-        take(name, value, stamp)
+        take(name, value, mod_revision)
         if value is None:
             self.stamps.pop(key, None)
-            self.removed[key] = stamp
+            self.removed[key] = mod_revision
             if len(self.removed) > constants.CHANGES_KEPT:
                 del self.removed[next(iter(self.removed))]
         else:
-            self.stamps[key] = stamp
+            self.stamps[key] = mod_revision
 
-    def _entry(self, name: str, value: Any, stamp: int) -> None:
+    def _entry(self, name: str, value: Any, mod_revision: int) -> None:
         old = self.entries.get(name)
         if old is not None:
             self.users.get(old.template, set()).discard(name)
@@ -241,7 +241,7 @@
         self.changed.add(name)
         if len(self.log) == self.log.maxlen:
             self.log_since = self.log[0][0]
-        self.log.append((stamp, name))
+        self.log.append((mod_revision, name))
 
     def _template(self, name: str, value: Any, _: int) -> None:
         if value is None:
--- a/oakmux/schedules/replay/model.py
+++ b/oakmux/schedules/replay/model.py
@@ -15,8 +15,8 @@
 from typing import Any
 
 from oakmux import constants
+from oakmux.core.context import Context
 from oakmux.core.jobs import PREFIX, job_value, role_key
-from oakmux.core.world import World
 from oakmux.schedules import records
 from oakmux.schedules.clock import CLOCK
 from oakmux.schedules.part import Schedules
@@ -67,7 +67,7 @@
     def __init__(self, model: "Model", label: str) -> None:
         self.model = model
         self.label = label
-        self.life = 0
+        self.incarnation = 0
         self.cut = False
         self.ahead = 0.0
         self.awake_at = 0.0
@@ -75,19 +75,19 @@
 
     def boot(self) -> None:
         """Start anew: read all records."""
-        self.life += 1
-        self.world = World(settings_for(self.label), random.Random(self.life), 0)
-        self.world.types = {MACHINE.name: MACHINE}
-        self.part = Schedules(self.world)
-        self.world.replica.load(
-            [(key, value, stamp) for key, (value, stamp) in self.model.rows.items()],
-            self.model.epoch,
+        self.incarnation += 1
+        self.context = Context(settings_for(self.label), random.Random(self.incarnation), 0)
+        self.context.types = {MACHINE.name: MACHINE}
+        self.part = Schedules(self.context)
+        self.context.replica.load(
+            [(key, value, mod_revision) for key, (value, mod_revision) in self.model.rows.items()],
+            self.model.revision,
         )
         self.wake(0.0)
 
     def crash(self) -> None:
         """End without a word."""
-        self.life += 1
+        self.incarnation += 1
         self.part = None
 
     def wake(self, seconds: float) -> None:
@@ -95,45 +95,45 @@
         at = self.model.now + seconds
         if self.awake_at <= self.model.now or at < self.awake_at:
             self.awake_at = at
-            life = self.life
-            self.model.after(seconds, lambda: self.turn(life, at))
+            incarnation = self.incarnation
+            self.model.after(seconds, lambda: self.turn(incarnation, at))
 
-    def turn(self, life: int, at: float) -> None:
+    def turn(self, incarnation: int, at: float) -> None:
         """Have a turn as a controller has in every tick."""
-        if self.part is None or life != self.life or at != self.awake_at:
+        if self.part is None or incarnation != self.incarnation or at != self.awake_at:
             return
-        model, world, clock = self.model, self.world, self.part.clock
-        world.now = model.now
+        model, context, clock = self.model, self.context, self.part.clock
+        context.now = model.now
         drift = model.rng.uniform(-0.01, 0.01)
         self.ahead = max(-SKEW_S / 2, min(SKEW_S / 2, self.ahead + drift))
         if not (self.cut or model.down):
-            world.state_heard = model.now
+            context.store_seen_at = model.now
         self.part.daytime.said = None
         self.part.daytime.say(int((model.start + model.now + self.ahead) * 1000))
         begin = time.perf_counter()
         self.part.tick()
         model.tick_s.append(time.perf_counter() - begin)
-        effects, world.effects = world.effects, []
+        effects, context.effects = context.effects, []
         for effect in effects:
-            self.send(effect, life)
+            self.send(effect, incarnation)
         self.awake_at = 0.0
         if clock.due or clock.to_plan or clock.flying:
-            self.wake(constants.TICK_S if world.state_heard == model.now else 1.0)
+            self.wake(constants.TICK_S if context.store_seen_at == model.now else 1.0)
             return
         rest = 3600.0 if not clock.queued else QUEUED_LOOK_S
         if clock.heap:
             rest = min(rest, clock.heap[0][0] / 1000 - model.start - model.now - self.ahead)
         self.wake(max(constants.TICK_S, rest))
 
-    def send(self, effect: tuple, life: int) -> None:
+    def send(self, effect: tuple, incarnation: int) -> None:
         """Carry a transaction to the state service, and its outcome back if there is one."""
         _, number, guards, writes, _ = effect
         model = self.model
-        then = self.world.ops.pop(number)
+        then = self.context.ops.pop(number)
 
         def answer(status: int, result: Any) -> None:
-            if life == self.life:
-                self.world.now = model.now
+            if incarnation == self.incarnation:
+                self.context.now = model.now
                 then(status, result)
                 self.wake(0.0)
 
@@ -154,10 +154,10 @@
         """Take news of the watch."""
         if self.part is not None:
             for event in events:
-                self.world.replica.apply(*event)
-            held = self.world.replica.roles.get(CLOCK)
-            mine = held is not None and held[0] == self.label and held[1] == self.life
-            self.world.my_roles = {CLOCK: held[2]} if mine and held is not None else {}
+                self.context.replica.apply(*event)
+            held = self.context.replica.roles.get(CLOCK)
+            mine = held is not None and held[0] == self.label and held[1] == self.incarnation
+            self.context.held_roles = {CLOCK: held[2]} if mine and held is not None else {}
             if mine != (self.part.clock.held != 0) or self.part.store.changed and mine:
                 self.wake(0.0)
 
@@ -172,7 +172,7 @@
         self.heap: list[tuple[float, int, Callable[[], None]]] = []
         self.count = 0
         self.rows: dict[str, tuple[Any, int]] = {}
-        self.epoch = 1
+        self.revision = 1
         self.down = False
         # Changes a second that turns may use, if they are bounded, and when the next may go.
         self.rate: float | None = None
@@ -211,19 +211,21 @@
         """Carry out a transaction, or none of it."""
         if self.down:
             return 503, None
-        failed = [key for key, stamp in guards if self.rows.get(key, (None, 0))[1] != stamp]
+        failed = [
+            key for key, mod_revision in guards if self.rows.get(key, (None, 0))[1] != mod_revision
+        ]
         if failed:
-            return 409, (self.epoch, failed)
+            return 409, (self.revision, failed)
         self.put([(write[0], write[1]) for write in writes])
-        return 200, (self.epoch, [])
+        return 200, (self.revision, [])
 
     def put(self, pairs: list[tuple[str, Any]]) -> None:
         """Write keys, and bring the news to all."""
-        self.epoch += 1
+        self.revision += 1
         events = []
         for key, value in pairs:
-            self.rows[key] = (value, self.epoch)
-            events.append((key, value, self.epoch))
+            self.rows[key] = (value, self.revision)
+            events.append((key, value, self.revision))
             kind, _, rest = key.removeprefix(PREFIX).partition("/")
             if kind == "j" and value[0] == "queued":
                 self._job(rest, value)
@@ -249,8 +251,8 @@
             self.rows.pop(f"{PREFIX}j/{old}", None)
             for one in self.controllers:
                 if one.part is not None:
-                    one.world.replica.jobs.pop(old, None)
-                    one.world.replica.changed_jobs.discard(old)
+                    one.context.replica.jobs.pop(old, None)
+                    one.context.replica.changed_jobs.discard(old)
 
     def _note(self, value: list) -> None:
         """Collect the decisions that a shard's record shows."""
@@ -268,7 +270,7 @@
         free = [one for one in self.controllers if one.part is not None and not one.cut]
         if free and not self.down:
             one = self.rng.choice(free)
-            self.put([(role_key(CLOCK), [one.label, one.life])])
+            self.put([(role_key(CLOCK), [one.label, one.incarnation])])
         else:
             self.after(1.0, self.elect)
 
@@ -276,7 +278,8 @@
         """Return who holds the role by the records."""
         row = self.rows.get(role_key(CLOCK))
         return next(
-            (one for one in self.controllers if row and row[0] == [one.label, one.life]), None
+            (one for one in self.controllers if row and row[0] == [one.label, one.incarnation]),
+            None,
         )
 
     def takeover(self) -> None:
--- a/oakmux/schedules/replay/year.py
+++ b/oakmux/schedules/replay/year.py
@@ -253,17 +253,17 @@
         decided = model.decided.get(entry.name, {})
         got = {at for at, seen in decided.items() if at < end}
         turns += len(want)
-        lost += [f"{entry.name} {stamp(at)}" for at in sorted(want - got)]
-        besides += [f"{entry.name} {stamp(at)}" for at in sorted(got - want)]
+        lost += [f"{entry.name} {mod_revision(at)}" for at in sorted(want - got)]
+        besides += [f"{entry.name} {mod_revision(at)}" for at in sorted(got - want)]
         for at, seen in decided.items():
             written = jobs.pop(records.job_id(entry, str(at), 0, 0), None)
             if at >= end:
                 continue
             final = [one for one in seen if one in outcomes]
             if len(final) != 1:
-                lost.append(f"{entry.name} {stamp(at)}: {seen}")
+                lost.append(f"{entry.name} {mod_revision(at)}: {seen}")
             if (written is not None) != (records.MADE in seen):
-                besides.append(f"{entry.name} {stamp(at)}: {seen} without its job")
+                besides.append(f"{entry.name} {mod_revision(at)}: {seen} without its job")
             skipped += records.SKIPPED in seen
             if written is None:
                 continue
@@ -292,7 +292,7 @@
     )
 
 
-def stamp(at: int) -> str:
+def mod_revision(at: int) -> str:
     """Return an instant for people."""
     return datetime.fromtimestamp(at, UTC).isoformat()
 
--- a/oakmux/schedules/shows.py
+++ b/oakmux/schedules/shows.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from oakmux import constants, wire
-from oakmux.core.world import World
+from oakmux.core.context import Context
 from oakmux.schedules import records, zones
 from oakmux.schedules.records import NAME, Entry, Slot, Store, value_of
 from oakmux.schedules.turns import mark_at, skipped, turns
@@ -23,19 +23,19 @@
 class Shows:
     """Answers questions from the records that have come."""
 
-    def __init__(self, world: World, store: Store) -> None:
-        self.world = world
+    def __init__(self, context: Context, store: Store) -> None:
+        self.context = context
         self.store = store
 
     def say(self, rid: Any, body: dict, status: int = 200) -> None:
         """Answer a request."""
-        self.world.emit("answer", rid, status, ("schedules", body))
+        self.context.emit("answer", rid, status, ("schedules", body))
 
     # --- names ---
 
     def team(self, name: Any) -> str:
         """Check a team's name."""
-        if not isinstance(name, str) or name not in self.world.teams:
+        if not isinstance(name, str) or name not in self.context.teams:
             raise Refused(422, f"unknown team {str(name)[: constants.LOG_TEXT]!r}")
         return name
 
@@ -48,7 +48,7 @@
                 f"{str(name)[: constants.LOG_TEXT]!r}: a name is TEAM/NAME, "
                 "letters, digits and _.@+=-, 80 at most",
             )
-        if parts[0] not in self.world.teams and name not in self.store.entries:
+        if parts[0] not in self.context.teams and name not in self.store.entries:
             self.team(parts[0])
         return name
 
@@ -163,7 +163,7 @@
     def history(self, rid: Any, args: dict) -> None:
         """Tell the last decisions and their jobs."""
         entry, slot = self.entry(args)
-        jobs, steps = self.world.replica.jobs, self.store.steps(entry)
+        jobs, steps = self.context.replica.jobs, self.store.steps(entry)
         rows = []
         for row in slot.rows:
             at, outcome, _, note = row
@@ -196,7 +196,7 @@
             }
             for name, calendar in sorted(found.items())
         ]
-        self.say(rid, {"calendars": rows, "epoch": self.world.replica.epoch})
+        self.say(rid, {"calendars": rows, "epoch": self.context.replica.revision})
 
     def objects(self, rid: Any, args: dict) -> None:
         """Tell a calendar's objects: all, or those named; with their text if asked for."""
@@ -226,7 +226,7 @@
             rid,
             {
                 "objects": rows,
-                "epoch": self.world.replica.epoch,
+                "epoch": self.context.replica.revision,
                 "zone": self.store.calendars[calendar].zone,
                 "template": template,
                 "title": self.store.calendars[calendar].title,
@@ -253,12 +253,12 @@
         calendar, since = str(args["calendar"]), int(args["since"])
         if calendar not in self.store.calendars:
             raise Refused(404, f"no calendar {calendar}")
-        if not self.store.log_since <= since <= self.world.replica.epoch:
+        if not self.store.log_since <= since <= self.context.replica.revision:
             raise Refused(410, "changes since then are not known any more")
         names = dict.fromkeys(
             name
-            for stamp, name in self.store.log
-            if stamp > since and name.startswith(calendar + "/")
+            for mod_revision, name in self.store.log
+            if mod_revision > since and name.startswith(calendar + "/")
         )
         rows = []
         for name in names:
@@ -266,4 +266,4 @@
             rows.append(
                 {"name": name.rpartition("/")[2], "etag": None if entry is None else entry.etag}
             )
-        self.say(rid, {"objects": rows, "epoch": self.world.replica.epoch})
+        self.say(rid, {"objects": rows, "epoch": self.context.replica.revision})
--- a/oakmux/schedules/templates.py
+++ b/oakmux/schedules/templates.py
@@ -7,8 +7,8 @@
 
 from oakmux import constants, wire
 from oakmux.core import teams
+from oakmux.core.context import Context
 from oakmux.core.jobs import FORMAT_COMPACT, job_key, job_value, value_bytes, value_limit
-from oakmux.core.world import World
 from oakmux.schedules.records import NAME, Entry, Step, Template, job_id, value_of
 from oakmux.wire import JobSpec
 
@@ -58,18 +58,18 @@
     return Template(tuple(steps))
 
 
-def check(world: World, template: Template) -> None:
+def check(context: Context, template: Template) -> None:
     """Refuse a template that could never run here; raises BadTemplate.
 
     The turn's record and all its jobs go into one transaction; should earlier jobs have to give
     way, so do their cancellations.
     """
-    limits = world.facts.state.least
+    limits = context.facts.state.least
     if 2 * len(template.steps) + 1 > limits.txn_ops and len(template.steps) > 1:
         most = max(1, (limits.txn_ops - 1) // 2)
         raise BadTemplate(f"{len(template.steps)} jobs: a turn can make {most} here")
     for step in template.steps:
-        why = teams.never_fits(world, step.spec)
+        why = teams.never_fits(context, step.spec)
         if why is not None:
             raise BadTemplate(f"{step.name}: {why}")
         waits = tuple("job-" + "9" * 18 for _ in step.needs)
@@ -84,17 +84,17 @@
         raise BadTemplate(f"template of {size} bytes: a record holds {value_limit(limits)}")
 
 
-def early(world: World, template: Template) -> bool:
+def early(context: Context, template: Template) -> bool:
     """Whether a chain can't be recorded yet: not all controllers read `waits_on`."""
-    return world.replica.format < FORMAT_COMPACT and any(step.needs for step in template.steps)
+    return context.replica.format < FORMAT_COMPACT and any(step.needs for step in template.steps)
 
 
-def refusal(world: World, template: Template | None) -> str | None:
+def refusal(context: Context, template: Template | None) -> str | None:
     """Return why a turn can't be made now: its template or team has gone, or fits no more."""
     if template is None:
         return "no template"
     for step in template.steps:
-        why = teams.never_fits(world, step.spec) if world.types else None
+        why = teams.never_fits(context, step.spec) if context.types else None
         if why is not None:
             return why
     return None
--- a/oakmux/service.py
+++ b/oakmux/service.py
@@ -13,8 +13,8 @@
 import msgspec
 
 from oakmux import constants, settings
+from oakmux.core.context import Context
 from oakmux.core.controller import Controller, Part
-from oakmux.core.world import World
 from oakmux.net.cloud import Cloud
 from oakmux.net.http import Request, ServerProtocol
 from oakmux.net.peers import Peer
@@ -30,7 +30,7 @@
 class Plugin(Protocol):
     """A subsystem that is switched on, outside the core."""
 
-    parts: Sequence[Callable[[World], Part]]
+    parts: Sequence[Callable[[Context], Part]]
 
     def paths(self, offer: Callable[[tuple], bool]) -> dict[str, Callable[[Request, str], None]]:
         """Return who serves further paths of the public address, by how they begin."""
@@ -64,7 +64,7 @@
         self.workers = Workers(self.put)
         word = self.core.keeper.word
         self.peers = {
-            m.label: Peer(conf.label, m.label, m.peer_addr, self.put, lambda: word.epoch)
+            m.label: Peer(conf.label, m.label, m.peer_addr, self.put, lambda: word.revision)
             for m in conf.members
         }
 
--- a/oakmux/wire.py
+++ b/oakmux/wire.py
@@ -126,9 +126,9 @@
     type: str
     zone: str
     spot: bool
-    session: int
-    seq: int
-    token: int
+    agent_epoch: int
+    sequence: int
+    fencing_token: int
     notice_s: float | None
     tasks: dict[tuple[str, int], tuple[str, str, bool]]
 
@@ -335,9 +335,9 @@
     return made
 
 
-def orders_body(token: int, session: int, orders: list[dict]) -> dict:
+def orders_body(fencing_token: int, agent_epoch: int, orders: list[dict]) -> dict:
     """Return the body of direct orders."""
-    return {"baton": token, "tenure": session, "orders": orders}
+    return {"baton": fencing_token, "tenure": agent_epoch, "orders": orders}
 
 
 def answer_body(answer: tuple) -> Any:
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -93,7 +93,7 @@
 
     def __init__(self, sim: "Sim") -> None:
         self.sim = sim
-        self.epoch = 0
+        self.revision = 0
         self.rows: dict[str, tuple[Any, int, int | None]] = {}
         self.log: list[tuple[str, Any, int]] = []
         self.leases: dict[int, list[float]] = {}
@@ -106,17 +106,17 @@
 
     def put(self, key: str, value: Any, lease: int | None) -> None:
         self.sim.written(key, value)
-        self.rows[key] = (value, self.epoch, lease)
-        self.log.append((key, value, self.epoch))
+        self.rows[key] = (value, self.revision, lease)
+        self.log.append((key, value, self.revision))
 
     def drop(self, key: str) -> None:
         if self.rows.pop(key, None) is not None:
-            self.log.append((key, None, self.epoch))
+            self.log.append((key, None, self.revision))
 
     def expire(self) -> None:
         for lease in [n for n, (end, _) in self.leases.items() if end <= self.sim.now]:
             del self.leases[lease]
-            self.epoch += 1
+            self.revision += 1
             for key in [k for k, row in self.rows.items() if row[2] == lease]:
                 self.drop(key)
 
@@ -135,27 +135,29 @@
         ):
             self.too_large += 1
             return 400, None
-        failed = [k for k, stamp in guards if self.rows.get(k, (0, 0, 0))[1] != stamp]
+        failed = [
+            k for k, mod_revision in guards if self.rows.get(k, (0, 0, 0))[1] != mod_revision
+        ]
         if any(len(w) == 3 and w[2] is not None and w[2] not in self.leases for w in writes):
             return 400, None
         if failed:
-            return 409, (self.epoch, failed)
+            return 409, (self.revision, failed)
         if writes:
-            self.epoch += 1
+            self.revision += 1
             for write in writes:
                 if len(write) == 1:
                     self.drop(write[0])
                 else:
                     self.put(*write)
-        return 200, (self.epoch, [])
+        return 200, (self.revision, [])
 
     def get(self, key: str, _: int) -> tuple[int, Any]:
         row = self.rows.get(key)
-        return (404, (None, self.epoch)) if row is None else (200, row[:2])
+        return (404, (None, self.revision)) if row is None else (200, row[:2])
 
-    def grant(self, life: float) -> tuple[int, Any]:
+    def grant(self, incarnation: float) -> tuple[int, Any]:
         self.next_lease += 1
-        self.leases[self.next_lease] = [self.sim.now + life, life]
+        self.leases[self.next_lease] = [self.sim.now + incarnation, incarnation]
         return 200, self.next_lease
 
     def renew(self, lease: int) -> tuple[int, Any]:
@@ -183,7 +185,7 @@
 
     def __init__(self, sim: "Sim", name: str, zone: str, spot: bool) -> None:
         self.sim, self.name, self.zone, self.spot = sim, name, zone, spot
-        self.session, self.seq, self.token = 1, 0, 0
+        self.agent_epoch, self.sequence, self.fencing_token = 1, 0, 0
         self.tasks: dict[tuple[str, int], list] = {}
         self.node = sim.rng.randrange(len(sim.labels))
         self.lease_from = sim.now
@@ -205,25 +207,25 @@
 
     def snapshot(self) -> Report:
         self.advance()
-        self.seq += 1
+        self.sequence += 1
         return Report(
             self.name,
             self.name,
             "big",
             self.zone,
             self.spot,
-            self.session,
-            self.seq,
-            self.token,
+            self.agent_epoch,
+            self.sequence,
+            self.fencing_token,
             self.notice_s(),
             {k: (v[0], v[1], False) for k, v in self.tasks.items()},
         )
 
     def peek(self) -> Report:
         """Return the report that it would send now, and leave it as it is."""
-        seq, tasks = self.seq, {key: list(row) for key, row in self.tasks.items()}
+        sequence, tasks = self.sequence, {key: list(row) for key, row in self.tasks.items()}
         report = self.snapshot()
-        self.seq, self.tasks = seq, tasks
+        self.sequence, self.tasks = sequence, tasks
         return report
 
     def notice_s(self) -> float | None:
@@ -277,7 +279,7 @@
         now = self.sim.now
         if now - self.lease_from > LEASE_S:
             self.tasks.clear()
-            self.session += 1
+            self.agent_epoch += 1
             self.lease_from = now
         for key, row in list(self.tasks.items()):
             job = self.sim.specs[key[0].partition("/")[0]]
@@ -309,9 +311,9 @@
                 return
             self.waiting += 1
             self.advance()
-            before = self.token
-            if status == 200 and answer[0] == "orders" and report.session == self.session:
-                if answer[1] >= self.token:
+            before = self.fencing_token
+            if status == 200 and answer[0] == "orders" and report.agent_epoch == self.agent_epoch:
+                if answer[1] >= self.fencing_token:
                     self.lease_from = sent
                     self.obey(answer[1], answer[2])
             elif status == 421 and answer[1] in sim.labels:
@@ -319,7 +321,7 @@
             elif status != 200:
                 self.node = (self.node + 1) % len(sim.labels)
             # A higher token is a change, which is reported sooner, once in half a lease.
-            sooner = self.token > before and sim.now - self.told_token > LEASE_S / 2
+            sooner = self.fencing_token > before and sim.now - self.told_token > LEASE_S / 2
             if sooner:
                 self.told_token = sim.now
             sim.after(0.5 if sooner else REPORT_S * sim.rng.uniform(0.75, 1.25), self.report)
@@ -358,15 +360,15 @@
             ),
         )
 
-    def orders(self, token: int, session: int, orders: list) -> tuple[str, Report]:
+    def orders(self, fencing_token: int, agent_epoch: int, orders: list) -> tuple[str, Report]:
         self.advance()
-        if token < self.token or session != self.session:
+        if fencing_token < self.fencing_token or agent_epoch != self.agent_epoch:
             return "refused", self.snapshot()
-        self.obey(token, orders)
+        self.obey(fencing_token, orders)
         return "ok", self.snapshot()
 
-    def obey(self, token: int, orders: list) -> None:
-        self.token = max(self.token, token)
+    def obey(self, fencing_token: int, orders: list) -> None:
+        self.fencing_token = max(self.fencing_token, fencing_token)
         for order in orders:
             key = (order["piece"], order["try"])
             if order["verb"] == "launch" and key not in self.tasks:
@@ -547,17 +549,17 @@
 
     def boot(self, label: str) -> None:
         self.lives[label] += 1
-        life = self.lives[label]
+        incarnation = self.lives[label]
         core = Controller(self.settings(label), random.Random(self.rng.random()), 0, self.parts)
         if label in self.old:
             make_old(core)
         if label in self.formats:
-            core.world.replica.known_format = self.formats[label]
+            core.context.replica.known_format = self.formats[label]
         self.cores[label] = core
         if not self.cloud_down:
             self.command(label, ("catalogue", [TYPE]))
-        self.follow(label, life, None)
-        self.tick(label, life)
+        self.follow(label, incarnation, None)
+        self.tick(label, incarnation)
 
     def settings(self, label: str) -> Settings:
         """Return a controller's settings."""
@@ -575,18 +577,18 @@
         self.frozen[label] = []
         self.after(seconds, lambda: self.step(label, self.frozen.pop(label)))
 
-    def tick(self, label: str, life: int) -> None:
-        if self.lives[label] == life:
+    def tick(self, label: str, incarnation: int) -> None:
+        if self.lives[label] == incarnation:
             self.step(label, self.clock_says(label))
-            self.after(constants.TICK_S, lambda: self.tick(label, life))
+            self.after(constants.TICK_S, lambda: self.tick(label, incarnation))
 
     def clock_says(self, label: str) -> list[tuple]:
         """Return what a controller hears of the time of day at a tick."""
         return []
 
-    def follow(self, label: str, life: int, since: int | None) -> None:
+    def follow(self, label: str, incarnation: int, since: int | None) -> None:
         """Stand in for the watch: news every 20 ms while the state service can be reached."""
-        if self.lives[label] != life:
+        if self.lives[label] != incarnation:
             return
         state, asked = self.state, self.now
         if not (
@@ -595,33 +597,33 @@
             state.expire()
             if since is None:
                 rows = [(k, v[0], v[1]) for k, v in state.rows.items()]
-                self.command(label, ("snapshot", rows, state.epoch, asked))
+                self.command(label, ("snapshot", rows, state.revision, asked))
             else:
                 start = len(state.log)
                 while start and state.log[start - 1][2] > since:
                     start -= 1
                 events = state.log[start:]
-                self.command(label, ("watch", events, state.epoch, asked))
-            since = state.epoch
+                self.command(label, ("watch", events, state.revision, asked))
+            since = state.revision
         late = self.rng.uniform(0.0, self.state_slow) if self.state_slow else 0.0
-        self.after(0.02 + late, lambda: self.follow(label, life, since))
+        self.after(0.02 + late, lambda: self.follow(label, incarnation, since))
 
     def command(self, label: str, command: tuple) -> None:
         self.step(label, [command])
 
     def step(self, label: str, commands: list[tuple]) -> None:
-        core, life = self.cores[label], self.lives[label]
+        core, incarnation = self.cores[label], self.lives[label]
         if core is None:
             return
         if label in self.frozen:
             self.frozen[label] += commands
             return
         for effect in core.step(self.now, commands):
-            self.carry_out(label, life, effect)
+            self.carry_out(label, incarnation, effect)
         if self.recount:
             check_counts(core)
 
-    def carry_out(self, label: str, life: int, effect: tuple) -> None:
+    def carry_out(self, label: str, incarnation: int, effect: tuple) -> None:
         kind = effect[0]
         if kind == "orders" or (
             kind == "answer" and effect[2] == 200 and effect[3][0] == "orders"
@@ -631,22 +633,22 @@
             effect[1](*effect[2:])
             return
         if kind == "send":
-            self.send(label, life, effect[1], effect[2])
+            self.send(label, incarnation, effect[1], effect[2])
             return
 
         def done(value: tuple) -> None:
-            if self.lives[label] == life:
+            if self.lives[label] == incarnation:
                 self.command(label, ("done", effect[1], *value))
 
         if kind == "orders":
-            _, _, addr, token, session, orders = effect
+            _, _, addr, fencing_token, agent_epoch, orders = effect
             worker = self.workers.get(addr)
             if worker is not None:
                 self.ask(
                     label,
                     addr,
                     lambda: (
-                        worker.orders(token, session, orders)
+                        worker.orders(fencing_token, agent_epoch, orders)
                         if not worker.dead
                         else ("lost", None)
                     ),
@@ -675,9 +677,9 @@
         else:
             self.ask(label, "state", serve, done, (0, None), constants.STATE_TIMEOUT_S)
 
-    def send(self, label: str, life: int, peer: str, message: tuple) -> None:
+    def send(self, label: str, incarnation: int, peer: str, message: tuple) -> None:
         asked, mine = self.now, self.cores[label]
-        since = mine.keeper.word.epoch if mine is not None else -1
+        since = mine.keeper.word.revision if mine is not None else -1
 
         def serve() -> Any:
             if self.cores.get(peer) is None:
@@ -687,20 +689,20 @@
             return box[0][1] if box else None
 
         def done(word: Any) -> None:
-            if self.lives[label] != life:
+            if self.lives[label] != incarnation:
                 return
             if word is None:
                 if message[0] == "view":
                     self.after(
                         0.5,
                         lambda: (
-                            self.lives[label] == life
+                            self.lives[label] == incarnation
                             and self.command(label, ("resend", peer, [message[2]]))
                         ),
                     )
                 return
-            new = self.peer_lives.get((label, life, peer)) != word[2]
-            self.peer_lives[(label, life, peer)] = word[2]
+            new = self.peer_lives.get((label, incarnation, peer)) != word[2]
+            self.peer_lives[(label, incarnation, peer)] = word[2]
             self.command(label, ("peer_alive", peer, word[2], word[3], word[4], asked, word[5]))
             if new:
                 self.command(label, ("peer_new", peer))
@@ -922,7 +924,7 @@
             room = {zone: min(fit, most - zones.count(zone)) for zone, fit in room.items()}
         return (max(room.values(), default=0) if job.one_zone else sum(room.values())) >= count
 
-    def silent(self, seconds: float = 90.0) -> set[str]:
+    def unresponsive(self, seconds: float = 90.0) -> set[str]:
         """Ask for every job ever accepted, and return those about which no question was answered
         for 75 s."""
         found: set[str] = set()
@@ -1151,21 +1153,21 @@
     """Let a controller behave as the first version does where records are concerned: it neither
     says what it can read nor takes note of the format."""
     core.membership._version = lambda: None  # type: ignore[method-assign]
-    core.owner.buffer.least_bytes = value_limit(core.world.facts.state)
-    replica, apply = core.world.replica, core.world.replica.apply
+    core.owner.buffer.least_bytes = value_limit(core.context.facts.state)
+    replica, apply = core.context.replica, core.context.replica.apply
 
-    def old_apply(key: str, value: Any, stamp: int) -> None:
+    def old_apply(key: str, value: Any, mod_revision: int) -> None:
         if key.partition("/")[2].partition("/")[0] not in ("version", "format"):
-            apply(key, value, stamp)
+            apply(key, value, mod_revision)
 
     replica.apply = old_apply  # type: ignore[method-assign]
 
 
 def check_counts(core: Controller) -> None:
     """Compare what a controller keeps up to date with a full count."""
-    world, replica = core.world, core.world.replica
+    context, replica = core.context, core.context.replica
     for name, free in replica.rooms.items():
-        assert free == pytest.approx(count_room(world, world.machines[name])), name
+        assert free == pytest.approx(count_room(context, context.machines[name])), name
     check_index(core)
     used: dict[str, float] = {}
     mine: dict[str, float] = {}
@@ -1177,29 +1179,29 @@
         mine[job.team] = mine.get(job.team, 0.0) + job.takes[1] * len(
             core.owner.buffer.bindings(job)
         )
-    for team in world.teams:
+    for team in context.teams:
         assert replica.used.get(team, (0, 0))[1] == pytest.approx(used.get(team, 0)), team
         assert sum(at[1] for at in replica.used_ending.get(team, {}).values()) == pytest.approx(
             ending.get(team, 0)
         ), team
-        if team in world.my_roles:
+        if team in context.held_roles:
             assert core.owner.buffer.team_use(team)[1] == pytest.approx(mine.get(team, 0)), team
 
 
 def check_index(core: Controller) -> None:
     """Compare where the index has each machine with what an index made anew says."""
-    world, index = core.world, core.owner.index
+    context, index = core.context, core.owner.index
     index.refresh()
-    fresh = Index(world)
-    world.replica.stale.update(world.machines)
-    silent = set(world.silent)
+    fresh = Index(context)
+    context.replica.stale.update(context.machines)
+    unresponsive = set(context.unresponsive)
     fresh.refresh()
-    world.silent = silent
+    context.unresponsive = unresponsive
 
     def named(index: Index, sets: dict) -> dict:
         return {key: {index.machines[n].name for n in ids} for key, ids in sets.items() if ids}
 
-    quiet = {n for n, m in world.machines.items() if not usable(world, m)}
+    quiet = {n for n, m in context.machines.items() if not usable(context, m)}
     for attr in ("classes", "kinds", "holders", "weak", "teams"):
         kept, anew = (named(i, getattr(i, attr)) for i in (index, fresh))
         if attr != "holders":  # one that fell silent leaves when it is drawn
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -42,7 +42,7 @@
         f"[schedules]\nenabled = yes\n[caldav]\nlisten = 127.0.0.1:{port}\n"
         "certificate = c.pem\nkey = c.key\ntokens = tokens\n"
     )
-    return str(ini), {team: token for team, (token, _) in made.items()}
+    return str(ini), {team: fencing_token for team, (fencing_token, _) in made.items()}
 
 
 async def main(folder: str) -> None:
--- a/tests/recorded.py
+++ b/tests/recorded.py
@@ -315,11 +315,22 @@
         for number, chunk in found.items()
     ]
     jobs = [
-        [job.id, job.team, job.state, job.stamp, job.spec, job.order, job.tasks, job.service]
+        [
+            job.id,
+            job.team,
+            job.state,
+            job.mod_revision,
+            job.spec,
+            job.order,
+            job.tasks,
+            job.service,
+        ]
         + [job.unmet, job.since, job.priority, job.due, job.takes, job.final]
         for job in replica.jobs.values()
     ]
-    pages = [[name, page.stamp, list(page.rows.values())] for name, page in replica.pages.items()]
+    pages = [
+        [name, page.mod_revision, list(page.rows.values())] for name, page in replica.pages.items()
+    ]
     return plain(
         [jobs, chunks, pages, replica.roles, replica.nodes, replica.gone, replica.term]
         + [replica.types, replica.versions, [replica.format, replica.per_chunk], replica.bad]
@@ -330,7 +341,7 @@
 
 def plain_chunk(chunk: Chunk) -> list:
     """Return all that a chunk holds."""
-    return [chunk.stamp, chunk.last, chunk.done, chunk.bound, chunk.compact, chunk.page]
+    return [chunk.mod_revision, chunk.last, chunk.done, chunk.bound, chunk.compact, chunk.page]
 
 
 # --- whole runs -------------------------------------------------------------------------------
@@ -376,13 +387,13 @@
         super().__init__(*args, **more)
 
     def step(self, label: str, commands: list[tuple]) -> None:
-        core, life = self.cores[label], self.lives[label]
+        core, incarnation = self.cores[label], self.lives[label]
         if core is None:
             return
         rows = [(told(effect, False), effect) for effect in core.step(self.now, commands)]
         for row, effect in sorted(rows, key=lambda one: wire.encode(one[0])):
             self.note(label, row)
-            self.carry_out(label, life, effect)
+            self.carry_out(label, incarnation, effect)
 
     def note(self, label: str, row: list) -> None:
         """Add one effect to the digest."""
@@ -815,11 +826,22 @@
 
 def plain_core(core: Any) -> list:
     """Return what messages change in a controller."""
-    world = core.world
+    context = core.context
     machines = [
-        [m.name, m.addr, m.type, m.zone, m.spot, m.session, m.seq, m.token, m.notice_at, m.tasks]
+        [
+            m.name,
+            m.addr,
+            m.type,
+            m.zone,
+            m.spot,
+            m.agent_epoch,
+            m.sequence,
+            m.fencing_token,
+            m.notice_at,
+            m.tasks,
+        ]
         + [m.keeper, m.keeper_term, m.heard, m.images]
-        for m in world.machines.values()
+        for m in context.machines.values()
     ]
     kept = [
         [name, [[r.job_id, r.count] for r in one.queue.values()], one.offers, one.stops]
@@ -827,7 +849,14 @@
     ]
     offers = [[job_id, state.offers] for job_id, state in core.owner.binder.open.items()]
     return plain(
-        [machines, world.draining, world.departed, world.openings.by_job, kept, sorted(offers)]
+        [
+            machines,
+            context.draining,
+            context.terminated,
+            context.openings.by_job,
+            kept,
+            sorted(offers),
+        ]
     )
 
 
@@ -848,7 +877,7 @@
     label = sim.labels[machine.node]
     if to_owner:
         (label,) = [
-            name for name, core in sim.cores.items() if core and "red" in core.world.my_roles
+            name for name, core in sim.cores.items() if core and "red" in core.context.held_roles
         ]
     core = sim.cores[label]
     assert core is not None
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -56,5 +56,5 @@
     for _ in range(6):
         cell.submit(cpu_job("team-0", 3, 2.0))
     cell.run(8.0)
-    jobs = cell.core.world.replica.jobs.values()
+    jobs = cell.core.context.replica.jobs.values()
     assert cell.starts == 18 and {job.state for job in jobs} == {"done"}
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -81,10 +81,10 @@
     chain(sim, (1, dict(estimate_s=60.0)), (2, dict(tasks=8, gpus=1.0, waits_on=("job-1",))))
     sim.run(12)
     for core in sim.cores.values():
-        job = core.world.replica.jobs["job-2"]
+        job = core.context.replica.jobs["job-2"]
         assert not job.ready and not job.chunks and "job-2" not in core.owner.open
         assert not any("job-2" in kept.queue for kept in core.keeper.ward.kept.values())
-        assert core.world.replica.used.get("red", (0, 0))[1] == 0
+        assert core.context.replica.used.get("red", (0, 0))[1] == 0
 
 
 @pytest.mark.parametrize("cancelled", [1, 2])
@@ -95,7 +95,7 @@
     sim.run(1.5)
     assert ask_all(sim, 2, 5) == ["cancelled"] * 2
     assert all(
-        core.world.replica.jobs["job-5"].state == "cancelled" for core in sim.cores.values()
+        core.context.replica.jobs["job-5"].state == "cancelled" for core in sim.cores.values()
     )  # written down, not only derived
     sim.run(40)
     assert not starts_of(sim, 5)
@@ -180,7 +180,9 @@
     sim = quiet(3)
     pipeline(sim)
     if trouble == "owner":
-        sim.crash(next(label for label, core in sim.cores.items() if "red" in core.world.my_roles))
+        sim.crash(
+            next(label for label, core in sim.cores.items() if "red" in core.context.held_roles)
+        )
     elif trouble == "state":
         sim.state.outage(6)
     else:
@@ -211,7 +213,7 @@
     sim.command("h0", ("submit", lambda *a: answers.append(a[0]), "job-1", sim.specs["job-1"], ""))
     while not answers:
         sim.run(0.0005)
-    assert "job-1" not in sim.cores["h1"].world.replica.jobs
+    assert "job-1" not in sim.cores["h1"].context.replica.jobs
     sim.command("h1", ("submit", lambda *a: answers.append(a[0]), "job-2", sim.specs["job-2"], ""))
     sim.run(1)
     assert answers == [201, 201]
@@ -249,7 +251,7 @@
         (2, dict(estimate_s=20.0, waits_on=("job-1",))),
         (3, dict(estimate_s=5.0, team="blue", priority=2, deadline_s=100.0, waits_on=("job-2",))),
     )
-    jobs = sim.cores["h0"].world.replica.jobs
+    jobs = sim.cores["h0"].context.replica.jobs
     order = jobs["job-3"].order
     assert [jobs[f"job-{n}"].priority for n in (1, 2, 3)] == [2, 2, 2]
     assert [jobs[f"job-{n}"].due - order for n in (1, 2, 3)] == [75e3, 95e3, 100e3]
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -5,9 +5,9 @@
 import pytest
 
 from oakmux import constants
+from oakmux.core.context import Context, Machine
 from oakmux.core.jobs import Binding, Chunk, chunk_key, job_key, job_value
 from oakmux.core.owner.claims import RoomClaims
-from oakmux.core.world import Machine, World
 from oakmux.wire import Report
 from tests.fakes import TYPE, settings_for, spec
 from tools.capacity.cell import Cell, cpu_job
@@ -15,43 +15,43 @@
 WHOLE = (TYPE.cpus, TYPE.gpus, TYPE.memory_gb)
 
 
-def claimed() -> tuple[World, RoomClaims, Machine]:
+def claimed() -> tuple[Context, RoomClaims, Machine]:
     """Return claims of one job, for two tasks on two machines, and the first machine."""
-    world = World(settings_for("h0"), random.Random(1), 0)
+    context = Context(settings_for("h0"), random.Random(1), 0)
     for name in ("m1", "m2"):
         report = Report(name, name, "big", "a", False, 1, 1, 1, None, {})
-        world.machines[name] = Machine(report, 0.0)
-    world.replica.apply(job_key("job-1"), job_value("queued", "red", spec(), 0, 2), 1)
-    claims = RoomClaims(world)
+        context.machines[name] = Machine(report, 0.0)
+    context.replica.apply(job_key("job-1"), job_value("queued", "red", spec(), 0, 2), 1)
+    claims = RoomClaims(context)
     claims.ask("job-1", spec(cpus=3.0), {"m1": 2, "m2": 2}, 2)
-    return world, claims, world.machines["m1"]
+    return context, claims, context.machines["m1"]
 
 
 def test_what_one_job_asked_for_is_taken_for_the_others_and_not_for_itself():
-    world, claims, machine = claimed()
+    context, claims, machine = claimed()
     assert claims.left("job-2", machine, WHOLE)[0] == TYPE.cpus - 6.0
     assert claims.left("job-1", machine, WHOLE) == WHOLE
     # It needs two tasks and asked for more, to have a choice: the rest is nobody's.
-    assert claims.left("job-2", world.machines["m2"], WHOLE) == WHOLE
+    assert claims.left("job-2", context.machines["m2"], WHOLE) == WHOLE
 
 
 @pytest.mark.parametrize("end", ["time", "bound"])
 def test_a_claim_ends_with_its_time_or_once_the_records_show_the_binding(end):
-    world, claims, machine = claimed()
+    context, claims, machine = claimed()
     if end == "time":
-        world.now += constants.RESAMPLE_S
+        context.now += constants.RESAMPLE_S
     else:
         chunk = Chunk(last=1, bound={0: Binding(1, "m1", 1, 1, "a")})
-        world.replica.apply(chunk_key("job-1", 0), chunk.to_value(2), 2)
+        context.replica.apply(chunk_key("job-1", 0), chunk.to_value(2), 2)
     assert claims.left("job-2", machine, WHOLE) == WHOLE
     assert not claims.by_machine["m1"]
 
 
 def test_claims_of_machines_that_are_gone_do_not_pile_up():
-    world, claims, _ = claimed()
+    context, claims, _ = claimed()
     for number in range(50):
         claims.ask("job-3", spec(), {f"gone-{number}": 1}, 1)
-    assert len(claims.by_machine) <= 2 * len(world.machines) + 1
+    assert len(claims.by_machine) <= 2 * len(context.machines) + 1
 
 
 # One controller once began some 48 such jobs a second, however many came: all that were sampled in
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -352,7 +352,7 @@
     sim.command("h0", ("report", None, None))
     sim.command("h0", ("peer", lambda *a: None, "h1", [["nonsense"], [], ["view", 1]]))
     sim.run(5)
-    assert sim.cores["h0"].world.term
+    assert sim.cores["h0"].context.term
 
 
 def test_constants_are_used():
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -4,12 +4,12 @@
 
 import pytest
 
+from oakmux.core.context import Context
 from oakmux.core.jobs import Binding, Chunk, Job
 from oakmux.core.owner.write_buffer import WriteBuffer
 from oakmux.core.spread import order
 from oakmux.core.spread.lines import Lines
 from oakmux.core.spread.openings import Openings
-from oakmux.core.world import World
 from tests.fakes import LEASE_S, TYPE, Sim, settings_for, spec
 from tests.test_oncall import up
 
@@ -96,7 +96,7 @@
     sim.run(15)
     assert len(sim.live()) == 8
     sim.submit("job-9", spec("gang", 2, "blue", lane="press", priority=2))
-    owner = next(core for core in sim.cores.values() if "blue" in core.world.my_roles).owner
+    owner = next(core for core in sim.cores.values() if "blue" in core.context.held_roles).owner
     sim.run(2)
     until = owner.open["job-9"].gather_until
     sim.run(8)
@@ -113,7 +113,7 @@
         "core.owner.write_buffer",
         "core.owner.gangs",
     ):
-        monkeypatch.setattr(f"oakmux.{module}.elder", lambda world, job: False)
+        monkeypatch.setattr(f"oakmux.{module}.elder", lambda context, job: False)
     with pytest.raises(AssertionError):
         for count in (3, 7):
             test_the_largest_begin_in_a_flood_of_smaller_ones_while_machines_and_controllers_fail(
@@ -126,17 +126,17 @@
     sim.submit("job-1", spec("array", 40, "blue", lane="scan", estimate_s=20.0))
     sim.run(10)
     core = sim.cores["h0"]
-    job = core.world.replica.jobs["job-1"]
-    assert not order.elder(core.world, job)
+    job = core.context.replica.jobs["job-1"]
+    assert not order.elder(core.context, job)
     job.since -= 1000 * order.elder_s(job)
-    assert order.elder(core.world, job) == (not job.begun)
+    assert order.elder(core.context, job) == (not job.begun)
 
 
-def waiting(**jobs: tuple[float, dict]) -> tuple[World, dict[str, Job]]:
+def waiting(**jobs: tuple[float, dict]) -> tuple[Context, dict[str, Job]]:
     """Return a world 100 s after its begin, and jobs by name: (age then in s, fields)."""
-    world = World(settings_for("h0"), random.Random(1), 0)
-    world.types = {"big": TYPE}
-    world.now = 100.0
+    context = Context(settings_for("h0"), random.Random(1), 0)
+    context.types = {"big": TYPE}
+    context.now = 100.0
     made = {}
     for name, (age, fields) in jobs.items():
         described = spec(**fields)
@@ -146,35 +146,35 @@
             "queued",
             1,
             described,
-            round(1000 * (world.now - age)),
+            round(1000 * (context.now - age)),
             described.tasks,
         )
-        world.replica.jobs[name] = world.replica.active[name] = made[name]
-    return world, made
+        context.replica.jobs[name] = context.replica.active[name] = made[name]
+    return context, made
 
 
 def test_a_large_array_comes_first_in_its_line_once_it_is_an_elder():
-    world, jobs = waiting(big=(100.0, dict(tasks=5000)), small=(90.0, dict(tasks=1)))
-    world.now = 20.0
-    lines = Lines(world)
+    context, jobs = waiting(big=(100.0, dict(tasks=5000)), small=(90.0, dict(tasks=1)))
+    context.now = 20.0
+    lines = Lines(context)
     for job in jobs.values():
         shape = lines.put(job, job.spec)
     assert lines.head(shape)[-1] == "small"  # it counts as younger by its size
-    world.now = 100.0
+    context.now = 100.0
     lines.grow_old()
     assert lines.head(shape)[-1] == "big"
 
 
 def test_an_elder_is_owed_a_share_whatever_its_classs_aims_are():
-    world, jobs = waiting(old=(97.0, {}), young=(50.0, {}))
-    world.wait_aims["l"] = [400.0]
-    assert order.aged(world, jobs["old"], jobs["old"].spec)
-    assert not order.aged(world, jobs["young"], jobs["young"].spec)
+    context, jobs = waiting(old=(97.0, {}), young=(50.0, {}))
+    context.start_objectives["l"] = [400.0]
+    assert order.aged(context, jobs["old"], jobs["old"].spec)
+    assert not order.aged(context, jobs["young"], jobs["young"].spec)
 
 
 def test_an_elder_gang_keeps_its_part_of_the_limit_while_it_gathers():
-    world, jobs = waiting(gang=(70.0, dict(kind="gang", tasks=8)), young=(10.0, {}))
-    buffer = WriteBuffer(world)
+    context, jobs = waiting(gang=(70.0, dict(kind="gang", tasks=8)), young=(10.0, {}))
+    buffer = WriteBuffer(context)
     assert not buffer.beyond_limit(jobs["young"], jobs["young"].spec)
     buffer.claim_limit(jobs["gang"], jobs["gang"].spec, 8)  # nothing of the team runs
     assert buffer.beyond_limit(jobs["young"], jobs["young"].spec)
@@ -182,10 +182,10 @@
 
 
 def test_what_is_older_but_has_begun_lets_an_elder_begin():
-    world, jobs = waiting(
+    context, jobs = waiting(
         gang=(70.0, dict(kind="gang", tasks=8)), older=(80.0, dict(tasks=40, estimate_s=60.0))
     )
-    openings = Openings(world)
+    openings = Openings(context)
     openings.take("gang", 1, jobs["gang"].since, ["m1"], 10.0)
     assert not openings.bars("m1", jobs["older"], jobs["older"].spec)
     jobs["older"].chunks[0] = Chunk(1, 1, 0, {0: Binding(1, "m2", 1, 1, "a")})
@@ -216,4 +216,4 @@
         core.handlers["query"] = lambda rid, job_id, query=query, core=core: (
             core.desk.unavailable(rid, "busy") if job_id == "job-2" else query(rid, job_id)
         )
-    assert sim.silent() == {"job-2"}
+    assert sim.unresponsive() == {"job-2"}
--- a/tests/test_index.py
+++ b/tests/test_index.py
@@ -6,11 +6,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from oakmux.core.context import Context
 from oakmux.core.index import Index, class_of, may_fit
 from oakmux.core.jobs import chunk_key, job_key, job_value
 from oakmux.core.keeper.reports import take_report
 from oakmux.core.keeper.room import has_room, room, silent_s, times, usable
-from oakmux.core.world import World
 from oakmux.wire import Report
 from tests.fakes import TYPE, ZONES, settings_for, spec
 
@@ -54,28 +54,28 @@
     """A world with machines and jobs, and the index that is looked at."""
 
     def __init__(self) -> None:
-        self.world = World(settings_for("h0"), random.Random(1), 0)
-        self.world.types = {TYPE.name: TYPE}
-        self.world.types_changed()
-        self.index = Index(self.world)
-        self.stamp = 0
-        self.seq = 0
+        self.context = Context(settings_for("h0"), random.Random(1), 0)
+        self.context.types = {TYPE.name: TYPE}
+        self.context.types_changed()
+        self.index = Index(self.context)
+        self.mod_revision = 0
+        self.sequence = 0
         for job_id, job in JOBS.items():
             self.write(job_key(job_id), job_value("queued", job.team, job, 0, job.tasks))
 
     def write(self, key, value):
-        self.stamp += 1
-        self.world.replica.apply(key, value, self.stamp)
+        self.mod_revision += 1
+        self.context.replica.apply(key, value, self.mod_revision)
 
     def report(self, name, tasks, notice):
-        self.seq += 1
+        self.sequence += 1
         number = int(name[1:])
         states = {
             (f"{job}/{index}", 1): (state, "done" if state == "exited" else "", False)
             for job, index, state in sorted(tasks)
         }
         take_report(
-            self.world,
+            self.context,
             Report(
                 name,
                 name,
@@ -83,7 +83,7 @@
                 ZONES[number % 3],
                 number % 2 == 0,
                 1,
-                self.seq,
+                self.sequence,
                 1,
                 9.0 if notice else None,
                 states,
@@ -99,18 +99,18 @@
         self.write(chunk_key(job_id, 0), [1, "0", []])
 
     def drain(self, name):
-        self.world.drain(name)
+        self.context.drain(name)
 
     def undrain(self, name):
-        self.world.undrain(name)
+        self.context.undrain(name)
 
     def gone(self, name):
-        self.world.machines.pop(name, None)
-        self.world.draining.pop(name, None)
-        self.world.replica.touch(name)
+        self.context.machines.pop(name, None)
+        self.context.draining.pop(name, None)
+        self.context.replica.touch(name)
 
     def wait(self, seconds):
-        self.world.now += seconds
+        self.context.now += seconds
 
 
 def after(history):
@@ -125,26 +125,26 @@
 @given(st.lists(change, max_size=30))
 def test_every_machine_stands_where_a_full_look_puts_it(history):
     place = after(history)
-    world, index = place.world, place.index
-    for machine in world.machines.values():
+    context, index = place.context, place.index
+    for machine in context.machines.values():
         number = index.ids[machine.name]
         where = [key for key, ids in index.classes.items() if number in ids]
         assert len(where) <= 1
-        if usable(world, machine):
+        if usable(context, machine):
             assert where == [
                 class_of(
                     TYPE,
                     machine.zone,
                     machine.spot,
-                    room(world, machine),
+                    room(context, machine),
                     machine.idle_since is not None,
                 )
             ]
-        elif world.now - machine.heard < silent_s(world):
+        elif context.now - machine.heard < silent_s(context):
             assert where == []  # drained, noticed or sick; one that fell silent leaves when drawn
         held = {image for image, ids in index.holders.items() if number in ids}
         assert held == set(machine.images)
-    assert set(index.ids) == set(world.machines)
+    assert set(index.ids) == set(context.machines)
 
 
 @settings(max_examples=150)
@@ -156,18 +156,18 @@
 )
 def test_what_is_drawn_has_room_and_what_has_room_is_drawn(history, job_id, wanted, zones):
     place = after(history)
-    world, job = place.world, JOBS[job_id]
+    context, job = place.context, JOBS[job_id]
     drawn = place.index.draw(job, zones, {"m5"}, wanted)
     names = [row.machine.name for row in drawn]
     assert len(set(names)) == len(names) and "m5" not in names
     fitting = {
         m.name
-        for m in world.machines.values()
-        if usable(world, m)
-        and world.fits(job, m)
+        for m in context.machines.values()
+        if usable(context, m)
+        and context.fits(job, m)
         and m.zone in zones
         and m.name != "m5"
-        and has_room(room(world, m), job)
+        and has_room(room(context, m), job)
     }
     assert set(names) <= fitting
     # With so few machines nothing that has room may be missed, unless there was enough.
@@ -197,7 +197,7 @@
     place = after([("report", "m1", set(), False)])
     place.wait(100.0)
     assert place.index.draw(JOBS["job-0"], ZONES, (), 1) == []
-    assert not place.index.classes and "m1" in place.world.silent
+    assert not place.index.classes and "m1" in place.context.unresponsive
     place.report("m1", set(), False)
     place.index.refresh()
     assert [row.machine.name for row in place.index.draw(JOBS["job-0"], ZONES, (), 1)] == ["m1"]
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -68,7 +68,7 @@
     sim.stuck.clear()
     sim.state.refused = set()
     sim.late_writes = sim.state_slow = sim.copies = 0.0
-    assert sim.silent() == set()
+    assert sim.unresponsive() == set()
     assert sim.unfinished(seconds) == set()
 
 
@@ -100,7 +100,9 @@
     # the job for one without tasks, and told nobody.
     sim = busy(count)
     old = sim.labels[0]
-    other = next(label for label in sim.labels[1:] if "red" not in sim.cores[label].world.my_roles)
+    other = next(
+        label for label in sim.labels[1:] if "red" not in sim.cores[label].context.held_roles
+    )
     gather(sim, old)
     for job_id in ("job-0", "job-1"):
         sim.cancel(job_id)
@@ -146,15 +148,15 @@
     cancel_by(sim, sim.labels[-1], "job-1")
     sim.state.outage(2 * CANCEL_S)
     sim.run(1.7)  # nobody's records are fresh any more: we keep whom we have
-    ruled = [sim.workers[name].token <= sim.cores[ours].world.term for name in names]
-    before = {name: sim.workers[name].session for name in names}
+    ruled = [sim.workers[name].fencing_token <= sim.cores[ours].context.term for name in names]
+    before = {name: sim.workers[name].agent_epoch for name in names}
     for name in names:
         reset(sim, name, ours)
     sim.run(CANCEL_S)
     # With a token above our term, a start that the other gave may be on its way as well: what is
     # true of the task that runs is not known of that one, and the lease has to end.
     for name, ours_counts in zip(names, ruled, strict=True):
-        assert (sim.workers[name].session == before[name]) == ours_counts
+        assert (sim.workers[name].agent_epoch == before[name]) == ours_counts
     if all(ruled):
         assert kept_by(sim, ours) == up(sim)
         assert len(running(sim, "job-0")) == 1  # nor did its machine lose the lease
@@ -165,7 +167,7 @@
 
 def job_of(sim: Sim, label: str, job_id: str) -> Any:
     """Return a job as a controller knows it, or None."""
-    return sim.cores[label].world.replica.jobs.get(job_id)
+    return sim.cores[label].context.replica.jobs.get(job_id)
 
 
 @pytest.mark.parametrize("who", ["confirmer", "others", "all others"])
@@ -249,7 +251,7 @@
         self.held: list[float] = []
         super().__init__(seed, count)
 
-    def carry_out(self, label: str, life: int, effect: tuple) -> None:
+    def carry_out(self, label: str, incarnation: int, effect: tuple) -> None:
         if (
             self.armed
             and effect[0] == "orders"
@@ -266,27 +268,27 @@
             self.after(
                 constants.ORDERS_TIMEOUT_S,
                 lambda: (
-                    self.lives[label] == life
+                    self.lives[label] == incarnation
                     and self.command(label, ("done", effect[1], "lost", None))
                 ),
             )
             return
-        super().carry_out(label, life, effect)
+        super().carry_out(label, incarnation, effect)
 
 
 def test_what_a_peer_tells_begins_where_our_own_knowledge_ends(monkeypatch):
     monkeypatch.setattr(constants, "CANCELS_KEPT", 3)
     replica = Replica()
-    for stamp, number in enumerate((4, 2, 7, 5, 1), 1):
+    for mod_revision, number in enumerate((4, 2, 7, 5, 1), 1):
         replica.apply(
-            job_key(f"job-{number}"), job_value("cancelled", "red", None, 0, 1), 10 * stamp
+            job_key(f"job-{number}"), job_value("cancelled", "red", None, 0, 1), 10 * mod_revision
         )
     replica.apply(job_key("job-9"), job_value("done", "red", None, 0, 1), 25)
     assert replica.cancelled_since(0) == ["job-4", "job-2", "job-7", "job-5", "job-1"]
     assert replica.cancelled_since(30) == ["job-5", "job-1"]
-    for stamp, number in enumerate((11, 12), 6):
+    for mod_revision, number in enumerate((11, 12), 6):
         replica.apply(
-            job_key(f"job-{number}"), job_value("cancelled", "red", None, 0, 1), 10 * stamp
+            job_key(f"job-{number}"), job_value("cancelled", "red", None, 0, 1), 10 * mod_revision
         )
     assert replica.cancelled_since(29) is None  # what was dropped must not look like nothing
     assert replica.cancelled_since(30) == ["job-5", "job-1", "job-11", "job-12"]
@@ -296,7 +298,7 @@
 def test_a_cancellation_is_told_to_peers_from_the_step_in_which_its_user_is_told(first):
     sim = busy()
     core = sim.cores["h1"]
-    since = core.keeper.word.epoch
+    since = core.keeper.word.revision
 
     def asked_for(writes: bool, effects: list[tuple]) -> int:
         return next(e[1] for e in effects if e[0] == "txn" and bool(e[3]) == writes)
@@ -352,7 +354,7 @@
         (
             label
             for label, core in sim.cores.items()
-            if core is not None and role in core.world.my_roles
+            if core is not None and role in core.context.held_roles
         ),
         sim.labels[0],
     )
@@ -374,7 +376,7 @@
     well(sim, 20)
     begun: dict[str, str] = {}
     for _, task, _, name in sim.start_log:  # anew only where a lease ended: no end was missed
-        assert task not in begun or sim.workers[begun[task]].session > 1, task
+        assert task not in begun or sim.workers[begun[task]].agent_epoch > 1, task
         begun[task] = name
     assert len(begun) == 5
 
@@ -403,7 +405,7 @@
         sim.armed = True
         sim.run(20)
         assert sim.calls >= at
-        held = sorted(r for core in sim.cores.values() for r in core.world.my_roles)
+        held = sorted(r for core in sim.cores.values() for r in core.context.held_roles)
         assert held == ["#fleet", "blue", "red"], (at, back)
         assert sim.unfinished(60) == set()
 
@@ -499,13 +501,13 @@
     twice: list[tuple] = []
     obey = FakeWorker.obey
 
-    def noted(self: FakeWorker, token: int, orders: list) -> None:
+    def noted(self: FakeWorker, fencing_token: int, orders: list) -> None:
         for order in orders:
             task = (self.name, order["piece"], order["try"])
             if order["verb"] == "launch" and "forget" in sent.get(task, ()):
                 twice.append(task)
             sent.setdefault(task, set()).add(order["verb"])
-        obey(self, token, orders)
+        obey(self, fencing_token, orders)
 
     monkeypatch.setattr(FakeWorker, "obey", noted)
     sim.slow = sim.twice = 0.05
@@ -577,7 +579,7 @@
     sim.run(0.3)  # just started: it has not heard the machines
     for report in reversed(old):
         for label in sim.labels:
-            machine = sim.cores[label].world.machines.get(report.machine)
+            machine = sim.cores[label].context.machines.get(report.machine)
             known = machine and machine.version
             deliver(sim, label, report)
             assert machine is None or machine.version >= known
@@ -676,7 +678,7 @@
     sim.run(20 + constants.GONE_KEEP_S)
     assert len(sim.start_log) == before  # no role, machine or task was lost by it
     gone = [key for key in sim.state.rows if key.startswith("ox/gone/")]
-    assert not gone and sorted(sim.cores["h0"].world.replica.nodes) == sim.labels
+    assert not gone and sorted(sim.cores["h0"].context.replica.nodes) == sim.labels
     well(sim, 80)
 
 
--- a/tests/test_meetings_later.py
+++ b/tests/test_meetings_later.py
@@ -7,6 +7,7 @@
 import pytest
 
 from oakmux import constants
+from oakmux.core.context import Context, Machine
 from oakmux.core.jobs import (
     Binding,
     Chunk,
@@ -18,7 +19,6 @@
 )
 from oakmux.core.keeper import hearing
 from oakmux.core.replica import Replica
-from oakmux.core.world import Machine, World
 from oakmux.settings import Team
 from oakmux.wire import Report
 from tests.fakes import CANCEL_S, LEASE_S, PLACED, TYPE, Sim, settings_for, spec
@@ -143,7 +143,7 @@
     sim.run(0.05)
     reset(sim, name, keeper)
     sim.run(1.5)
-    seen = sim.cores[owner].world.machines[name]
+    seen = sim.cores[owner].context.machines[name]
     assert seen.keeper == other or not hearing.hears(seen)
     sim.run(constants.VIEW_AGAIN_S + 2)
     assert seen.keeper == keeper and hearing.hears(seen)
@@ -155,13 +155,15 @@
 
 
 def test_what_a_controller_says_again_of_a_machine_is_no_sign_that_it_hears():
-    world = World(settings_for("h0"), random.Random(1), 0)
+    context = Context(settings_for("h0"), random.Random(1), 0)
     machine = Machine(Report("m", "a:1", "big", "a", False, 1, 1, 5, None, {}), 0.0)
     machine.keeper, machine.keeper_term = "h1", 5
-    moved(world, machine, "h2", token=5)
-    moved(world, machine, "h1", token=5)  # it shows the term of its controller from before
-    report = Report("m", "a:1", "big", "a", False, 1, machine.seq, 5, None, {})
-    hearing.next_word(world, machine, report, "h1", 5)
+    moved(context, machine, "h2", fencing_token=5)
+    moved(
+        context, machine, "h1", fencing_token=5
+    )  # it shows the term of its controller from before
+    report = Report("m", "a:1", "big", "a", False, 1, machine.sequence, 5, None, {})
+    hearing.next_word(context, machine, report, "h1", 5)
     assert not hearing.hears(machine)
 
 
@@ -200,7 +202,7 @@
         sim.run(0.2)
     sim.stuck = {owner}
     [binding] = core.owner.buffer.work["job-1"][0].bound.values()
-    theirs = binding._replace(attempt=5, session=binding.session + 1)
+    theirs = binding._replace(attempt=5, agent_epoch=binding.agent_epoch + 1)
     chunk = Chunk(0, 5, 0, {0: theirs})
     state = sim.state
     mine, _, lease = state.rows[role_key("red")]
@@ -211,7 +213,7 @@
         (role_key("red"), None),
         (role_key("red"), mine),
     ):
-        state.epoch += 1
+        state.revision += 1
         if value is None:
             state.drop(key)
         else:
@@ -237,7 +239,7 @@
     sim.submit("job-1", spec("array", 2, estimate_s=1.0, gpus=1.0))
     sim.run(1.2)
     assert sim.held and not running(sim, "job-1")
-    replica = sim.cores["h2"].world.replica
+    replica = sim.cores["h2"].context.replica
     assert "job-1" not in replica.jobs or not replica.jobs["job-1"].bindings()
     sim.cuts |= {frozenset(("h1", name)) for name in up(sim)}
     cancel_by(sim, "h0", "job-1")
@@ -613,7 +615,7 @@
     for state in PLACED:  # on its machine, whatever it does there
         worker.tasks[(task, attempt)][0] = state
         with pytest.raises(AssertionError, match="ran_twice"):
-            other.obey(other.token, [order])
+            other.obey(other.fencing_token, [order])
     worker.tasks[(task, attempt)][0] = "running"
     for kind, more in (
         ("quota", {"gpus": 1.0, "team": "red"}),
@@ -623,7 +625,7 @@
         sim.specs["job-9"] = spec(**more)
         sim.teams["red"] = Team("red", cpus_max=8, gpus_max=8)
         with pytest.raises(AssertionError, match=kind):
-            other.obey(other.token, [{"verb": "launch", "piece": "job-9/0", "try": 1}])
+            other.obey(other.fencing_token, [{"verb": "launch", "piece": "job-9/0", "try": 1}])
     job_id = task.partition("/")[0]
     worker.hang(0.5 * LEASE_S)
     sim.cancelled_at[job_id] = sim.now - CANCEL_S - 1
--- a/tests/test_oncall.py
+++ b/tests/test_oncall.py
@@ -6,11 +6,11 @@
 import pytest
 
 from oakmux import constants
+from oakmux.core.context import Context, Machine
 from oakmux.core.failing import Failures
 from oakmux.core.jobs import node_key
 from oakmux.core.keeper import hearing
 from oakmux.core.membership import FLEET
-from oakmux.core.world import Machine, World
 from oakmux.wire import Report
 from tests.fakes import CANCEL_S, LEASE_S, REPORT_S, Sim, settings_for, spec
 from tests.test_stories import asked, quiet
@@ -70,7 +70,7 @@
 
 def test_without_that_evidence_machines_that_do_not_hear_are_kept(monkeypatch):
     monkeypatch.setattr("oakmux.core.keeper.room.hears", lambda machine: True)
-    monkeypatch.setattr("oakmux.core.fleet.returns.deaf_s", lambda world, machine: 0.0)
+    monkeypatch.setattr("oakmux.core.fleet.returns.deaf_s", lambda context, machine: 0.0)
     monkeypatch.setattr("oakmux.core.fleet.returns.hears", lambda machine: True)
     with pytest.raises(AssertionError):
         test_work_of_a_machine_that_does_not_hear_goes_on_elsewhere()
@@ -87,41 +87,54 @@
     assert sim.told["job-1"] == "cancelled" and not sim.live()
 
 
-def moved(world: World, machine: Machine, keeper: str, session: int = 1, token: int = 0) -> None:
+def moved(
+    context: Context, machine: Machine, keeper: str, agent_epoch: int = 1, fencing_token: int = 0
+) -> None:
     """Take the next report of a machine, as a controller hears of it."""
     report = Report(
-        machine.name, "a:1", "big", "a", False, session, machine.seq + 1, token, None, {}
+        machine.name,
+        "a:1",
+        "big",
+        "a",
+        False,
+        agent_epoch,
+        machine.sequence + 1,
+        fencing_token,
+        None,
+        {},
     )
-    hearing.next_word(world, machine, report, keeper, 5)
-    machine.take(report, world.now)
+    hearing.next_word(context, machine, report, keeper, 5)
+    machine.take(report, context.now)
     machine.keeper = keeper
 
 
 @pytest.mark.parametrize("sign", ["goes from one to the next", "a lease ends while it reports"])
 def test_each_sign_alone_tells_that_a_machine_does_not_hear(sign):
-    world = World(settings_for("h0"), random.Random(1), 0)
+    context = Context(settings_for("h0"), random.Random(1), 0)
     machine = Machine(Report("m", "a:1", "big", "a", False, 1, 1, 5, None, {}), 0.0)
     machine.keeper, machine.keeper_term = "h1", 5
     if sign == "goes from one to the next":
-        moved(world, machine, "h2")
+        moved(context, machine, "h2")
         assert hearing.hears(machine)  # handed over, or its controller fell
-        moved(world, machine, "h0")
+        moved(context, machine, "h0")
     else:
-        world.now = LEASE_S / 3
-        moved(world, machine, "h1", session=2)
+        context.now = LEASE_S / 3
+        moved(context, machine, "h1", agent_epoch=2)
     assert not hearing.hears(machine)
-    moved(world, machine, machine.keeper, machine.session)  # it stays, but does not show the term
+    moved(
+        context, machine, machine.keeper, machine.agent_epoch
+    )  # it stays, but does not show the term
     assert not hearing.hears(machine)
-    moved(world, machine, machine.keeper, machine.session, 5)
+    moved(context, machine, machine.keeper, machine.agent_epoch, 5)
     assert hearing.hears(machine)
 
 
 def test_a_lease_that_ended_in_silence_is_no_sign():
-    world = World(settings_for("h0"), random.Random(1), 0)
+    context = Context(settings_for("h0"), random.Random(1), 0)
     machine = Machine(Report("m", "a:1", "big", "a", False, 1, 1, 5, None, {}), 0.0)
     machine.keeper = "h1"
-    world.now = 1.5 * LEASE_S
-    moved(world, machine, "h1", session=2)
+    context.now = 1.5 * LEASE_S
+    moved(context, machine, "h1", agent_epoch=2)
     assert hearing.hears(machine)
 
 
@@ -151,7 +164,7 @@
     for label in sim.labels:
         assert deliver(sim, label, old) == [503]
     sim.run(3)
-    assert not any(name in core.world.machines for core in sim.cores.values())
+    assert not any(name in core.context.machines for core in sim.cores.values())
 
 
 @pytest.mark.parametrize("count", [3, 7])
@@ -168,12 +181,12 @@
     terms = sim.state.rows["ox/term"][0]
     for label in sim.labels:
         deliver(sim, label, old)
-        machine = sim.cores[label].world.machines.get(name)
+        machine = sim.cores[label].context.machines.get(name)
         assert machine is None or not hearing.hears(machine)
     sim.run(3)
     assert sim.state.rows["ox/term"][0] <= terms + count  # each raises its own at its start
     assert sim.unfinished(100) == set()
-    assert not any(name in core.world.machines for core in sim.cores.values())
+    assert not any(name in core.context.machines for core in sim.cores.values())
 
 
 def test_a_controller_just_started_takes_up_its_workers_within_two_reports():
@@ -183,7 +196,7 @@
         sim.crash(label, 0.3)
     sim.run(0.3 + 2 * REPORT_S + 1.5)  # they try another after a second
     core = sim.cores["h0"]
-    known = [m for n, m in core.world.machines.items() if n in up(sim)]
+    known = [m for n, m in core.context.machines.items() if n in up(sim)]
     assert known and all(hearing.hears(machine) for machine in known)
 
 
@@ -200,7 +213,7 @@
     alone = max(
         sim.labels,
         key=lambda label: sum(
-            1 for m in sim.cores[label].world.machines.values() if m.keeper == label
+            1 for m in sim.cores[label].context.machines.values() if m.keeper == label
         ),
     )
     sim.isolate(alone, 3 * CANCEL_S)
@@ -246,12 +259,12 @@
         self.armed = False
         super().__init__(7, count)
 
-    def carry_out(self, label: str, life: int, effect: tuple) -> None:
+    def carry_out(self, label: str, incarnation: int, effect: tuple) -> None:
         if self.armed and effect[0] in ("txn", "grant", "renew", "get"):
             self.calls += 1
             if self.calls == self.at:
                 if self.served:  # it is carried out, and its answer finds nobody
-                    super().carry_out(label, life, effect)
+                    super().carry_out(label, incarnation, effect)
                 others = [one for one in self.labels if one != label]
                 for one in [label, *others][: self.who]:
                     self.crash(one, self.back)
@@ -260,7 +273,7 @@
                         self.back + 0.3, lambda: self.state.serve(label, effect[0], *effect[2:])
                     )
                 return
-        super().carry_out(label, life, effect)
+        super().carry_out(label, incarnation, effect)
 
 
 @pytest.mark.parametrize("at", range(1, 25))
@@ -273,21 +286,21 @@
             for label in sim.labels:  # all roles are free at once, and all controllers claim
                 sim.crash(label, 0.1)
             sim.run(14)
-            held = sorted(r for core in sim.cores.values() for r in core.world.my_roles)
+            held = sorted(r for core in sim.cores.values() for r in core.context.held_roles)
             assert held == ["#fleet", "blue", "red"], (at, who, served)
-            assert sorted(sim.cores["h0"].world.replica.nodes) == sim.labels, (at, who, served)
+            assert sorted(sim.cores["h0"].context.replica.nodes) == sim.labels, (at, who, served)
 
 
 def test_a_late_write_of_the_process_before_does_not_take_a_controller_off_the_list():
     sim = quiet()
     core = sim.cores["h1"]
-    old = (node_key("h1"), core.world.life, core.membership.lease)
+    old = (node_key("h1"), core.context.incarnation, core.membership.lease)
     sim.crash("h1", 0.1)
     sim.run(1.5)
     assert sim.state.serve("h1", "txn", [], [old], -1)[0] == 200  # held up on its way till now
     sim.run(constants.NODE_LEASE_S + 6)
-    assert "h1" in sim.cores["h0"].world.replica.nodes
-    assert sim.state.rows[node_key("h1")][0] == sim.cores["h1"].world.life
+    assert "h1" in sim.cores["h0"].context.replica.nodes
+    assert sim.state.rows[node_key("h1")][0] == sim.cores["h1"].context.incarnation
 
 
 @pytest.mark.parametrize("count", [3, 7])
@@ -299,10 +312,10 @@
             sim.crash(label, sim.rng.uniform(0.05, 0.5))
         worker = sim.workers[sim.rng.choice(up(sim))]
         worker.tasks.clear()  # a machine back at once: its tasks are gone, its session is new
-        worker.session += 1
+        worker.agent_epoch += 1
         worker.lease_from = sim.now
         sim.run(2)
-    assert sim.silent() == set()
+    assert sim.unresponsive() == set()
     assert sim.unfinished(60) == set()
 
 
@@ -312,7 +325,7 @@
 def test_a_holder_that_stood_still_returns_no_machine_for_its_own_silence():
     # With the state service out as well, its lease and its role were still there afterwards.
     sim = busy()
-    holder = next(label for label, core in sim.cores.items() if FLEET in core.world.my_roles)
+    holder = next(label for label, core in sim.cores.items() if FLEET in core.context.held_roles)
     names = up(sim)
     sim.state.outage(4 * LEASE_S)
     sim.run(1)
@@ -330,7 +343,7 @@
     sim.crash("h1", 5.0)
     sim.run(55)
     assert asked(sim, "job-7", 3) == "done"
-    assert sim.silent() == set()
+    assert sim.unresponsive() == set()
     assert sim.unfinished(60) == set()
 
 
@@ -348,7 +361,7 @@
     before = len(sim.start_log)
     sim.run(6)
     assert len(sim.start_log) > before  # as soon as their reports say so
-    assert sim.silent() == set()
+    assert sim.unresponsive() == set()
     assert sim.unfinished(60) == set()
 
 
@@ -408,14 +421,14 @@
             sim.submit(f"job-{number}", spec("array", 1, estimate_s=900.0, gpus=0.0, cpus=0.1))
         sim.run(3)
         for core in sim.cores.values():
-            core.world.machines[name].errors = [f"job-{number}" for number in range(10, 13)]
+            core.context.machines[name].errors = [f"job-{number}" for number in range(10, 13)]
         for task in [key for key in sim.workers[name].tasks]:
             sim.workers[name].tasks[task][:2] = ["exited", "stopped"]
         sim.run(constants.SICK_HOLD_S - 2)
         assert not sim.workers[name].dead
         for core in sim.cores.values():
             for number in range(10, 13) if elsewhere else ():
-                core.world.failures.note(f"job-{number}", "m-other")
+                core.context.failures.note(f"job-{number}", "m-other")
         sim.run(6)
         assert sim.workers[name].dead is not elsewhere
 
@@ -453,9 +466,9 @@
     sim.run(10)
     calls: list[tuple] = []
     carry_out = sim.carry_out
-    sim.carry_out = lambda label, life, effect: (  # type: ignore[method-assign]
+    sim.carry_out = lambda label, incarnation, effect: (  # type: ignore[method-assign]
         calls.append(effect) if effect[0] == "txn" and not effect[3] else None,
-        carry_out(label, life, effect),
+        carry_out(label, incarnation, effect),
     )
     answers: list[int] = []
     for _ in range(10):
@@ -526,7 +539,7 @@
     sim = Sim(6)
     sim.capacity = 40
     sim.run(5)
-    core = next(core for core in sim.cores.values() if FLEET in core.world.my_roles)
+    core = next(core for core in sim.cores.values() if FLEET in core.context.held_roles)
     demand = core.fleet.demand
     bad = ("big", "a", True)
     core.fleet.lists.never_up = [(sim.now, bad)] * constants.BOOT_TROUBLE
--- a/tests/test_opening.py
+++ b/tests/test_opening.py
@@ -7,10 +7,10 @@
 import pytest
 
 from oakmux import constants
+from oakmux.core.context import Context
 from oakmux.core.jobs import Job
 from oakmux.core.spread.opening import Held, Site, choose, fits, parts
 from oakmux.core.spread.openings import Openings
-from oakmux.core.world import World
 from oakmux.settings import Spread
 from tests.fakes import Sim, settings_for, spec
 from tests.test_stories import quiet
@@ -140,7 +140,7 @@
     sim = crowded(3)
     sim.submit("job-100", spec("gang", 4, "blue", priority=2, cpus=2.0, one_zone=True))
     sim.run(6)
-    owner = next(label for label, core in sim.cores.items() if "blue" in core.world.my_roles)
+    owner = next(label for label, core in sim.cores.items() if "blue" in core.context.held_roles)
     alive = sorted(name for name, worker in sim.workers.items() if not worker.dead)
     if trouble == "machines":
         for name in alive[:3]:
@@ -169,8 +169,8 @@
 
 
 def test_only_what_gives_way_goes_to_machines_that_are_being_opened():
-    world = World(settings_for("h0"), random.Random(1), 0)
-    openings = Openings(world)
+    context = Context(settings_for("h0"), random.Random(1), 0)
+    openings = Openings(context)
 
     def job(name: str, since: int, **more) -> Job:
         found = Job(name, "red", "queued", 1, spec(**more), 0, 1)
@@ -202,7 +202,7 @@
     openings.take("job-1", 2, 40.0, ["m1"], 30.0)  # the older has what both name
     assert openings.by_machine == {"m1": "job-1", "m2": "job-2"}
     openings.take("job-1", 2, 40.0, [], 0.0)
-    world.now = 26.0
+    context.now = 26.0
     assert not barred(younger)  # whoever said it is gone
     openings.take("job-2", 2, 50.0, ["m1"], 1.0)
     assert barred(array)  # it would be stopped in a moment
@@ -210,8 +210,8 @@
 
 def test_the_oldest_gang_may_have_machines_that_younger_ones_wait_for():
     # Two younger gangs had named 72 machines; for the oldest, 36 others were ready in 260 s.
-    world = World(settings_for("h0"), random.Random(1), 0)
-    openings = Openings(world)
+    context = Context(settings_for("h0"), random.Random(1), 0)
+    openings = Openings(context)
     jobs = {}
     for name, since, priority in (
         ("job-1", 40, 2),
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -73,7 +73,7 @@
 
 def test_jobs_that_come_together_share_their_changes():
     sim = settled()
-    before, changes = sim.state.epoch, Counter[str]()
+    before, changes = sim.state.revision, Counter[str]()
     put, drop = sim.state.put, sim.state.drop
 
     def counted(key: str, *rest: Any) -> None:
@@ -101,7 +101,7 @@
     sim.submit("job-100", spec("array", constants.PAGE_TASKS + 1, gpus=0.0, cpus=0.1))
     sim.run(15)
     least = sim.cores["h0"].owner.buffer.least_bytes
-    found = sim.cores["h0"].world.replica.pages
+    found = sim.cores["h0"].context.replica.pages
     assert len(found) > 1
     for page in found.values():
         assert page.reserved == sum(reserved_bytes(row.tasks) for row in page.rows.values())
@@ -154,13 +154,13 @@
     replica.apply(key, [row("job-1", "m3", 2), row("job-2", "m2")], 12)
     assert replica.changed_jobs == {"job-1"} and replica.jobs["job-2"].chunks[0] is kept
     replica.apply(key, [row("job-1"), row("job-2", "m9")], 11)  # older: it changes nothing
-    assert list(replica.by_machine) == ["m2", "m3"] and replica.pages["red/0"].stamp == 12
+    assert list(replica.by_machine) == ["m2", "m3"] and replica.pages["red/0"].mod_revision == 12
     replica.apply(key, [row("job-2", "m2")], 13)
     assert not replica.jobs["job-1"].chunks and list(replica.by_machine) == ["m2"]
     replica.apply(page_key("red/7"), None, 13)  # read, and not there
     assert "red/7" not in replica.pages
     replica.apply(key, [row("job-1"), ["torn"]], 14)  # all of it or nothing
-    assert replica.pages["red/0"].stamp == 13 and list(replica.by_machine) == ["m2"]
+    assert replica.pages["red/0"].mod_revision == 13 and list(replica.by_machine) == ["m2"]
 
 
 def test_a_page_counts_before_the_record_of_its_job_is_known():
@@ -226,7 +226,7 @@
 def test_a_row_is_not_bound_once_its_job_was_cancelled_elsewhere():
     sim = settled()
     mine = owner(sim, "red")
-    core, replica = sim.cores[mine], sim.cores[mine].world.replica
+    core, replica = sim.cores[mine], sim.cores[mine].context.replica
     sim.submit("job-1", small(estimate_s=60.0))
     sim.submit("job-2", small(estimate_s=60.0))
     while not replica.jobs.get("job-2") or not replica.jobs.get("job-1"):
@@ -238,7 +238,7 @@
     sim.run(0.05)
     assert [status for status, _ in answers] == [200]
     sim.run(2)
-    assert not core.world.replica.jobs["job-1"].bindings()
+    assert not core.context.replica.jobs["job-1"].bindings()
     sim.stuck = set()
     sim.run(8)
     assert [task for _, task, _ in sim.live()] == ["job-2/0"]  # not held up for good by the other
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -25,8 +25,8 @@
     send = clock.Clock._send
 
     def careless(self, batch):
-        call = self.world.call
-        self.world.call = lambda then, kind, guards, writes, rank: call(
+        call = self.context.call
+        self.context.call = lambda then, kind, guards, writes, rank: call(
             then,
             kind,
             [
@@ -41,7 +41,7 @@
         try:
             send(self, batch)
         finally:
-            self.world.call = call
+            self.context.call = call
 
     monkeypatch.setattr(clock.Clock, "_send", careless)
     assert replay(60, 10, 5, START).good == (dropped == "own/")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -134,7 +134,7 @@
     worker.answered(0.4, 1, {"baton": 5, "orders": [again]}, 0.5)
     assert worker.tasks[TaskKey(again["piece"], 2)].cause == "in_use"
     worker.advance(0.4 + config.times.lease_s + 0.1)
-    assert worker.session == 2 and not worker.tasks
+    assert worker.agent_epoch == 2 and not worker.tasks
     worker.answered(9.0, 1, {"baton": 5, "orders": [launch]}, 9.1)  # of an earlier session
     assert not worker.tasks
 
@@ -171,7 +171,7 @@
     assert refused.value.status == 404
     events = store.events_since("a/", 0)
     assert events is not None and len(events) == 2
-    assert decode(watch_body(store.epoch, events))["events"][1] == {
+    assert decode(watch_body(store.revision, events))["events"][1] == {
         "delete": "a/1",
         "stamp": 2,
     }
--- a/tests/test_schedules.py
+++ b/tests/test_schedules.py
@@ -165,7 +165,7 @@
         assert len(sim.made) == 2
     else:
         assert [row[1] for row in rows] == outcomes
-    jobs = sim.cores["h0"].world.replica.jobs
+    jobs = sim.cores["h0"].context.replica.jobs
     states = [jobs[job].state for _, job in sim.made]
     if overlap == "replace":
         assert states[:2] == ["cancelled"] * 2
@@ -267,7 +267,7 @@
         sim.off.add(label)
         sim.crash(label)
         sim.run(30)
-        held = {role for core in sim.cores.values() if core for role in core.world.my_roles}
+        held = {role for core in sim.cores.values() if core for role in core.context.held_roles}
         assert held == {"red", "blue", "#fleet"} | ({"#clock"} if n < 2 else set())
     sim.off = {"h0", "h1"}  # and on again on one
     sim.crash("h2")
@@ -300,7 +300,7 @@
     taken = records.job_id(entry, str(seconds("2026-12-01T03:00:00+00:00")), 0, 0)
     old = spec(gpus=0.0)
     sim.specs[taken] = old
-    sim.state.epoch += 1
+    sim.state.revision += 1
     sim.state.put(job_key(taken), job_value("queued", "red", old, 0, 1), None)
     sim.run(50)
     ((_, job),) = sim.made
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -7,12 +7,12 @@
 from hypothesis import strategies as st
 
 from oakmux import constants
+from oakmux.core.context import Context
 from oakmux.core.jobs import Job
 from oakmux.core.keeper.minimum_share import MinimumShare
 from oakmux.core.spread.lines import Lines
 from oakmux.core.spread.order import turn_ms
 from oakmux.core.spread.waiting import Waiting
-from oakmux.core.world import World
 from tests.fakes import TYPE, Sim, settings_for, spec
 from tests.test_stories import quiet
 
@@ -26,9 +26,9 @@
 
 @given(JOBS)
 def test_a_line_holds_its_jobs_by_what_has_to_start_first_then_age(moves):
-    world = World(settings_for("h0"), random.Random(1), 0)
-    world.types = {"big": TYPE}
-    lines, expected = Lines(world), {}
+    context = Context(settings_for("h0"), random.Random(1), 0)
+    context.types = {"big": TYPE}
+    lines, expected = Lines(context), {}
     for number, priority, cpus, move in moves:
         name = f"job-{number}"
         if move == 0:
@@ -38,7 +38,7 @@
         job = Job(name, "red", "queued", 1, spec(cpus=cpus, priority=priority), 0, 1)
         job.since, job.due = move * 10, 100.0 - move
         shape = lines.put(job, job.spec)
-        expected[name] = (shape, (True, job.latest, False, turn_ms(world, job, job.spec), name))
+        expected[name] = (shape, (True, job.latest, False, turn_ms(context, job, job.spec), name))
     by_line = {}
     for shape, place in expected.values():
         by_line.setdefault(shape, []).append(place)
@@ -140,7 +140,9 @@
     sim.run(15)
     for name in dice.sample(sorted(n for n, w in sim.workers.items() if not w.dead), 2):
         sim.kill(name)
-    sim.crash(next(label for label, core in sim.cores.items() if "blue" in core.world.my_roles))
+    sim.crash(
+        next(label for label, core in sim.cores.items() if "blue" in core.context.held_roles)
+    )
     waits = []
     for number in range(100, 110):
         at = sim.now
@@ -155,8 +157,8 @@
 
 @given(st.lists(st.tuples(st.sampled_from([1.0, 2.0, 4.0]), st.booleans()), max_size=300))
 def test_aged_work_gets_its_share_and_no_more(offers):
-    world = World(settings_for("h0"), random.Random(1), 0)
-    minimum = MinimumShare(world)
+    context = Context(settings_for("h0"), random.Random(1), 0)
+    minimum = MinimumShare(context)
     old = Job("job-1", "red", "queued", 1, spec(priority=0, gpus=1.0), 0, 1)
     old.since = -1000 * (constants.AGED_S + 1)
     by_age = by_rank = 0.0
@@ -198,7 +200,9 @@
     if trouble == "machine":
         sim.kill(next(name for name, worker in sorted(sim.workers.items()) if not worker.dead))
     elif trouble == "owner":
-        sim.crash(next(label for label in sim.labels if "blue" in sim.cores[label].world.my_roles))
+        sim.crash(
+            next(label for label in sim.labels if "blue" in sim.cores[label].context.held_roles)
+        )
     elif trouble == "keepers":
         for label in sim.labels[1:]:
             sim.crash(label, 2.0)
@@ -222,16 +226,16 @@
 
 def test_what_cannot_meet_its_aim_goes_behind_what_can():
     # By age alone all of a burst above capacity was late: each was served as its time was over.
-    world = World(settings_for("h0"), random.Random(1), 0)
-    world.finish_aims["l"] = 60.0
-    world.types = {"big": TYPE}
-    lines = Lines(world)
+    context = Context(settings_for("h0"), random.Random(1), 0)
+    context.finish_objectives["l"] = 60.0
+    context.types = {"big": TYPE}
+    lines = Lines(context)
     for number, (since, tasks) in enumerate([(0, 2), (30_000, 2), (30_000, 6), (31_000, 1)]):
         job = Job(f"job-{number}", "red", "queued", 1, spec(tasks=tasks), since, tasks)
-        world.replica.jobs[job.id] = job
+        context.replica.jobs[job.id] = job
         shape = lines.put(job, job.spec)
     assert lines.head(shape)[-1] == "job-0"
-    world.now = 56.0  # it needs five seconds more, and its time is over
+    context.now = 56.0  # it needs five seconds more, and its time is over
     order = []
     while (head := lines.head(shape)) is not None:
         order.append(head[-1])
@@ -241,14 +245,14 @@
 
 def test_the_only_job_of_a_line_may_lose_its_aim():
     # Put anew, it left a line that was gone, and the tick with it.
-    world = World(settings_for("h0"), random.Random(1), 0)
-    world.finish_aims["l"] = 60.0
-    world.types = {"big": TYPE}
-    waiting = Waiting(world, {})
+    context = Context(settings_for("h0"), random.Random(1), 0)
+    context.finish_objectives["l"] = 60.0
+    context.types = {"big": TYPE}
+    waiting = Waiting(context, {})
     job = Job("job-1", "red", "queued", 1, spec(), 0, 1)
-    world.replica.jobs[job.id] = job
+    context.replica.jobs[job.id] = job
     waiting.lines.put(job, job.spec)
-    world.now = 100.0
+    context.now = 100.0
     assert [turn[-2] for turn in waiting.turns()] == ["job-1"]
 
 
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -49,7 +49,7 @@
 
 def test_owners_and_keepers_are_spread():
     sim = quiet()
-    roles = [r for core in sim.cores.values() for r in core.world.my_roles]
+    roles = [r for core in sim.cores.values() for r in core.context.held_roles]
     assert sorted(roles) == ["#fleet", "blue", "red"]  # each role has one holder
 
 
@@ -59,9 +59,9 @@
     for label in ("h0", "h1"):
         sim.crash(label, 8.0)
     sim.run(7)
-    assert len(sim.cores["h2"].world.my_roles) == 3
+    assert len(sim.cores["h2"].context.held_roles) == 3
     sim.run(30)
-    held = sorted(len(core.world.my_roles) for core in sim.cores.values())
+    held = sorted(len(core.context.held_roles) for core in sim.cores.values())
     assert held == [1, 1, 1]
 
 
@@ -186,15 +186,15 @@
     sim.cancel("job-1")
     sim.run(3)
     core = next(c for c in sim.cores.values() if c.keeper.ward.kept)
-    term = core.world.term
+    term = core.context.term
     name, machine = next(
-        (n, m) for n, m in core.world.machines.items() if m.keeper == core.world.label
+        (n, m) for n, m in core.context.machines.items() if m.keeper == core.context.label
     )
     core.keeper.ward.kept[name].starting[("job-5/0", 1)] = term
     core.keeper.orders._ordered(name, [("job-5/0", 1)], term, "lost", None)
     assert core.keeper.reports.shown(machine)[("job-5/0", 1)][0] == "starting"
     sim.run(6)
-    assert core.world.term > term
+    assert core.context.term > term
     assert ("job-5/0", 1) not in core.keeper.ward.kept[name].starting
 
 
@@ -382,7 +382,7 @@
 @pytest.mark.parametrize("seed", [1, 2, 3, 4, 5, 6])
 def test_rules_hold_in_a_random_story(seed):
     sim = troubled(seed)
-    assert sim.silent() == set()
+    assert sim.unresponsive() == set()
     assert sim.idle_room() == set()
     assert sim.unfinished(150) == set()
     assert sim.starts > 20
@@ -391,7 +391,7 @@
 @pytest.mark.parametrize("seed", [11, 12])
 def test_rules_hold_in_a_random_story_of_seven(seed):
     sim = troubled(seed, 100.0, count=7)
-    assert sim.silent() == set()
+    assert sim.unresponsive() == set()
     assert sim.idle_room() == set()
     assert sim.unfinished(150) == set()
 
@@ -405,11 +405,15 @@
     # Without the proof, a task that a report does not list yet is started a second time.
     real = proof.gone
 
-    def hasty(world, machine, task, binding, shown):
-        if machine is not None and machine.session == binding.session and task not in shown:
+    def hasty(context, machine, task, binding, shown):
+        if (
+            machine is not None
+            and machine.agent_epoch == binding.agent_epoch
+            and task not in shown
+        ):
             return "lost", False
         return real(
-            world, machine, task, binding, {k: v for k, v in shown.items() if v[0] != "starting"}
+            context, machine, task, binding, {k: v for k, v in shown.items() if v[0] != "starting"}
         )
 
     monkeypatch.setattr("oakmux.core.owner.binding.gone", hasty)
@@ -520,7 +524,7 @@
         sim.query(f"job-{number}")
     sim.run(2)
     assert {sim.told[f"job-{n}"] for n in (1, 3, 4, 6)} == {"done"}
-    assert sum(len(core.world.my_roles) for core in sim.cores.values()) == 3
+    assert sum(len(core.context.held_roles) for core in sim.cores.values()) == 3
     live = [task for _, task, _ in sim.live()]
     assert sorted(live) == ["job-2/0", "job-2/1", "job-5/0", "job-5/1"]  # the services
 
@@ -561,7 +565,7 @@
     sim = quiet()
     sim.submit("job-1", spec("array", 1, "red", estimate_s=3.0))
     sim.run(12)
-    owner = next(label for label, core in sim.cores.items() if "red" in core.world.my_roles)
+    owner = next(label for label, core in sim.cores.items() if "red" in core.context.held_roles)
     worker = next(w for w in sim.workers.values() if not w.dead)
     worker.node = (sim.labels.index(owner) + 1) % 3  # another controller keeps the machine
     sim.run(2)
@@ -629,16 +633,17 @@
     sim.submit("job-1", spec("service", 1, "blue"))
     sim.run(10)
     sim.crash(
-        next(label for label, core in sim.cores.items() if "#fleet" in core.world.my_roles), 2.0
+        next(label for label, core in sim.cores.items() if "#fleet" in core.context.held_roles),
+        2.0,
     )
     sim.run(20)
     [(worker, _, _)] = sim.live()
-    fleet = next(core.fleet for core in sim.cores.values() if "#fleet" in core.world.my_roles)
+    fleet = next(core.fleet for core in sim.cores.values() if "#fleet" in core.context.held_roles)
     lists_s = constants.ABSENT_LAGS * 2.0
     assert sim.now - fleet.lists.known_since[worker.name] > lists_s  # any list may prove it now
     sim.kill(worker.name)
     killed = sim.now
-    while any(worker.name in core.world.replica.by_machine for core in sim.cores.values()):
+    while any(worker.name in core.context.replica.by_machine for core in sim.cores.values()):
         sim.run(0.1)
     # Silent for a lease, as far as others tell; then missing in two lists.
     assert sim.now - killed < LEASE_S + 2 * constants.ALIVE_S + 2 * REPORT_S + 2.0
@@ -675,7 +680,7 @@
     for label, core in sim.cores.items():
         core.owner.writer.flush = writes[label]
     sim.run(1)
-    assert [len(rows) for rows in sim.cores["h0"].world.replica.by_machine.values()] == [1]
+    assert [len(rows) for rows in sim.cores["h0"].context.replica.by_machine.values()] == [1]
 
 
 def test_a_huge_job_and_a_thousand_waiting_ones_keep_a_tick_small():
@@ -685,7 +690,7 @@
     for number in range(1, 1001):
         sim.submit(f"job-{number}", spec("array", 1, "red", estimate_s=3.0))
     sim.run(10)
-    core = next(c for c in sim.cores.values() if "red" in c.world.my_roles)
+    core = next(c for c in sim.cores.values() if "red" in c.context.held_roles)
     sampled = []
     real = core.owner.sampler._sample_job
     core.owner.sampler._sample_job = lambda *a: sampled.append(a) or real(*a)
@@ -695,7 +700,9 @@
     assert all(len(k.queue) <= 64 for c in sim.cores.values() for k in c.keeper.ward.kept.values())
     assert (
         sum(
-            len(c.world.replica.by_machine.get(m, {})) for c in [core] for m in core.world.machines
+            len(c.context.replica.by_machine.get(m, {}))
+            for c in [core]
+            for m in core.context.machines
         )
         <= 18
     )  # both teams' limits
@@ -739,18 +746,18 @@
     sim = quiet()
     sim.submit("job-1", spec("array", 8, "red", estimate_s=200.0))
     sim.run(8)
-    core = next(c for c in sim.cores.values() if "blue" in c.world.my_roles)
+    core = next(c for c in sim.cores.values() if "blue" in c.context.held_roles)
     for other in sim.cores.values():
         other.fleet.demand._rent = lambda *a: None
     sim.submit("job-2", spec("gang", 6, "blue", cpus=3.0))
     sim.run(1)
-    state, name = core.owner.open["job-2"], next(iter(core.world.machines))
-    core.owner.gangs.end(core.world.replica.jobs["job-2"], state)
+    state, name = core.owner.open["job-2"], next(iter(core.context.machines))
+    core.owner.gangs.end(core.context.replica.jobs["job-2"], state)
     state.quiet_until = sim.now + 5
-    session = core.world.machines[name].session
-    core.world.now = sim.now
-    core.owner.binder.offer(name, "job-2", 7, session, 1, "h9")
-    assert ("send", "h9", ("decline", name, 7)) in core.world.effects
+    agent_epoch = core.context.machines[name].agent_epoch
+    core.context.now = sim.now
+    core.owner.binder.offer(name, "job-2", 7, agent_epoch, 1, "h9")
+    assert ("send", "h9", ("decline", name, 7)) in core.context.effects
 
 
 def test_a_task_keeps_away_from_a_machine_that_is_bound_to_fetch_another_image():
@@ -758,22 +765,22 @@
     sim = quiet()
     sim.submit("job-1", spec("array", 8, "red", image="r"))
     sim.run(6)
-    core = next(core for core in sim.cores.values() if "blue" in core.world.my_roles)
-    world = core.world
-    first, second = (world.machines[name] for name in sorted(world.machines)[:2])
+    core = next(core for core in sim.cores.values() if "blue" in core.context.held_roles)
+    context = core.context
+    first, second = (context.machines[name] for name in sorted(context.machines)[:2])
     for machine in (first, second):
         machine.tasks, machine.images, machine.since = {}, {}, {}
-        world.replica.touch(machine.name)
-    bound = Binding(1, first.name, first.session, 1, first.zone)
-    world.replica.by_machine = {first.name: {("job-1", 0): bound}}
+        context.replica.touch(machine.name)
+    bound = Binding(1, first.name, first.agent_epoch, 1, first.zone)
+    context.replica.by_machine = {first.name: {("job-1", 0): bound}}
     other = spec("array", 1, "blue", image="b", image_gb=4.0, priority=2)
     job = Job("job-2", "blue", "queued", 1, other, 0, 1)
     free = (4.0, 2.0, 32.0)
-    rows = [preference(world, job, other, machine, free) for machine in (first, second)]
+    rows = [preference(context, job, other, machine, free) for machine in (first, second)]
     assert rows[1] < rows[0]
-    assert fetch_s(world, other, first) == 2 * fetch_s(world, other, second)
+    assert fetch_s(context, other, first) == 2 * fetch_s(context, other, second)
     same = spec("array", 1, "blue", image="r")
-    assert fetch_s(world, same, first) == 0.0  # one fetch serves both
+    assert fetch_s(context, same, first) == 0.0  # one fetch serves both
 
 
 def test_a_machine_that_was_listed_and_vanishes_is_proven_gone_without_a_lease_of_silence(
@@ -788,7 +795,7 @@
     [(worker, _, _)] = sim.live()
     sim.kill(worker.name)
     sim.run(lease_s - 2)
-    assert not any(worker.name in core.world.replica.by_machine for core in sim.cores.values())
+    assert not any(worker.name in core.context.replica.by_machine for core in sim.cores.values())
 
 
 def test_an_urgent_gang_comes_before_its_own_teams_array_at_the_limit():
@@ -859,4 +866,4 @@
         sim.query(job_id)
     sim.run(2)
     assert sim.told == {"job-1": "done", "job-2": "done", "job-3": "cancelled"}
-    assert sorted(len(core.world.my_roles) for core in sim.cores.values()) == [1, 1, 1]
+    assert sorted(len(core.context.held_roles) for core in sim.cores.values()) == [1, 1, 1]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -37,7 +37,7 @@
 
     tag: str
     label: str
-    life: int
+    incarnation: int
     state_age: float
     cancelled: list[str]
 
@@ -84,7 +84,7 @@
         assert job.ready
         for number, chunk in job.chunks.items():
             assert chunk.to_value(1) == FIRST["rows"][chunk_key(job.id, number)][0]
-            again = chunk_from(chunk.to_value(2), chunk.stamp)
+            again = chunk_from(chunk.to_value(2), chunk.mod_revision)
             assert (again.bound, again.done, again.last) == (chunk.bound, chunk.done, chunk.last)
     assert len(replica.jobs["job-2"].chunks[0].bound) == 30
 
@@ -105,15 +105,15 @@
         old = msgspec.convert(wire.decode(answers[0]), OldAnswer)
         assert (old.label, batch.since) == ("h1", -1)
         assert old.cancelled == [
-            j.id for j in core.world.replica.jobs.values() if j.state == "cancelled"
+            j.id for j in core.context.replica.jobs.values() if j.state == "cancelled"
         ]
-    assert "message_failed" not in caplog.text and "m1" in core.world.machines
+    assert "message_failed" not in caplog.text and "m1" in core.context.machines
     sim, forms = Sim(1), {}
     send = sim.send
 
-    def noted(label, life, peer, message):
+    def noted(label, incarnation, peer, message):
         forms[message[0]] = len(message)
-        send(label, life, peer, message)
+        send(label, incarnation, peer, message)
 
     sim.send = noted
     sim.run(10)
@@ -224,7 +224,7 @@
     sim.query("job-1")
     sim.run(6)
     assert sim.told["job-1"] == "done"
-    assert all(core.world.replica.format == FORMAT for core in sim.cores.values())
+    assert all(core.context.replica.format == FORMAT for core in sim.cores.values())
 
 
 def test_a_new_controller_that_is_cut_off_during_the_switch_goes_on_after_it():
@@ -237,12 +237,12 @@
     upgrade(sim, "h2")
     sim.run(3)
     assert sim.state.rows[FORMAT_KEY][0] == [FORMAT, 64]
-    assert sim.cores["h0"].world.replica.format == 1
+    assert sim.cores["h0"].context.replica.format == 1
     sim.cuts.clear()
     sim.run(45)
     sim.query("job-1")
     sim.run(3)
-    assert sim.told["job-1"] == "done" and sim.cores["h0"].world.replica.format == FORMAT
+    assert sim.told["job-1"] == "done" and sim.cores["h0"].context.replica.format == FORMAT
 
 
 def test_records_left_too_large_are_shrunk_after_the_switch_and_can_be_released():
--- a/tests/timed.py
+++ b/tests/timed.py
@@ -119,7 +119,7 @@
             label
             for label, core in self.cores.items()
             if core is not None
-            and "#clock" in core.world.my_roles
+            and "#clock" in core.context.held_roles
             and not self.cut(label, "state")
         ]
         assert len(held) <= 1
--- a/tools/capacity/cell.py
+++ b/tools/capacity/cell.py
@@ -100,8 +100,8 @@
         self.name = name
         self.zone = zone
         self.run_s = run_s
-        self.seq = 0
-        self.token = 0
+        self.sequence = 0
+        self.fencing_token = 0
         self.tasks: dict[tuple[str, int], tuple[str, str, bool]] = {}
         self.ends: dict[tuple[str, int], float] = {}
         self.next_report = first_report
@@ -120,7 +120,7 @@
 
     def report(self, now: float) -> Report:
         """Return the report that is due."""
-        self.seq += 1
+        self.sequence += 1
         self.reported = now
         self.next_report = now + REPORT_S
         return Report(
@@ -130,16 +130,16 @@
             self.zone,
             False,
             1,
-            self.seq,
-            self.token,
+            self.sequence,
+            self.fencing_token,
             None,
             dict(self.tasks),
         )
 
-    def obey(self, token: int, orders: list[dict], now: float) -> int:
+    def obey(self, fencing_token: int, orders: list[dict], now: float) -> int:
         """Carry out commands; return how many tasks they started."""
-        if token > self.token:
-            self.token = token
+        if fencing_token > self.fencing_token:
+            self.fencing_token = fencing_token
             self.changed(now)
         started = 0
         for order in orders:
@@ -163,7 +163,7 @@
         self.rng = random.Random(seed)
         self.core = Controller(cell_settings(teams, zones, 1), random.Random(seed), 0)
         self.now = 0.0
-        self.epoch = 0
+        self.revision = 0
         self.spent_s = 0.0
         self.starts = 0
         self.changes: Counter[str] = Counter()
@@ -203,7 +203,7 @@
             worker.advance(self.now)
             if worker.next_report <= self.now:
                 commands.append(("report", worker.name, worker.report(self.now)))
-        commands.append(("watch", [], self.epoch, self.now))
+        commands.append(("watch", [], self.revision, self.now))
         begun = time.process_time()
         effects = self.core.step(self.now, commands)
         self.spent_s += time.process_time() - begun
@@ -228,27 +228,27 @@
 
     def _direct(self, effect: tuple) -> None:
         """Carry out direct orders; a stub's address is its name."""
-        _, op, address, token, _, orders = effect
+        _, op, address, fencing_token, _, orders = effect
         worker = self.by_name[address]
-        self.starts += worker.obey(token, orders, self.now)
+        self.starts += worker.obey(fencing_token, orders, self.now)
         self.pending.append(("done", op, "ok", worker.report(self.now)))
 
     def _transaction(self, effect: tuple) -> None:
         writes = effect[3]
         if writes:
-            self.epoch += 1
+            self.revision += 1
             self.transactions += 1
         for write in writes:
             group = write[0].removeprefix(PREFIX).partition("/")[0]
             self.changes[group if len(write) > 1 else f"-{group}"] += 1
             self.event_bytes += len(
                 cbor2.dumps(
-                    {"write": write[0], "v": write[1], "stamp": self.epoch}
+                    {"write": write[0], "v": write[1], "stamp": self.revision}
                     if len(write) > 1
-                    else {"delete": write[0], "stamp": self.epoch}
+                    else {"delete": write[0], "stamp": self.revision}
                 )
             )
-        self.pending.append(("done", effect[1], 200, (self.epoch, [])))
+        self.pending.append(("done", effect[1], 200, (self.revision, [])))
 
 
 def steady(
--- a/tools/capacity/measurements.py
+++ b/tools/capacity/measurements.py
@@ -125,14 +125,14 @@
     before = cost.resident_mb()
     bench = cost.Bench(int(machines), False, SEED)
     held = cost.resident_mb() - before
-    assert len(bench.core.world.machines) == machines
+    assert len(bench.core.context.machines) == machines
     return held
 
 
 # --- controllers among themselves ---
 
 
-def view_message(number: int, seq: int, tasks: int = 3) -> list:
+def view_message(number: int, sequence: int, tasks: int = 3) -> list:
     """Return the news of a machine that a keeper sends its peers."""
     rows = [[f"job-{412_000 + task}/3", 2, "running", "", False] for task in range(tasks)]
     return [
@@ -144,7 +144,7 @@
         "zone-0",
         True,
         1,
-        seq,
+        sequence,
         41,
         None,
         rows,
@@ -175,11 +175,13 @@
     """Messages that a controller sends for each report that changes what runs."""
     core = Controller(cell_settings(2, 3, int(controllers)), random.Random(SEED), 0)
     core.step(0.0, [("catalogue", [cost.TYPE]), ("snapshot", [], 0, 0.0)])
-    core.world.term = core.world.life = 1
+    core.context.term = core.context.incarnation = 1
     sent = 0
-    for seq in range(1, 21):
-        report = wire.parse_report({**report_value(seq % 3), "tick": seq})
-        effects = core.step(0.01 * seq, [("watch", [], 0, 0.01 * seq), ("report", seq, report)])
+    for sequence in range(1, 21):
+        report = wire.parse_report({**report_value(sequence % 3), "tick": sequence})
+        effects = core.step(
+            0.01 * sequence, [("watch", [], 0, 0.01 * sequence), ("report", sequence, report)]
+        )
         sent += sum(1 for effect in effects if effect[0] == "send" and effect[2][0] == "view")
     return sent / 20
 
--- a/tools/cost.py
+++ b/tools/cost.py
@@ -88,10 +88,10 @@
             members=[Member("h1", "10.0.0.2:81")],
         )
         self.core = Controller(settings, random.Random(seed), 0)
-        self.now, self.epoch, self.kept = 0.0, 0, kept
+        self.now, self.revision, self.kept = 0.0, 0, kept
         self.sent: list[tuple] = []
         self.names = [f"n-{number:06}" for number in range(machines)]
-        self.seq = dict.fromkeys(self.names, 0)
+        self.sequence = dict.fromkeys(self.names, 0)
         self.tasks: dict[str, dict] = {name: {} for name in self.names}
         self.step([("catalogue", [TYPE]), ("snapshot", [], 0, 0.0)])
         self.settle(2.0)
@@ -110,9 +110,9 @@
             elif kind == "renew":
                 answers.append(("done", number, 200, None))
             elif kind == "txn":
-                self.epoch += 1
-                answers.append(("done", number, 200, (self.epoch, [])))
-                answers.append(("watch", [], self.epoch, self.now))
+                self.revision += 1
+                answers.append(("done", number, 200, (self.revision, [])))
+                answers.append(("watch", [], self.revision, self.now))
             elif kind == "cloud" and args[0] == "rent":
                 answers.append(("done", number, 503, "no capacity"))
             elif kind == "send":
@@ -127,14 +127,14 @@
     def tick(self) -> float:
         """Pass a tenth of a second with current records; return the step's processor time."""
         self.now += 0.1
-        for machine in self.core.world.machines.values():
+        for machine in self.core.context.machines.values():
             machine.heard = self.now
-        return self.step([("watch", [], self.epoch, self.now)])
+        return self.step([("watch", [], self.revision, self.now)])
 
     def word(self, name: str) -> tuple:
         """Return a report, or a peer's word of one."""
         number = int(name[2:])
-        self.seq[name] += 1
+        self.sequence[name] += 1
         zone, spot = ZONES[number % 3], number % 5 == 0
         if self.kept:
             return (
@@ -147,8 +147,8 @@
                     zone,
                     spot,
                     1,
-                    self.seq[name],
-                    self.core.world.term,
+                    self.sequence[name],
+                    self.core.context.term,
                     None,
                     dict(self.tasks[name]),
                 ),
@@ -168,7 +168,7 @@
                     zone,
                     spot,
                     1,
-                    self.seq[name],
+                    self.sequence[name],
                     1,
                     None,
                     [],
@@ -181,7 +181,7 @@
         """Give each machine one service that takes all of it."""
         rows: list[tuple[str, Any, int]] = []
         for number, name in enumerate(self.names):
-            self.epoch += 1
+            self.revision += 1
             spec = JobSpec(
                 lane="l",
                 team="red",
@@ -204,25 +204,25 @@
                 deadline_s=None,
             )
             job_id = f"job-9{number:06}"
-            rows.append((job_key(job_id), job_value("queued", "red", spec, 0, 1), self.epoch))
+            rows.append((job_key(job_id), job_value("queued", "red", spec, 0, 1), self.revision))
             chunk = Chunk(last=1, bound={0: Binding(1, name, 1, 1, ZONES[number % 3])})
-            rows.append((chunk_key(job_id, 0), chunk.to_value(2), self.epoch))
-        self.step([("watch", rows, self.epoch, self.now)])
+            rows.append((chunk_key(job_id, 0), chunk.to_value(2), self.revision))
+        self.step([("watch", rows, self.revision, self.now)])
 
     def submit(self, jobs: int) -> None:
         """Add jobs to the records, of the classes that the deployments have."""
         rows: list[tuple[str, Any, int]] = []
         for number in range(jobs):
-            self.epoch += 1
+            self.revision += 1
             spec = job_spec(self.rng, number)
             rows.append(
                 (
                     job_key(f"job-{number}"),
                     job_value("queued", spec.team, spec, number, spec.tasks),
-                    self.epoch,
+                    self.revision,
                 )
             )
-        self.step([("watch", rows, self.epoch, self.now)])
+        self.step([("watch", rows, self.revision, self.now)])
 
 
 def measure(run: Callable[[], float], times: int) -> HdrHistogram:
@@ -264,16 +264,16 @@
     bench = Bench(machines, False, seed)
     bench.submit(jobs)
     bench.settle(1.0)
-    assert FLEET in bench.core.world.my_roles
+    assert FLEET in bench.core.context.held_roles
 
     def run() -> float:
         bench.now += 1.0
-        bench.core.world.now = bench.core.world.state_heard = bench.now
-        for machine in bench.core.world.machines.values():
+        bench.core.context.now = bench.core.context.store_seen_at = bench.now
+        for machine in bench.core.context.machines.values():
             machine.heard = bench.now
         start = time.process_time()
         bench.core.fleet.tick()
-        bench.core.world.effects.clear()
+        bench.core.context.effects.clear()
         return time.process_time() - start
 
     return measure(run, passes)
--- a/tools/scale/hollow.py
+++ b/tools/scale/hollow.py
@@ -65,7 +65,7 @@
         """Send one report and do what its answer says."""
         process, worker = self.process, self.worker
         worker.advance(self.loop.time())
-        sent, session = self.loop.time(), worker.session
+        sent, agent_epoch = self.loop.time(), worker.agent_epoch
         self.last = sent
         body = wire.encode(worker.report())
         process.counts["report_bytes"] += len(body)
@@ -87,9 +87,9 @@
         process.counts["reports"] += 1
         worker.advance(now)
         if status == 200:
-            before = worker.token
-            worker.answered(sent, session, value, now)
-            if worker.token > before and now - self.token_told > (
+            before = worker.fencing_token
+            worker.answered(sent, agent_epoch, value, now)
+            if worker.fencing_token > before and now - self.token_told > (
                 process.plan.config.times.lease_s / 2
             ):
                 self.token_told = now
--- a/tools/scale/state_service.py
+++ b/tools/scale/state_service.py
@@ -99,15 +99,15 @@
             self.watches[label] = [watch for watch in watches if not self._told(watch, now)]
 
     def _told(self, watch: Watch, now: float) -> bool:
-        if watch.since == self.store.epoch and now < watch.until:
+        if watch.since == self.store.revision and now < watch.until:
             return False
         events = self.store.events_since(watch.prefix, watch.since)
         if events is None:
             answer(watch.request, 410, {})
         elif events or now >= watch.until:
-            watch.request.respond(200, watch_body(self.store.epoch, events))
+            watch.request.respond(200, watch_body(self.store.revision, events))
         else:
-            watch.since = self.store.epoch
+            watch.since = self.store.revision
             return False
         return True
 
@@ -138,8 +138,8 @@
         path, method = parts.path, request.method
         if path == wire.PATH_TXN and method == "POST":
             body = wire.decode(request.body)
-            epoch = self.store.transact(now, body.get("guards") or [], body.get("writes") or [])
-            answer(request, 200, {"epoch": epoch})
+            revision = self.store.transact(now, body.get("guards") or [], body.get("writes") or [])
+            answer(request, 200, {"epoch": revision})
             if body.get("writes"):
                 self.tell(now)
         elif path == wire.PATH_WATCH and method == "GET":
--- a/tools/scale/store.py
+++ b/tools/scale/store.py
@@ -43,11 +43,11 @@
 class Row:
     """A key's value, the revision of its last change, its lease."""
 
-    __slots__ = ("value", "stamp", "lease")
+    __slots__ = ("value", "mod_revision", "lease")
 
-    def __init__(self, value: Any, stamp: int, lease: int | None) -> None:
+    def __init__(self, value: Any, mod_revision: int, lease: int | None) -> None:
         self.value = value
-        self.stamp = stamp
+        self.mod_revision = mod_revision
         self.lease = lease
 
 
@@ -56,7 +56,7 @@
 
     def __init__(self, limits: Service) -> None:
         self.limits = limits
-        self.epoch = 0
+        self.revision = 0
         self.rows: SortedDict = SortedDict()
         self.leases: dict[int, Lease] = {}
         self.next_lease = 0
@@ -85,7 +85,7 @@
         lease = self.leases.pop(number, None)
         if lease is None or not lease.keys:
             return False
-        self.epoch += 1
+        self.revision += 1
         for key in sorted(lease.keys):
             self._delete(key)
         return True
@@ -114,7 +114,7 @@
         """Return a key's item; raises Refused."""
         row = self.rows.get(key)
         if row is None:
-            raise Refused(404, {"epoch": self.epoch})
+            raise Refused(404, {"epoch": self.revision})
         return item(key, row)
 
     def page(self, prefix: str, since: str, most: int) -> dict[str, Any]:
@@ -131,7 +131,7 @@
                 more = True
                 break
             found.append(row)
-        return {"rows": found, "has_next": more, "epoch": self.epoch}
+        return {"rows": found, "has_next": more, "epoch": self.revision}
 
     def transact(self, now: float, guards: list[dict], writes: list[dict]) -> int:
         """Carry out a transaction; return the revision; raises Refused."""
@@ -147,9 +147,9 @@
         failed = [row["path"] for row in guards if self._stamp(row["path"]) != row["stamp"]]
         if failed:
             self.counts["failed_changes"] += len(writes)
-            raise Refused(409, {"failed": failed, "epoch": self.epoch})
+            raise Refused(409, {"failed": failed, "epoch": self.revision})
         if writes:
-            self.epoch += 1
+            self.revision += 1
             self.counts["transactions"] += 1
         for write in writes:
             if "delete" in write:
@@ -157,7 +157,7 @@
             else:
                 self._put(write["write"], write["v"], write.get("permit"))
         assert len(writes) <= limits.txn_ops
-        return self.epoch
+        return self.revision
 
     def _check_size(self, guards: list[dict], writes: list[dict]) -> None:
         limits = self.limits
@@ -175,7 +175,7 @@
 
     def _stamp(self, key: str) -> int:
         row = self.rows.get(key)
-        return 0 if row is None else row.stamp
+        return 0 if row is None else row.mod_revision
 
     def _put(self, key: str, value: Any, lease: int | None) -> None:
         old = self.rows.get(key)
@@ -183,8 +183,8 @@
             self.leases[old.lease].keys.discard(key)
         if lease is not None:
             self.leases[lease].keys.add(key)
-        self.rows[key] = Row(value, self.epoch, lease)
-        self._note(key, {"write": key, "v": value, "stamp": self.epoch}, "")
+        self.rows[key] = Row(value, self.revision, lease)
+        self._note(key, {"write": key, "v": value, "stamp": self.revision}, "")
 
     def _delete(self, key: str) -> None:
         row = self.rows.pop(key, None)
@@ -192,12 +192,12 @@
             return
         if row.lease in self.leases:
             self.leases[row.lease].keys.discard(key)
-        self._note(key, {"delete": key, "stamp": self.epoch}, "-")
+        self._note(key, {"delete": key, "stamp": self.revision}, "-")
 
     def _note(self, key: str, event: dict[str, Any], sign: str) -> None:
         self.counts[f"changes {sign}{'/'.join(key.split('/')[:2])}"] += 1
         self.counts["changes"] += 1
-        self.log.append((self.epoch, key, cbor2.dumps(event)))
+        self.log.append((self.revision, key, cbor2.dumps(event)))
         if len(self.log) > LOG_CHANGES:
             self.log.popleft()
 
@@ -217,11 +217,11 @@
 
 def item(key: str, row: Row) -> dict[str, Any]:
     """Return a key as the protocol shows it."""
-    found = {"path": key, "v": row.value, "stamp": row.stamp}
+    found = {"path": key, "v": row.value, "stamp": row.mod_revision}
     return found if row.lease is None else {**found, "permit": row.lease}
 
 
-def watch_body(epoch: int, events: Iterable[bytes]) -> bytes:
+def watch_body(revision: int, events: Iterable[bytes]) -> bytes:
     """Return a watch's answer from events that are encoded already."""
     rows = list(events)
     head = cbor2.dumps(len(rows))
@@ -230,7 +230,7 @@
     return (
         b"\xa2"
         + cbor2.dumps("epoch")
-        + cbor2.dumps(epoch)
+        + cbor2.dumps(revision)
         + cbor2.dumps("events")
         + array
         + b"".join(rows)
--- a/tools/scale/worker.py
+++ b/tools/scale/worker.py
@@ -52,9 +52,9 @@
         self.address = address
         self.zone = zone
         self.observe = observe
-        self.session = 1
-        self.seq = 0
-        self.token = 0
+        self.agent_epoch = 1
+        self.sequence = 0
+        self.fencing_token = 0
         self.lease_from = now
         self.tasks: dict[TaskKey, Task] = {}
         self.images: set[str] = set()
@@ -77,7 +77,7 @@
     def end_session(self, now: float) -> None:
         """The lease is over: all tasks are killed and forgotten."""
         self.clear("lease")
-        self.session += 1
+        self.agent_epoch += 1
         self.lease_from = now
         self.dirty = True
 
@@ -121,7 +121,7 @@
 
     def report(self) -> dict[str, Any]:
         """Return the next report."""
-        self.seq += 1
+        self.sequence += 1
         self.dirty = False
         pieces = []
         for key, task in self.tasks.items():
@@ -135,34 +135,38 @@
             "flavour": "hollow",
             "site": self.zone,
             "loaner": False,
-            "tenure": self.session,
-            "tick": self.seq,
-            "baton": self.token,
+            "tenure": self.agent_epoch,
+            "tick": self.sequence,
+            "baton": self.fencing_token,
             "warning_s": None,
             "pieces": pieces,
         }
 
-    def answered(self, sent: float, session: int, body: dict[str, Any], now: float) -> None:
+    def answered(self, sent: float, agent_epoch: int, body: dict[str, Any], now: float) -> None:
         """Take a 200 to the report that was sent at a time; a lower token drops it."""
-        token = body.get("baton")
-        if session != self.session or not isinstance(token, int) or token < self.token:
+        fencing_token = body.get("baton")
+        if (
+            agent_epoch != self.agent_epoch
+            or not isinstance(fencing_token, int)
+            or fencing_token < self.fencing_token
+        ):
             return
         self.lease_from = max(self.lease_from, sent)
-        self.obey(token, body.get("orders") or [], now)
+        self.obey(fencing_token, body.get("orders") or [], now)
 
     def direct(self, body: dict[str, Any], now: float) -> int:
         """Take direct orders; return the status to answer with."""
         if not isinstance(body.get("baton"), int) or not isinstance(body.get("tenure"), int):
             return 400
-        if body["baton"] < self.token or body["tenure"] != self.session:
+        if body["baton"] < self.fencing_token or body["tenure"] != self.agent_epoch:
             return 409
         self.obey(body["baton"], body.get("orders") or [], now)
         return 200
 
-    def obey(self, token: int, orders: list[dict[str, Any]], now: float) -> None:
+    def obey(self, fencing_token: int, orders: list[dict[str, Any]], now: float) -> None:
         """Execute commands in order."""
-        if token > self.token:
-            self.token = token
+        if fencing_token > self.fencing_token:
+            self.fencing_token = fencing_token
             self.dirty = True
         for order in orders:
             key = TaskKey(order["piece"], order["try"])
