--- a/oakmux/core/keeper/word.py
+++ b/oakmux/core/agents/cancellation_log.py
@@ -5,60 +5,62 @@
 """
 
 from oakmux import constants
+from oakmux.core.agents.tracked_workers import WorkerTable
 from oakmux.core.context import Context
-from oakmux.core.keeper.kept import Ward
 
 
-class Word:
+class CancellationLog:
     """Whether we know enough to keep workers alive (R ran_cancelled) and to start tasks."""
 
-    def __init__(self, context: Context, ward: Ward) -> None:
+    def __init__(self, context: Context, workers: WorkerTable) -> None:
         self.context = context
-        self.ward = ward
-        self.peer_fresh: dict[str, float] = {}
-        self.peer_heard: dict[str, float] = {}
+        self.workers = workers
+        self.peer_store_seen_at: dict[str, float] = {}
+        self.peer_seen_at: dict[str, float] = {}
         # Cancellations that peers told and our records lack, each with a time before which no user
         # can have been told of it.
         self.cancelled: dict[str, float] = {}
         # Up to which revision, and up to which time, peers' words without a gap have brought all
         # cancellations; and when each peer last told all that it had confirmed.
-        self.reached = 0
-        self.reached_at = -1e9
-        self.told: dict[str, float] = {}
+        self.replicated_revision = 0
+        self.replicated_at = -1e9
+        self.acknowledged_at: dict[str, float] = {}
 
     @property
     def revision(self) -> int:
         """The revision up to which we know of every cancellation: peers are asked from there."""
-        return max(self.reached, self.context.replica.revision)
+        return max(self.replicated_revision, self.context.replica.revision)
 
     def cancels_known_until(self) -> float:
         """Return the time up to which we know of every cancellation that was answered."""
         context = self.context
-        known = max(context.store_seen_at, self.reached_at)
+        known = max(context.store_seen_at, self.replicated_at)
         members = context.settings.members
-        if all(m.label in self.told for m in members):
+        if all(m.label in self.acknowledged_at for m in members):
             # Whatever any of them told a user until then, it has told us.
-            known = max(known, min((self.told[m.label] for m in members), default=context.now))
+            known = max(
+                known, min((self.acknowledged_at[m.label] for m in members), default=context.now)
+            )
         return known
 
-    def patience_s(self) -> float:
+    def staleness_bound_s(self) -> float:
         """Return the seconds for which leases renewed after a cancellation still end in time."""
-        times_ = self.context.facts.workers
-        return max(times_.cancel_s - times_.lease_s - constants.CANCEL_MARGIN_S, 0.0)
+        worker_times = self.context.facts.workers
+        return max(worker_times.cancel_s - worker_times.lease_s - constants.CANCEL_MARGIN_S, 0.0)
 
-    def may_keep(self) -> bool:
+    def may_renew_leases(self) -> bool:
         """Whether leases that we renew still end before a cancellation we can't know of."""
-        return self.context.now - self.cancels_known_until() < self.patience_s()
+        return self.context.now - self.cancels_known_until() < self.staleness_bound_s()
 
-    def state_fresh(self) -> bool:
+    def store_fresh(self) -> bool:
         """Whether our own records are current."""
         return self.context.now - self.context.store_seen_at < constants.STATE_STALE_S
 
-    def alone(self) -> bool:
+    def isolated(self) -> bool:
         """Whether no peer has said a word of late, if there are any."""
         members = self.context.settings.members
         return bool(members) and all(
-            self.context.now - self.peer_heard.get(m.label, -1e9) >= constants.ALONE_S
+            self.context.now - self.peer_seen_at.get(m.label, -1e9) >= constants.ALONE_S
             for m in members
         )
 
@@ -67,7 +69,7 @@
         job = self.context.replica.jobs.get(job_id)
         return job_id in self.cancelled or (job is not None and job.state == "cancelled")
 
-    def unseen(self, seconds: float) -> bool:
+    def cancelled_unseen_for(self, seconds: float) -> bool:
         """Whether a job was cancelled that long ago after all that our records show: what was
         bound of it in between we don't know either."""
         return any(self.context.now - at >= seconds for at in self.cancelled.values())
@@ -99,8 +101,10 @@
         the records that it has loaded.
         """
         if incarnation:
-            self.peer_heard[label] = asked
-            self.peer_fresh[label] = max(self.peer_fresh.get(label, -1e9), asked - state_age)
+            self.peer_seen_at[label] = asked
+            self.peer_store_seen_at[label] = max(
+                self.peer_store_seen_at.get(label, -1e9), asked - state_age
+            )
         not_before = self.cancels_known_until()
         complete = bool(incarnation) and until >= 0
         for job_id in cancelled:
@@ -111,11 +115,11 @@
                 complete = False  # leases that we can't answer for end by themselves
                 break
             self.cancelled[job_id] = not_before
-            self.poke_job(job_id)
+            self.reconcile_job(job_id)
         if complete:
-            self.reached = max(self.reached, until)
-            self.reached_at = max(self.reached_at, asked - state_age)
-            self.told[label] = max(self.told.get(label, -1e9), asked)
+            self.replicated_revision = max(self.replicated_revision, until)
+            self.replicated_at = max(self.replicated_at, asked - state_age)
+            self.acknowledged_at[label] = max(self.acknowledged_at.get(label, -1e9), asked)
 
     def forget(self) -> None:
         """Drop what our own records say by now."""
@@ -123,8 +127,8 @@
         for job_id in [j for j in self.cancelled if j in jobs and jobs[j].final]:
             del self.cancelled[job_id]
 
-    def poke_job(self, job_id: str) -> None:
+    def reconcile_job(self, job_id: str) -> None:
         """Stop a job's tasks wherever our records say that they may be."""
         job = self.context.replica.jobs.get(job_id)
         if job is not None:
-            self.ward.poke.update(b.machine for b in job.bindings())
+            self.workers.to_reconcile.update(b.machine for b in job.bindings())
--- a/oakmux/core/keeper/room.py
+++ b/oakmux/core/agents/capacity.py
@@ -3,27 +3,29 @@
 import math
 
 from oakmux import constants
+from oakmux.core.agents.reachability import is_reachable
 from oakmux.core.context import Context, Machine
-from oakmux.core.keeper.hearing import hears
 from oakmux.wire import JobSpec
 
-Room = tuple[float, float, float]
+Resources = tuple[float, float, float]
 """Free CPUs, GPUs and memory (GB)."""
 
 
-def room(context: Context, machine: Machine, extra: list[JobSpec] | None = None) -> Room:
+def free_resources(
+    context: Context, machine: Machine, extra: list[JobSpec] | None = None
+) -> Resources:
     """Return what is free on a machine: reported tasks, records and `extra` taken off."""
     free = context.replica.rooms.get(machine.name)
     if free is None:
-        free = count_room(context, machine)
+        free = count_free_resources(context, machine)
         context.replica.rooms[machine.name] = free
     for spec in extra or ():
-        free = less(free, spec)
+        free = subtract(free, spec)
     return free
 
 
-def count_room(context: Context, machine: Machine) -> Room:
-    """Count the room of a machine anew; `room` keeps the result until something changes."""
+def count_free_resources(context: Context, machine: Machine) -> Resources:
+    """Count a machine's free resources anew; `free_resources` caches the result."""
     kind = context.types.get(machine.type)
     if kind is None:
         return 0.0, 0.0, 0.0
@@ -48,7 +50,7 @@
     return cpus, gpus, memory
 
 
-def has_room(free: Room, spec: JobSpec) -> bool:
+def fits_resources(free: Resources, spec: JobSpec) -> bool:
     """Whether one task fits into the free room."""
     slack = constants.EPSILON
     return (
@@ -58,7 +60,7 @@
     )
 
 
-def less(free: Room, spec: JobSpec, count: int = 1) -> Room:
+def subtract(free: Resources, spec: JobSpec, count: int = 1) -> Resources:
     """Return the room that is left after `count` tasks."""
     return (
         free[0] - count * spec.cpus,
@@ -67,7 +69,7 @@
     )
 
 
-def times(free: Room, spec: JobSpec) -> int:
+def task_capacity(free: Resources, spec: JobSpec) -> int:
     """Return how many tasks fit; 1 of a task that needs nothing."""
     most = math.inf
     if spec.gpus > 0:
@@ -79,7 +81,7 @@
     return 1 if most == math.inf else max(0, math.floor(most))
 
 
-def full(context: Context, free: Room) -> bool:
+def is_full(context: Context, free: Resources) -> bool:
     """Whether no task of any unfinished job can have room here."""
     cpus, gpus, memory = free
     return (
@@ -89,7 +91,7 @@
     )
 
 
-def gather_s(spec: JobSpec) -> float:
+def gang_hold_s(spec: JobSpec) -> float:
     """Return the seconds for which a gang gathers room; large ones may wait for machines."""
     if not spec.joint:
         return 0.0
@@ -99,36 +101,36 @@
     )
 
 
-def silent_s(context: Context) -> float:
+def heartbeat_timeout_s(context: Context) -> float:
     """Return the seconds after which a machine that nobody hears is called silent."""
     return constants.SILENT_REPORTS * context.facts.workers.report_s + 2 * constants.ALIVE_S
 
 
-def usable(context: Context, machine: Machine) -> bool:
+def is_schedulable(context: Context, machine: Machine) -> bool:
     """Whether new tasks may be put on a machine: not on one that fell silent or does not hear us,
     where they would be stuck until it is proven gone."""
-    return hears(machine) and _open(context, machine)
+    return is_reachable(machine) and _accepts_tasks(context, machine)
 
 
-def counts(context: Context, machine: Machine) -> bool:
+def counts_as_capacity(context: Context, machine: Machine) -> bool:
     """Whether a machine counts as room, there or soon: also one that is new and has yet to show
     that it hears us, which takes a report or two. Else as much would be rented anew."""
-    new = context.now - machine.first_heard < silent_s(context)
-    return (new or hears(machine)) and _open(context, machine)
+    new = context.now - machine.first_heartbeat_at < heartbeat_timeout_s(context)
+    return (new or is_reachable(machine)) and _accepts_tasks(context, machine)
 
 
-def _open(context: Context, machine: Machine) -> bool:
+def _accepts_tasks(context: Context, machine: Machine) -> bool:
     """Whether nothing but not hearing us could keep new tasks off a machine."""
     return (
-        context.now - machine.heard < silent_s(context)
+        context.now - machine.last_heartbeat_at < heartbeat_timeout_s(context)
         and machine.name not in context.draining
         and machine.notice_at is None
         and machine.name not in context.replica.gone
-        and not sick(context, machine)
+        and not is_quarantined(context, machine)
     )
 
 
-def sick(context: Context, machine: Machine) -> bool:
+def is_quarantined(context: Context, machine: Machine) -> bool:
     """Whether tasks of several jobs failed on a machine, and none that fails elsewhere too."""
     return (
         len(machine.errors) >= constants.SICK_ERRORS
--- a/oakmux/core/keeper/reports.py
+++ b/oakmux/core/agents/heartbeats.py
@@ -4,149 +4,155 @@
 from typing import Any
 
 from oakmux import constants
+from oakmux.core.agents.cancellation_log import CancellationLog
+from oakmux.core.agents.reachability import assess_heartbeat, assess_new_machine
+from oakmux.core.agents.reservation_queue import ReservationQueue
+from oakmux.core.agents.tracked_workers import TrackedWorker, WorkerTable
+from oakmux.core.agents.worker_commands import WorkerCommands
 from oakmux.core.context import Context, Machine, Task, event
-from oakmux.core.keeper.hearing import first_word, next_word
-from oakmux.core.keeper.kept import Kept, Ward
-from oakmux.core.keeper.orders import Orders
-from oakmux.core.keeper.queue import Queue
-from oakmux.core.keeper.word import Word
 from oakmux.core.membership import Membership
-from oakmux.wire import Report
+from oakmux.wire import Heartbeat
 
 STARTING = ("starting", "", False)
 REFUSED = ("refused", "", False)
 
 
-class Reports:
+class HeartbeatHandler:
     """Takes workers' reports."""
 
     def __init__(
         self,
         context: Context,
-        ward: Ward,
-        word: Word,
+        workers: WorkerTable,
+        cancellations: CancellationLog,
         membership: Membership,
-        orders: Orders,
-        queue: Queue,
+        commands: WorkerCommands,
+        queue: ReservationQueue,
     ) -> None:
         self.context = context
-        self.ward = ward
-        self.word = word
+        self.workers = workers
+        self.cancellations = cancellations
         self.membership = membership
-        self.orders = orders
+        self.commands = commands
         self.queue = queue
 
-    def report(self, rid: Any, report: Report) -> None:
+    def receive(self, rid: Any, heartbeat: Heartbeat) -> None:
         """Take a worker's report and answer it."""
         context = self.context
-        machine = context.machines.get(report.machine)
-        if machine is not None and (report.agent_epoch, report.sequence) <= machine.version:
+        machine = context.machines.get(heartbeat.machine)
+        if machine is not None and (heartbeat.agent_epoch, heartbeat.sequence) <= machine.version:
             context.emit("answer", rid, 503, ("error", "old report"))
             return
-        if report.machine in context.replica.gone or report.machine in context.terminated:
+        if heartbeat.machine in context.replica.gone or heartbeat.machine in context.terminated:
             context.emit("answer", rid, 503, ("error", "returned"))
             return
-        if not context.replica.loaded or context.replica.foreign or not self.word.may_keep():
+        if (
+            not context.replica.loaded
+            or context.replica.foreign
+            or not self.cancellations.may_renew_leases()
+        ):
             context.emit("answer", rid, 503, ("error", "no current records"))
             return
-        kept = self.ward.kept.setdefault(report.machine, Kept())
-        kept.answered.clear()
-        if machine is None or machine.keeper != context.label:
-            kept.since = context.now
-        machine = self.take(kept, report)
-        if not self.word.state_fresh():
+        tracked = self.workers.tracked.setdefault(heartbeat.machine, TrackedWorker())
+        tracked.answered.clear()
+        if machine is None or machine.manager != context.label:
+            tracked.since = context.now
+        machine = self.take(tracked, heartbeat)
+        if not self.cancellations.store_fresh():
             # Refused by the state service alone: hand the worker over to a peer that is not.
-            for label, fresh in self.word.peer_fresh.items():
+            for label, fresh in self.cancellations.peer_store_seen_at.items():
                 if context.now - fresh < constants.STATE_STALE_S / 2:
                     context.emit("answer", rid, 421, ("report_to", label))
                     return
-        if self.orders.may_act_late(kept, machine):
+        if self.commands.late_start_possible(tracked, machine):
             context.emit("answer", rid, 503, ("error", "a cancelled start is on its way"))
             return
-        if report.fencing_token > context.term or not context.term:
-            self.membership.need_term_above(report.fencing_token)
-            if report.fencing_token:
+        if heartbeat.fencing_token > context.term or not context.term:
+            self.membership.need_term_above(heartbeat.fencing_token)
+            if heartbeat.fencing_token:
                 # The worker's own token keeps its lease; nothing starts under it.
-                stops = self.orders.stop_cancelled(kept, machine, set())
-                context.emit("answer", rid, 200, ("orders", report.fencing_token, stops))
+                stops = self.commands.stop_cancelled(tracked, machine, set())
+                context.emit("answer", rid, 200, ("orders", heartbeat.fencing_token, stops))
             else:
                 context.emit("answer", rid, 503, ("error", "no term yet"))
             return
-        orders, starts = self.orders.orders(kept, machine, forget=True)
-        kept.answered.update(starts)
-        context.emit("answer", rid, 200, ("orders", context.term, orders))
+        commands, starts = self.commands.commands(tracked, machine, forget=True)
+        tracked.answered.update(starts)
+        context.emit("answer", rid, 200, ("orders", context.term, commands))
         if starts:
             context.changed_workers.add(machine.name)
         self.queue.offer(machine.name)
 
-    def take(self, kept: Kept, report: Report) -> Machine:
+    def take(self, tracked: TrackedWorker, heartbeat: Heartbeat) -> Machine:
         """Take a report newer than what we know, and settle those of our starts that it shows."""
         context = self.context
-        for task, term in list(kept.starting.items()):
+        for task, term in list(tracked.starting.items()):
             # A start whose answer was lost is resolved once the worker shows the task, a newer
             # session or a token above the start's: it can't act any more, or it has.
-            if task in report.tasks or report.fencing_token > term:
-                del kept.starting[task]
-        machine = context.machines.get(report.machine)
-        if machine is not None and report.agent_epoch > machine.agent_epoch:
-            kept.starting.clear()
-            kept.refused.clear()
-            kept.offers.clear()
-            kept.stops.clear()
-        take_report(context, report, context.label, context.term)
-        return context.machines[report.machine]
+            if task in heartbeat.tasks or heartbeat.fencing_token > term:
+                del tracked.starting[task]
+        machine = context.machines.get(heartbeat.machine)
+        if machine is not None and heartbeat.agent_epoch > machine.agent_epoch:
+            tracked.starting.clear()
+            tracked.refused.clear()
+            tracked.offers.clear()
+            tracked.stops.clear()
+        apply_heartbeat(context, heartbeat, context.label, context.term)
+        return context.machines[heartbeat.machine]
 
-    def shown(self, machine: Machine) -> dict[Task, tuple[str, str, bool]]:
+    def visible_tasks(self, machine: Machine) -> dict[Task, tuple[str, str, bool]]:
         """Return the tasks as owners must see them: unresolved and refused starts added."""
-        kept = self.ward.kept.get(machine.name)
-        if kept is None or machine.keeper != self.context.label:
+        tracked = self.workers.tracked.get(machine.name)
+        if tracked is None or machine.manager != self.context.label:
             return machine.tasks
         tasks = dict(machine.tasks)
-        for task in [*kept.starting, *kept.answered]:
+        for task in [*tracked.starting, *tracked.answered]:
             tasks.setdefault(task, STARTING)
-        for task in kept.refused:
+        for task in tracked.refused:
             tasks.setdefault(task, REFUSED)
         return tasks
 
 
-def take_report(context: Context, report: Report, keeper: str, keeper_term: int) -> None:
+def apply_heartbeat(
+    context: Context, heartbeat: Heartbeat, manager: str, manager_term: int
+) -> None:
     """Bring the view of a machine up to date; the caller has checked that it is newer."""
-    machine = context.machines.get(report.machine)
+    machine = context.machines.get(heartbeat.machine)
     before: dict[Task, tuple[str, str, bool]] = {}
     if machine is None:
-        machine = context.machines[report.machine] = Machine(report, context.now)
-        first_word(context, machine, keeper == context.label, keeper_term)
+        machine = context.machines[heartbeat.machine] = Machine(heartbeat, context.now)
+        assess_new_machine(context, machine, manager == context.label, manager_term)
         changed = True
     else:
-        before = machine.tasks if machine.agent_epoch == report.agent_epoch else {}
-        proven = next_word(context, machine, report, keeper, keeper_term)
+        before = machine.tasks if machine.agent_epoch == heartbeat.agent_epoch else {}
+        proven = assess_heartbeat(context, machine, heartbeat, manager, manager_term)
         changed = proven or (
             machine.agent_epoch,
             machine.fencing_token,
             machine.tasks,
-            machine.keeper,
-            machine.keeper_term,
+            machine.manager,
+            machine.manager_term,
             machine.notice_at is None,
         ) != (
-            report.agent_epoch,
-            report.fencing_token,
-            report.tasks,
-            keeper,
-            keeper_term,
-            report.notice_s is None,
+            heartbeat.agent_epoch,
+            heartbeat.fencing_token,
+            heartbeat.tasks,
+            manager,
+            manager_term,
+            heartbeat.notice_s is None,
         )
-        machine.take(report, context.now)
-        context.heard(machine)
-    if machine.keeper != keeper:
-        event("heard", machine=machine.name, keeper=keeper, agent_epoch=machine.agent_epoch)
-    machine.keeper, machine.keeper_term = keeper, keeper_term
+        machine.take(heartbeat, context.now)
+        context.note_heartbeat(machine)
+    if machine.manager != manager:
+        event("heard", machine=machine.name, manager=manager, agent_epoch=machine.agent_epoch)
+    machine.manager, machine.manager_term = manager, manager_term
     if changed:
         context.changed_workers.add(machine.name)
         context.replica.touch(machine.name)
-        note_results(context, machine, before)
+        note_task_results(context, machine, before)
 
 
-def note_results(context: Context, machine: Machine, before: dict[Task, tuple]) -> None:
+def note_task_results(context: Context, machine: Machine, before: dict[Task, tuple]) -> None:
     """Remember images that a machine holds and whether tasks fail on it."""
     live = []
     for task, (state, why, _) in machine.tasks.items():
@@ -154,12 +160,12 @@
         job = context.replica.jobs.get(job_id)
         spec = None if job is None else job.spec
         old = before.get(task, ("", "", False))
-        if state == "running" and old[0] != "running" and machine.keeper == context.label:
+        if state == "running" and old[0] != "running" and machine.manager == context.label:
             event("running", task=task[0], attempt=task[1], machine=machine.name)
         if state != "exited" and spec is not None:
             live.append(spec)
         if state == "exited" and old[0] != "exited":
-            if machine.keeper == context.label:
+            if machine.manager == context.label:
                 event("exited", task=task[0], attempt=task[1], machine=machine.name, why=why)
             if why == "done":
                 machine.errors.clear()
--- a/oakmux/core/keeper/queue.py
+++ b/oakmux/core/agents/reservation_queue.py
@@ -4,72 +4,90 @@
 
 from oakmux import constants
 from oakmux.core import teams
+from oakmux.core.agents.cancellation_log import CancellationLog
+from oakmux.core.agents.capacity import (
+    Resources,
+    fits_resources,
+    free_resources,
+    gang_hold_s,
+    is_full,
+    is_schedulable,
+    subtract,
+)
+from oakmux.core.agents.tracked_workers import Reservation, TrackedWorker, WorkerTable
 from oakmux.core.context import Context, Machine, Task, event
 from oakmux.core.jobs import Job
-from oakmux.core.keeper.kept import Kept, Reservation, Ward
-from oakmux.core.keeper.minimum_share import MinimumShare
-from oakmux.core.keeper.room import Room, full, gather_s, has_room, less, room, usable
-from oakmux.core.keeper.word import Word
+from oakmux.core.scheduling.minimum_share import MinimumShare
 from oakmux.core.spread.order import elder, late, turn_ms
 from oakmux.wire import JobSpec
 
 
-class Queue:
+class ReservationQueue:
     """Queues reservations at the machines that we keep and offers their room."""
 
-    def __init__(self, context: Context, ward: Ward, word: Word) -> None:
+    def __init__(
+        self, context: Context, workers: WorkerTable, cancellations: CancellationLog
+    ) -> None:
         self.context = context
-        self.ward = ward
-        self.word = word
+        self.workers = workers
+        self.cancellations = cancellations
         self.next_offer = 0
         self.minimum_share = MinimumShare(context)
 
     def reserve(self, name: str, job_id: str, count: int, preempt: bool = False) -> None:
         """Queue a reservation at a machine that we keep; make room for it if told to."""
-        kept = self.ward.kept.get(name)
+        tracked = self.workers.tracked.get(name)
         machine = self.context.machines.get(name)
-        if kept is None or machine is None or machine.keeper != self.context.label:
+        if tracked is None or machine is None or machine.manager != self.context.label:
             return
-        known = kept.queue.get(job_id)
+        known = tracked.queue.get(job_id)
         if known is not None:
             known.count = max(known.count, count)
-        elif len(kept.queue) < constants.MAX_QUEUE_PER_MACHINE:
-            kept.queue[job_id] = Reservation(job_id, count, self.context.now)
+        elif len(tracked.queue) < constants.MAX_QUEUE_PER_MACHINE:
+            tracked.queue[job_id] = Reservation(job_id, count, self.context.now)
         if preempt:
-            self._preempt(kept, machine, job_id)
-        self.ward.poke.add(name)
+            self._preempt(tracked, machine, job_id)
+        self.workers.to_reconcile.add(name)
 
-    def _preempt(self, kept: Kept, machine: Machine, job_id: str) -> None:
+    def _preempt(self, tracked: TrackedWorker, machine: Machine, job_id: str) -> None:
         context = self.context
         job = context.replica.jobs.get(job_id)
         # A task that was stopped stays in the reports until it is forgotten; it stops nothing.
-        stopping = any(machine.tasks.get(task, ("exited",))[0] != "exited" for task in kept.stops)
+        stopping = any(
+            machine.tasks.get(task, ("exited",))[0] != "exited" for task in tracked.stops
+        )
         if (
             job is None
             or job.spec is None
             or job.final
             or stopping
-            or not usable(context, machine)
+            or not is_schedulable(context, machine)
         ):
             return
-        chosen = victims(
-            context, machine, job, job.spec, teams.usage(context), self.held(kept), kept.firm
+        chosen = preemption_candidates(
+            context,
+            machine,
+            job,
+            job.spec,
+            teams.usage(context),
+            self.held(tracked),
+            tracked.not_preemptible,
         )
         for task in chosen[1] if chosen is not None else ():
-            kept.stops[task] = context.now
+            tracked.stops[task] = context.now
             event("preempt", task=task[0], attempt=task[1], machine=machine.name, by=job_id)
 
     def decline(self, name: str, offer_id: int) -> None:
         """The owner has no task for an offer: release the room, offer it to the next."""
-        kept = self.ward.kept.get(name)
-        if kept is not None and kept.offers.pop(offer_id, None) is not None:
-            self.ward.poke.add(name)
+        tracked = self.workers.tracked.get(name)
+        if tracked is not None and tracked.offers.pop(offer_id, None) is not None:
+            self.workers.to_reconcile.add(name)
 
-    def held(self, kept: Kept) -> list[JobSpec]:
+    def held(self, tracked: TrackedWorker) -> list[JobSpec]:
         """Return what is held for offers."""
         now = self.context.now
         specs = []
-        for offer_id, (job_id, until, claim) in list(kept.offers.items()):
+        for offer_id, (job_id, until, claim) in list(tracked.offers.items()):
             job = self.context.replica.jobs.get(job_id)
             # Once the team has another owner, nothing can come of offers to the one before.
             if (
@@ -78,49 +96,51 @@
                 or job.spec is None
                 or self.context.replica.roles.get(job.team, ("", 0, 0))[2] != claim
             ):
-                del kept.offers[offer_id]
+                del tracked.offers[offer_id]
             else:
                 specs.append(job.spec)
         return specs
 
     def records_changed(self, name: str) -> None:
         """Bindings on a machine changed: those that answer an offer end its hold."""
-        self.ward.poke.add(name)
-        kept = self.ward.kept.get(name)
-        if kept is None:
+        self.workers.to_reconcile.add(name)
+        tracked = self.workers.tracked.get(name)
+        if tracked is None:
             return
         bound = self.context.replica.by_machine.get(name, {})
         known = {(job_id, index, b.attempt) for (job_id, index), b in bound.items()}
-        for job_id, _, _ in known - kept.known:
-            for offer_id, (held_for, _, _) in kept.offers.items():
+        for job_id, _, _ in known - tracked.known:
+            for offer_id, (held_for, _, _) in tracked.offers.items():
                 if held_for == job_id:
-                    del kept.offers[offer_id]
+                    del tracked.offers[offer_id]
                     break
-        kept.known = known
-        kept.firm &= {row[0] for row in known} | {row[0] for row in kept.offers.values()}
+        tracked.known = known
+        tracked.not_preemptible &= {row[0] for row in known} | {
+            row[0] for row in tracked.offers.values()
+        }
 
     def offer(self, name: str) -> None:
         """Offer free room to the owners of queued reservations, best rank first."""
         context = self.context
-        kept = self.ward.kept.get(name)
+        tracked = self.workers.tracked.get(name)
         machine = context.machines.get(name)
         if (
-            kept is None
-            or not kept.queue
+            tracked is None
+            or not tracked.queue
             or machine is None
-            or machine.keeper != context.label
+            or machine.manager != context.label
             or machine.fencing_token != context.term
             or not context.term
-            or not self.word.state_fresh()
-            or not usable(context, machine)
+            or not self.cancellations.store_fresh()
+            or not is_schedulable(context, machine)
         ):
             return
-        free = room(context, machine, self.held(kept))
-        if full(context, free):
+        free = free_resources(context, machine, self.held(tracked))
+        if is_full(context, free):
             return
         used = teams.usage(context)
         ranked = []
-        for reservation in list(kept.queue.values()):
+        for reservation in list(tracked.queue.values()):
             job = context.replica.jobs.get(reservation.job_id)
             if (
                 job is None
@@ -128,14 +148,14 @@
                 or job.spec is None
                 or context.now - reservation.since > constants.RETRY_MOST_S
             ):
-                del kept.queue[reservation.job_id]
+                del tracked.queue[reservation.job_id]
                 continue
-            if not has_room(free, job.spec) or context.openings.bars(name, job, job.spec):
+            if not fits_resources(free, job.spec) or context.openings.bars(name, job, job.spec):
                 continue
             # The age of the job, not of the reservation: of two gangs that wait for the same
             # machines, one must come first at all of them.
             ranked.append(
-                (rank(context, job, job.spec, used), job.since, job.id, reservation, job)
+                (queue_rank(context, job, job.spec, used), job.since, job.id, reservation, job)
             )
         ranked.sort(key=lambda row: row[:3])
         kind = context.types[machine.type]
@@ -144,31 +164,33 @@
         )
         if oldest is not None and oldest.spec is not None:
             # Work that came by its age is not stopped again for what stands above it.
-            kept.firm.add(oldest.id)
-            free = self._hand(kept, machine, oldest, oldest.spec, free)
+            tracked.not_preemptible.add(oldest.id)
+            free = self._grant(tracked, machine, oldest, oldest.spec, free)
             self.minimum_share.gave(oldest.spec, kind, True)
         for *_, reservation, job in ranked:
             spec = job.spec
             assert spec is not None
             if job.team not in context.replica.roles:
                 continue
-            while reservation.count > 0 and has_room(free, spec):
-                free = self._hand(kept, machine, job, spec, free)
+            while reservation.count > 0 and fits_resources(free, spec):
+                free = self._grant(tracked, machine, job, spec, free)
                 self.minimum_share.gave(spec, kind, False)
 
-    def _hand(self, kept: Kept, machine: Machine, job: Job, spec: JobSpec, free: Room) -> Room:
+    def _grant(
+        self, tracked: TrackedWorker, machine: Machine, job: Job, spec: JobSpec, free: Resources
+    ) -> Resources:
         """Offer room for one task of a job that has a reservation; return what is left."""
         context = self.context
         label, _, claim = context.replica.roles[job.team]
-        reservation = kept.queue[job.id]
+        reservation = tracked.queue[job.id]
         reservation.count -= 1
         if reservation.count <= 0:
-            del kept.queue[job.id]
+            del tracked.queue[job.id]
         self.next_offer += 1
         hold = constants.OFFER_HOLD_S
         if spec.joint:
-            hold += gather_s(spec) + constants.PREEMPT_S
-        kept.offers[self.next_offer] = (job.id, context.now + hold, claim)
+            hold += gang_hold_s(spec) + constants.PREEMPT_S
+        tracked.offers[self.next_offer] = (job.id, context.now + hold, claim)
         context.emit(
             "send",
             label,
@@ -182,7 +204,7 @@
                 context.label,
             ),
         )
-        return less(free, spec)
+        return subtract(free, spec)
 
 
 def save_s(context: Context, tasks: list[Task]) -> float:
@@ -194,20 +216,20 @@
     )
 
 
-def victims(
+def preemption_candidates(
     context: Context,
     machine: Machine,
     job: Job,
     spec: JobSpec,
     used: dict[str, tuple[float, float]],
     held: list[JobSpec] | None = None,
-    firm: Collection[str] = (),
+    not_preemptible: Collection[str] = (),
 ) -> tuple[float, list[Task]] | None:
     """Return (lost work, tasks) whose end makes room for one task of a job, or None.
 
     Only work of lower priority may go, and, for a job within its team's guarantee, work that
     another team runs beyond its own guarantee. What has least to lose goes first, and nothing of
-    the jobs in `firm`.
+    the jobs in `not_preemptible`.
     """
     beyond = teams.beyond(context, job, spec, used)
     rows = []
@@ -224,7 +246,7 @@
             or other.spec.kind == "service"
             or other.id == job.id
             or other.spec.joint
-            or other.id in firm
+            or other.id in not_preemptible
         ):
             continue
         if other.priority >= job.priority and other.team not in beyond:
@@ -237,27 +259,31 @@
         lost += other.priority**2 * constants.VICTIM_RANK_S * (2 if young else 1)
         rows.append((other.priority, lost, task, other.spec))
     rows.sort(key=lambda row: row[:3])
-    free = room(context, machine, held)
+    free = free_resources(context, machine, held)
     chosen: list[Task] = []
     total = 0.0
     for _, lost, task, other_spec in rows:
-        if has_room(free, spec):
+        if fits_resources(free, spec):
             break
-        free = less(free, other_spec, -1)
+        free = subtract(free, other_spec, -1)
         chosen.append(task)
         total += lost
-    if not chosen or not has_room(free, spec):
+    if not chosen or not fits_resources(free, spec):
         return None
     for _, lost, task, other_spec in reversed(rows[: len(chosen)]):
-        less_free = less(free, other_spec)
-        if len(chosen) > 1 and has_room(less_free, spec):  # made needless by what came after it
+        less_free = subtract(free, other_spec)
+        if len(chosen) > 1 and fits_resources(
+            less_free, spec
+        ):  # made needless by what came after it
             free = less_free
             chosen.remove(task)
             total -= lost
     return total, chosen
 
 
-def rank(context: Context, job: Job, spec: JobSpec, used: dict[str, tuple[float, float]]) -> tuple:
+def queue_rank(
+    context: Context, job: Job, spec: JobSpec, used: dict[str, tuple[float, float]]
+) -> tuple:
     """Return the order in a queue: guaranteed work and priority first, then what must begin at
     last, what has to start first for a deadline, what can meet its aim, fair between teams, and
     by turn."""
--- a/oakmux/core/keeper/proof.py
+++ b/oakmux/core/agents/termination.py
@@ -9,7 +9,7 @@
     machine: Machine | None,
     task: Task,
     binding: Binding,
-    shown: dict[Task, tuple[str, str, bool]],
+    visible_tasks: dict[Task, tuple[str, str, bool]],
 ) -> tuple[str, bool] | None:
     """Return (why, saved) if a bound task is proven gone from its machine, else None."""
     if binding.machine in context.replica.gone:
@@ -18,12 +18,12 @@
         return None
     if machine.agent_epoch > binding.agent_epoch:
         return "lost", False
-    state = shown.get(task)
+    state = visible_tasks.get(task)
     if state is None:
         # No start under an older term can be carried out once the worker has a newer token.
         return ("lost", False) if machine.fencing_token > binding.term else None
     if state[0] == "exited":
         return state[1], state[2]
-    if state[0] == "refused" and machine.keeper_term == binding.term:
+    if state[0] == "refused" and machine.manager_term == binding.term:
         return "refused", False
     return None
--- a/oakmux/core/keeper/kept.py
+++ b/oakmux/core/agents/tracked_workers.py
@@ -1,4 +1,4 @@
-"""What a keeper remembers of the machines that report to it."""
+"""What a agent manager remembers of the machines that report to it."""
 
 import math
 
@@ -16,8 +16,8 @@
         self.since = since
 
 
-class Kept:
-    """What a keeper remembers of a machine that reports to it."""
+class TrackedWorker:
+    """What a agent manager remembers of a machine that reports to it."""
 
     __slots__ = (
         "queue",
@@ -25,13 +25,13 @@
         "starting",
         "answered",
         "refused",
-        "ordering",
-        "direct_after",
+        "command_in_flight",
+        "commands_after",
         "orphans",
         "stops",
         "known",
         "delayed",
-        "firm",
+        "not_preemptible",
         "since",
     )
 
@@ -41,21 +41,21 @@
         self.starting: dict[Task, int] = {}
         self.answered: set[Task] = set()
         self.refused: set[Task] = set()
-        self.ordering = False
-        self.direct_after = 0.0
+        self.command_in_flight = False
+        self.commands_after = 0.0
         self.orphans: dict[Task, float] = {}
         self.stops: dict[Task, float] = {}
         self.known: set[tuple[str, int, int]] = set()
         self.delayed: dict[Task, float] = {}
         # Jobs that got room here by their age: what they run is not stopped for other work.
-        self.firm: set[str] = set()
+        self.not_preemptible: set[str] = set()
         # When it last came to us from another controller, or as one that we did not know.
         self.since = math.inf
 
 
-class Ward:
+class WorkerTable:
     """The machines that report to us, and the names of those with something due."""
 
     def __init__(self) -> None:
-        self.kept: dict[str, Kept] = {}
-        self.poke: set[str] = set()
+        self.tracked: dict[str, TrackedWorker] = {}
+        self.to_reconcile: set[str] = set()
--- a/oakmux/core/keeper/orders.py
+++ b/oakmux/core/agents/worker_commands.py
@@ -3,31 +3,39 @@
 from collections.abc import Callable
 
 from oakmux import constants, wire
+from oakmux.core.agents.cancellation_log import CancellationLog
+from oakmux.core.agents.tracked_workers import TrackedWorker, WorkerTable
 from oakmux.core.context import Context, Machine, Task, event
 from oakmux.core.jobs import Binding, Job
-from oakmux.core.keeper.kept import Kept, Ward
-from oakmux.core.keeper.word import Word
 from oakmux.core.membership import Membership
-from oakmux.wire import Report
+from oakmux.wire import Heartbeat
 
 
-class Orders:
+class WorkerCommands:
     """Gives commands, in answers to reports and straight to workers."""
 
-    def __init__(self, context: Context, ward: Ward, word: Word, membership: Membership) -> None:
+    def __init__(
+        self,
+        context: Context,
+        workers: WorkerTable,
+        cancellations: CancellationLog,
+        membership: Membership,
+    ) -> None:
         self.context = context
-        self.ward = ward
-        self.word = word
+        self.workers = workers
+        self.cancellations = cancellations
         self.membership = membership
-        # Takes a report that answers direct orders; set by the keeper, which joins the parts.
-        self.take: Callable[[Kept, Report], Machine]
+        # Takes a heartbeat that answers direct commands; set by the agent manager.
+        self.take: Callable[[TrackedWorker, Heartbeat], Machine]
         # Machines where a start is held back until others of its gang have their image.
-        self.delaying: set[str] = set()
+        self.with_delayed_starts: set[str] = set()
 
-    def orders(self, kept: Kept, machine: Machine, forget: bool) -> tuple[list[dict], list[Task]]:
+    def commands(
+        self, tracked: TrackedWorker, machine: Machine, forget: bool
+    ) -> tuple[list[dict], list[Task]]:
         """Return the commands that a machine needs now, and which tasks they start."""
         context = self.context
-        orders: list[dict] = []
+        commands: list[dict] = []
         starts: list[Task] = []
         bound = context.replica.by_machine.get(machine.name, {})
         settled = machine.fencing_token == context.term
@@ -38,37 +46,43 @@
             job = context.replica.jobs.get(job_id)
             if job is None:
                 continue
-            ended = job.final or job_id in self.word.cancelled
+            ended = job.final or job_id in self.cancellations.cancelled
             state = machine.tasks.get(task)
             if state is not None:
-                if self._must_save(machine, job, state[0]):
-                    kept.stops.setdefault(task, context.now)
-                if state[0] != "exited" and (ended or binding.stop or task in kept.stops):
-                    self._stop(kept, machine, orders, task, state[0], job, ended)
+                if self._must_checkpoint(machine, job, state[0]):
+                    tracked.stops.setdefault(task, context.now)
+                if state[0] != "exited" and (ended or binding.stop or task in tracked.stops):
+                    self._stop(tracked, machine, commands, task, state[0], job, ended)
                 continue
-            if task in kept.starting or task in kept.answered or binding.term != context.term:
+            if (
+                task in tracked.starting
+                or task in tracked.answered
+                or binding.term != context.term
+            ):
                 continue
             if binding.agent_epoch != machine.agent_epoch or not settled:
                 continue
             if ended or binding.stop:
-                if task not in kept.refused:
-                    kept.refused.add(task)
+                if task not in tracked.refused:
+                    tracked.refused.add(task)
                     context.changed_workers.add(machine.name)
-            elif self._too_soon(kept, machine, job, binding, task):
-                self.delaying.add(machine.name)
-            elif task not in kept.refused and self.word.state_fresh():
-                orders.append(wire.order("start", *task))
+            elif self._waits_for_gang_images(tracked, machine, job, binding, task):
+                self.with_delayed_starts.add(machine.name)
+            elif task not in tracked.refused and self.cancellations.store_fresh():
+                commands.append(wire.order("start", *task))
                 starts.append(task)
-        orders += self.stop_cancelled(kept, machine, names)
-        kept.refused &= names
-        kept.delayed = {task: since for task, since in kept.delayed.items() if task in names}
-        for task in [task for task in kept.stops if task not in machine.tasks]:
-            del kept.stops[task]
+        commands += self.stop_cancelled(tracked, machine, names)
+        tracked.refused &= names
+        tracked.delayed = {task: since for task, since in tracked.delayed.items() if task in names}
+        for task in [task for task in tracked.stops if task not in machine.tasks]:
+            del tracked.stops[task]
         if forget:
-            self._unbound(kept, machine, orders, names)
-        return orders, starts
+            self._clean_up_unbound(tracked, machine, commands, names)
+        return commands, starts
 
-    def stop_cancelled(self, kept: Kept, machine: Machine, besides: set[Task]) -> list[dict]:
+    def stop_cancelled(
+        self, tracked: TrackedWorker, machine: Machine, besides: set[Task]
+    ) -> list[dict]:
         """Return stops of all tasks of cancelled jobs on a machine (R ran_cancelled), but some.
 
         Our records may lack them: they were bound after the state service had refused us, and the
@@ -76,46 +90,51 @@
         own: with the state service out no newer one comes, and its lease is renewed all the while;
         whoever may command it besides, a stop of what a user was told is cancelled undoes nothing.
         """
-        orders: list[dict] = []
+        commands: list[dict] = []
         for task, state in machine.tasks.items():
             job_id = task[0].partition("/")[0]
-            if task not in besides and state[0] != "exited" and self.word.is_cancelled(job_id):
-                self._stop(kept, machine, orders, task, state[0], None, True)
-        return orders
+            if (
+                task not in besides
+                and state[0] != "exited"
+                and self.cancellations.is_cancelled(job_id)
+            ):
+                self._stop(tracked, machine, commands, task, state[0], None, True)
+        return commands
 
-    def may_act_late(self, kept: Kept, machine: Machine) -> bool:
+    def late_start_possible(self, tracked: TrackedWorker, machine: Machine) -> bool:
         """Whether a start of a cancelled job may still be on its way when it must be gone.
 
         Its answer was lost, or another controller gave it. A newer term would rule it out, and
         none can be had without the state service: then the worker's session has to end in time.
         """
         context = self.context
-        if self.word.state_fresh():
+        if self.cancellations.store_fresh():
             return False
         if (
             machine.fencing_token > context.term
-            and kept.since + context.facts.workers.lease_s > context.store_seen_at
-            and self.word.unseen(self.word.patience_s())
+            and tracked.since + context.facts.workers.lease_s > context.store_seen_at
+            and self.cancellations.cancelled_unseen_for(self.cancellations.staleness_bound_s())
         ):
             # Whoever kept it before us, and gave orders for a lease after that at the most, may
             # have given a start of a job that was cancelled since, whose bindings we never saw.
             return True
         for (job_id, index), binding in context.replica.by_machine.get(machine.name, {}).items():
             task = (f"{job_id}/{index}", binding.attempt)
-            sent = binding.term != context.term or task in kept.starting
+            sent = binding.term != context.term or task in tracked.starting
             if (
                 sent
                 and binding.agent_epoch == machine.agent_epoch
                 and machine.fencing_token <= binding.term
                 and task not in machine.tasks
-                and self.word.is_cancelled(job_id)
-                and context.now - self.word.cancelled.get(job_id, -1e9) >= self.word.patience_s()
+                and self.cancellations.is_cancelled(job_id)
+                and context.now - self.cancellations.cancelled.get(job_id, -1e9)
+                >= self.cancellations.staleness_bound_s()
             ):
                 return True
         return False
 
-    def _too_soon(
-        self, kept: Kept, machine: Machine, job: Job, binding: Binding, task: Task
+    def _waits_for_gang_images(
+        self, tracked: TrackedWorker, machine: Machine, job: Job, binding: Binding, task: Task
     ) -> bool:
         """Whether a gang's task that has its image should be started later, since others fetch it.
 
@@ -127,7 +146,7 @@
             return False
         slowest = context.fetch_s(spec, machine.type) * constants.FETCH_SPREAD
         patience = slowest - context.facts.workers.gang_wait_s * constants.GANG_WAIT_SHARE
-        if context.now - kept.delayed.setdefault(task, context.now) >= patience:
+        if context.now - tracked.delayed.setdefault(task, context.now) >= patience:
             return False
         for chunk in job.chunks.values():
             for index, other in chunk.bound.items():
@@ -144,7 +163,7 @@
                     return True
         return False
 
-    def _must_save(self, machine: Machine, job: Job, state: str) -> bool:
+    def _must_checkpoint(self, machine: Machine, job: Job, state: str) -> bool:
         """Whether a task has to save now, since the cloud is about to take its machine.
 
         The tasks of a larger gang have to be stopped together: their owner sees to that.
@@ -158,14 +177,14 @@
             or spec.tasks > 1
         ):
             return False
-        times_ = self.context.facts.workers
-        return machine.notice_at - self.context.now <= spec.save_s + 2 * times_.report_s
+        worker_times = self.context.facts.workers
+        return machine.notice_at - self.context.now <= spec.save_s + 2 * worker_times.report_s
 
     def _stop(
         self,
-        kept: Kept,
+        tracked: TrackedWorker,
         machine: Machine,
-        orders: list[dict],
+        commands: list[dict],
         task: Task,
         state: str,
         job: Job | None,
@@ -174,86 +193,90 @@
         grace = 0.0 if ended or job is None or job.spec is None else job.spec.save_s
         if state == "saving" and not ended:
             return
-        orders.append(wire.order("stop", task[0], task[1], grace))
-        kept.stops.setdefault(task, self.context.now)
+        commands.append(wire.order("stop", task[0], task[1], grace))
+        tracked.stops.setdefault(task, self.context.now)
         event("stop", task=task[0], attempt=task[1], machine=machine.name, grace=grace)
 
-    def _unbound(self, kept: Kept, machine: Machine, orders: list[dict], names: set[Task]) -> None:
+    def _clean_up_unbound(
+        self, tracked: TrackedWorker, machine: Machine, commands: list[dict], names: set[Task]
+    ) -> None:
         """Forget exited tasks that the records have let go of; stop live ones."""
         context = self.context
-        orphans = {t: kept.orphans.get(t, context.now) for t in machine.tasks if t not in names}
-        kept.orphans = orphans
-        if not self.word.state_fresh():
+        orphans = {t: tracked.orphans.get(t, context.now) for t in machine.tasks if t not in names}
+        tracked.orphans = orphans
+        if not self.cancellations.store_fresh():
             return
         for task, since in orphans.items():
-            # Our replica may lag behind the keeper that started the task: wait a while.
+            # Our replica may lag behind the agent manager that started the task: wait a while.
             if machine.tasks[task][0] == "exited":
-                if context.now - since >= constants.ALIVE_S and task not in kept.starting:
-                    orders.append(wire.order("forget", *task))
+                if context.now - since >= constants.ALIVE_S and task not in tracked.starting:
+                    commands.append(wire.order("forget", *task))
             elif context.now - since >= constants.ORPHAN_S:
-                orders.append(wire.order("stop", task[0], task[1], 0.0))
+                commands.append(wire.order("stop", task[0], task[1], 0.0))
 
-    def direct(self, name: str) -> None:
+    def reconcile(self, name: str) -> None:
         """Send starts and stops straight to a worker, when there are any."""
         context = self.context
-        kept = self.ward.kept.get(name)
+        tracked = self.workers.tracked.get(name)
         machine = context.machines.get(name)
         if (
-            kept is None
+            tracked is None
             or machine is None
-            or machine.keeper != context.label
-            or kept.ordering
-            or context.now < kept.direct_after
+            or machine.manager != context.label
+            or tracked.command_in_flight
+            or context.now < tracked.commands_after
             or not context.term
             or machine.fencing_token != context.term
-            or context.now - machine.heard > context.facts.workers.lease_s
+            or context.now - machine.last_heartbeat_at > context.facts.workers.lease_s
         ):
             return
-        orders, starts = self.orders(kept, machine, forget=False)
-        if not orders:
+        commands, starts = self.commands(tracked, machine, forget=False)
+        if not commands:
             return
         term = context.term
         for task in starts:
-            kept.starting[task] = term
+            tracked.starting[task] = term
         context.changed_workers.add(name)
-        kept.ordering = True
+        tracked.command_in_flight = True
         context.call(
-            lambda outcome, report: self._ordered(name, starts, term, outcome, report),
+            lambda outcome, heartbeat: self._commands_answered(
+                name, starts, term, outcome, heartbeat
+            ),
             "orders",
             machine.addr,
             term,
             machine.agent_epoch,
-            orders,
+            commands,
         )
 
-    def _ordered(
-        self, name: str, starts: list[Task], term: int, outcome: str, report: Report | None
+    def _commands_answered(
+        self, name: str, starts: list[Task], term: int, outcome: str, heartbeat: Heartbeat | None
     ) -> None:
         context = self.context
-        kept = self.ward.kept.setdefault(name, Kept())
-        kept.ordering = False
+        tracked = self.workers.tracked.setdefault(name, TrackedWorker())
+        tracked.command_in_flight = False
         if outcome == "lost":
             # They may still be carried out, minutes later: only a newer term settles that.
-            kept.direct_after = context.now + constants.ORDERS_TIMEOUT_S
+            tracked.commands_after = context.now + constants.ORDERS_TIMEOUT_S
             self.membership.need_term_above(term)
             return
         for task in starts:
-            if kept.starting.get(task) == term:
-                del kept.starting[task]
+            if tracked.starting.get(task) == term:
+                del tracked.starting[task]
         if outcome == "unsent":
-            kept.direct_after = context.now + constants.ORDERS_TIMEOUT_S
-        if report is not None and report.machine == name:
+            tracked.commands_after = context.now + constants.ORDERS_TIMEOUT_S
+        if heartbeat is not None and heartbeat.machine == name:
             machine = context.machines.get(name)
-            if machine is None or (report.agent_epoch, report.sequence) > machine.version:
-                self.take(kept, report)
+            if machine is None or (heartbeat.agent_epoch, heartbeat.sequence) > machine.version:
+                self.take(tracked, heartbeat)
         context.changed_workers.add(name)
-        if report is not None and report.fencing_token > context.term:
-            self.membership.need_term_above(report.fencing_token)
+        if heartbeat is not None and heartbeat.fencing_token > context.term:
+            self.membership.need_term_above(heartbeat.fencing_token)
 
     def move(self, name: str, task: str, attempt: int) -> None:
         """Stop a service so that its owner starts it on another machine."""
-        kept = self.ward.kept.get(name)
+        tracked = self.workers.tracked.get(name)
         machine = self.context.machines.get(name)
-        if kept is not None and machine is not None and (task, attempt) in machine.tasks:
-            kept.stops[(task, attempt)] = self.context.now
-            self.ward.poke.add(name)
+        if tracked is not None and machine is not None and (task, attempt) in machine.tasks:
+            tracked.stops[(task, attempt)] = self.context.now
+            self.workers.to_reconcile.add(name)
--- a/oakmux/core/context.py
+++ b/oakmux/core/context.py
@@ -8,7 +8,7 @@
 from oakmux.core.failing import Failures
 from oakmux.core.replica import Replica
 from oakmux.settings import Settings, Team
-from oakmux.wire import JobSpec, MachineType, Report
+from oakmux.wire import Heartbeat, JobSpec, MachineType
 
 if TYPE_CHECKING:  # it is about a world
     from oakmux.core.spread.openings import Openings
@@ -32,45 +32,45 @@
         "fencing_token",
         "notice_at",
         "tasks",
-        "keeper",
-        "keeper_term",
-        "heard",
+        "manager",
+        "manager_term",
+        "last_heartbeat_at",
         "images",
         "errors",
         "idle_since",
-        "first_heard",
+        "first_heartbeat_at",
         "since",
-        "unheard",
-        "deaf_since",
+        "unreachable_signs",
+        "unreachable_since",
     )
 
-    def __init__(self, report: Report, now: float) -> None:
-        self.name = report.machine
+    def __init__(self, heartbeat: Heartbeat, now: float) -> None:
+        self.name = heartbeat.machine
         self.images: dict[str, float] = {}
         self.errors: list[str] = []
         self.idle_since: float | None = now
-        self.first_heard = now
+        self.first_heartbeat_at = now
         self.since: dict[Task, float] = {}
         self.notice_at: float | None = None
-        self.keeper = ""
-        self.keeper_term = 0
+        self.manager = ""
+        self.manager_term = 0
         # Signs in a row that it does not hear us, and since when that is taken for certain.
-        self.unheard = 0
-        self.deaf_since: float | None = None
-        self.take(report, now)
+        self.unreachable_signs = 0
+        self.unreachable_since: float | None = None
+        self.take(heartbeat, now)
 
-    def take(self, report: Report, now: float) -> None:
+    def take(self, heartbeat: Heartbeat, now: float) -> None:
         """Take over a newer report."""
-        self.addr = report.addr
-        self.type = report.type
-        self.zone = report.zone
-        self.spot = report.spot
-        self.agent_epoch = report.agent_epoch
-        self.sequence = report.sequence
-        self.fencing_token = report.fencing_token
-        self.notice_at = None if report.notice_s is None else now + report.notice_s
-        self.tasks: dict[Task, tuple[str, str, bool]] = report.tasks
-        self.heard = now
+        self.addr = heartbeat.addr
+        self.type = heartbeat.type
+        self.zone = heartbeat.zone
+        self.spot = heartbeat.spot
+        self.agent_epoch = heartbeat.agent_epoch
+        self.sequence = heartbeat.sequence
+        self.fencing_token = heartbeat.fencing_token
+        self.notice_at = None if heartbeat.notice_s is None else now + heartbeat.notice_s
+        self.tasks: dict[Task, tuple[str, str, bool]] = heartbeat.tasks
+        self.last_heartbeat_at = now
 
     def hold(self, image: str, size_gb: float, cache_gb: float) -> None:
         """Remember that an image is used now; the machine keeps those used last."""
@@ -186,9 +186,9 @@
         if self.draining.pop(name, None) is not None:
             self.replica.touch(name)
 
-    def heard(self, machine: Machine) -> None:
+    def note_heartbeat(self, machine: Machine) -> None:
         """A machine was heard just now, by us or by a peer that said so."""
-        machine.heard = self.now
+        machine.last_heartbeat_at = self.now
         if machine.name in self.unresponsive:
             self.unresponsive.discard(machine.name)
             self.replica.touch(machine.name)
--- a/oakmux/core/controller.py
+++ b/oakmux/core/controller.py
@@ -8,16 +8,16 @@
 from typing import Any, Protocol
 
 from oakmux import constants
+from oakmux.core.agents.heartbeats import apply_heartbeat, hold_image
+from oakmux.core.agents.manager import AgentManager
 from oakmux.core.context import Context, event
 from oakmux.core.desk import Desk
 from oakmux.core.fleet import Fleet
-from oakmux.core.keeper import Keeper
-from oakmux.core.keeper.reports import hold_image, take_report
 from oakmux.core.membership import FLEET, Membership
 from oakmux.core.owner import Owner
 from oakmux.core.spread.openings import Openings
 from oakmux.settings import Settings
-from oakmux.wire import MachineType, Report
+from oakmux.wire import Heartbeat, MachineType
 
 log = logging.getLogger("oakmux.core")
 
@@ -44,12 +44,12 @@
         self.context = Context(settings, rng, wall)
         self.context.openings = Openings(self.context)
         self.membership = Membership(self.context)
-        self.keeper = Keeper(self.context, self.membership)
-        self.owner = Owner(self.context, self.keeper)
-        self.fleet = Fleet(self.context, self.keeper.word)
+        self.agents = AgentManager(self.context, self.membership)
+        self.owner = Owner(self.context, self.agents)
+        self.fleet = Fleet(self.context, self.agents.cancellations)
         self.desk = Desk(self.context)
         self.next_alive = 0.0
-        self.told_again = ""  # the machine of which peers were told last in `_tell_again`
+        self.last_resent = ""  # the machine of which peers were told last in `_tell_again`
         self.next_tick = 0.0
         self.format = self.context.replica.format
         self.handlers: dict[str, Callable[..., None]] = {
@@ -58,13 +58,13 @@
             "cancel": self.desk.cancel,
             "health": self._health,
             "status": self._status,
-            "report": self.keeper.reports.report,
+            "report": self.agents.heartbeats.receive,
             "done": self._done,
             "snapshot": self._snapshot,
             "watch": self._watch,
             "catalogue": self._catalogue,
             "peer": self._peer,
-            "peer_alive": self.keeper.word.peer_alive,
+            "peer_alive": self.agents.cancellations.peer_alive,
             "peer_new": self._peer_new,
             "resend": self._resend,
             "short": self._short,
@@ -75,10 +75,10 @@
         self.messages: dict[str, Callable[..., None]] = {
             "heard": self._heard,
             "view": self._view,
-            "reserve": self.keeper.queue.reserve,
+            "reserve": self.agents.queue.reserve,
             "offer": self.owner.binder.offer,
-            "decline": self.keeper.queue.decline,
-            "move": self.keeper.orders.move,
+            "decline": self.agents.queue.decline,
+            "move": self.agents.commands.move,
             "drain": self._drain,
             "gone": self._gone,
             "opening": self.context.openings.take,
@@ -126,7 +126,7 @@
             self._local()
             if not self._propagate():
                 break
-        self.keeper.tick()
+        self.agents.tick()
         self._local()
         self._propagate()
 
@@ -181,11 +181,11 @@
         for job_id in jobs:
             job = replica.jobs.get(job_id)
             if job is not None and job.state == "cancelled" and job_id in replica.active:
-                self.keeper.word.poke_job(job_id)
+                self.agents.cancellations.reconcile_job(job_id)
             self.owner.binder.changed(job_id)
             self.fleet.changed(job_id)
         for name in machines:
-            self.keeper.queue.records_changed(name)
+            self.agents.queue.records_changed(name)
         for name in machines | dirty:
             self.owner.binder.machine_changed(name)
         for name in dirty:
@@ -225,10 +225,10 @@
 
     def _health(self, rid: Any) -> None:
         context = self.context
-        fresh = self.keeper.word.state_fresh()
+        fresh = self.agents.cancellations.store_fresh()
         served = any(
             context.now - at < constants.STATE_STALE_S
-            for at in self.keeper.word.peer_fresh.values()
+            for at in self.agents.cancellations.peer_store_seen_at.values()
         )
         # Without the state service alone, all may be: an outage. Without any peer as well, users
         # are served by whoever has them, if anybody: we can't tell, and could only refuse them.
@@ -236,17 +236,19 @@
             context.replica.loaded
             and not context.replica.foreign
             and bool(context.types)
-            and (fresh or not (served or self.keeper.word.alone()))
+            and (fresh or not (served or self.agents.cancellations.isolated()))
         )
         context.emit("answer", rid, 200 if ready else 503, self._summary(ready))
 
     def _status(self, rid: Any) -> None:
-        self.context.emit("answer", rid, 200, self._summary(self.keeper.word.state_fresh()))
+        self.context.emit(
+            "answer", rid, 200, self._summary(self.agents.cancellations.store_fresh())
+        )
 
     def _summary(self, ready: bool) -> tuple:
         context = self.context
-        kept = sum(1 for m in context.machines.values() if m.keeper == context.label)
-        return "health", context.label, ready, context.term, sorted(context.held_roles), kept
+        tracked = sum(1 for m in context.machines.values() if m.manager == context.label)
+        return "health", context.label, ready, context.term, sorted(context.held_roles), tracked
 
     # --- peers ---
 
@@ -254,7 +256,7 @@
         for message in messages:
             self._message(label, message)
         context = self.context
-        cancelled, until = self.keeper.word.answer(since)
+        cancelled, until = self.agents.cancellations.answer(since)
         context.emit(
             "answer",
             rid,
@@ -272,7 +274,7 @@
     def _peer_new(self, label: str) -> None:
         """A peer started anew: tell it all that we hear."""
         for machine in self.context.machines.values():
-            if machine.keeper == self.context.label:
+            if machine.manager == self.context.label:
                 self._tell(machine.name, [label], images=True)
 
     def _resend(self, label: str, names: list[str]) -> None:
@@ -282,13 +284,16 @@
     def _tell(self, name: str, labels: list[str], images: bool = False) -> None:
         context = self.context
         machine = context.machines.get(name)
-        if machine is None or machine.keeper != context.label:
+        if machine is None or machine.manager != context.label:
             return
         notice = None if machine.notice_at is None else max(0.0, machine.notice_at - context.now)
-        tasks = [[*task, *state] for task, state in self.keeper.reports.shown(machine).items()]
+        tasks = [
+            [*task, *state]
+            for task, state in self.agents.heartbeats.visible_tasks(machine).items()
+        ]
         message = (
             "view",
-            machine.keeper_term,
+            machine.manager_term,
             machine.name,
             machine.addr,
             machine.type,
@@ -324,12 +329,12 @@
         machine = context.machines.get(name)
         if machine is not None:
             newer = (agent_epoch, sequence) > machine.version
-            same = (agent_epoch, sequence) == machine.version and machine.keeper == label
+            same = (agent_epoch, sequence) == machine.version and machine.manager == label
             if not newer and not same:
                 return
         elif name in context.replica.gone or name in context.terminated:
             return
-        report = Report(
+        heartbeat = Heartbeat(
             name,
             addr,
             type_name,
@@ -341,7 +346,7 @@
             notice,
             {(row[0], row[1]): (row[2], row[3], row[4]) for row in tasks},
         )
-        take_report(context, report, label, term)
+        apply_heartbeat(context, heartbeat, label, term)
         for image, size_gb in images:
             hold_image(context, context.machines[name], image, size_gb)
 
@@ -350,7 +355,7 @@
         if context.now < self.next_alive:
             return
         self.next_alive = context.now + constants.ALIVE_S
-        self.keeper.word.forget()
+        self.agents.cancellations.forget()
         for name in [
             n
             for n, at in context.draining.items()
@@ -360,8 +365,9 @@
         heard = [
             m.name
             for m in context.machines.values()
-            if m.keeper == context.label
-            and context.now - m.heard < 2 * constants.ALIVE_S + context.facts.workers.report_s
+            if m.manager == context.label
+            and context.now - m.last_heartbeat_at
+            < 2 * constants.ALIVE_S + context.facts.workers.report_s
         ]
         labels = [member.label for member in context.settings.members]
         for label in labels:
@@ -373,11 +379,11 @@
         changed: a peer that saw a machine come and go, of which we never heard, would take it for
         one that does not hear us, and leave its room unused for ever."""
         count = math.ceil(len(mine) * constants.ALIVE_S / constants.VIEW_AGAIN_S)
-        first = bisect.bisect_right(mine, self.told_again)
+        first = bisect.bisect_right(mine, self.last_resent)
         chosen = mine[first : first + count]
         for name in chosen:
             self._tell(name, labels)
-        self.told_again = chosen[-1] if len(chosen) == count and chosen else ""
+        self.last_resent = chosen[-1] if len(chosen) == count and chosen else ""
 
     def _short(self, wanted: float) -> None:
         """We lack changes at the state service: ask all peers for a part."""
@@ -392,8 +398,8 @@
     def _heard(self, label: str, heard: list[str]) -> None:
         for name in heard:
             machine = self.context.machines.get(name)
-            if machine is not None and machine.keeper == label:
-                self.context.heard(machine)
+            if machine is not None and machine.manager == label:
+                self.context.note_heartbeat(machine)
 
     def _drain(self, names: list[str]) -> None:
         for name in names:
@@ -402,4 +408,4 @@
     def _gone(self, names: list[str]) -> None:
         for name in names:
             self.context.mark_terminated(name)
-            self.keeper.ward.kept.pop(name, None)
+            self.agents.workers.tracked.pop(name, None)
--- a/oakmux/core/fleet/demand.py
+++ b/oakmux/core/fleet/demand.py
@@ -7,12 +7,20 @@
 
 from oakmux import constants
 from oakmux.core import teams
+from oakmux.core.agents.cancellation_log import CancellationLog
+from oakmux.core.agents.capacity import (
+    Resources,
+    counts_as_capacity,
+    fits_resources,
+    free_resources,
+    is_full,
+    subtract,
+    task_capacity,
+)
+from oakmux.core.agents.reservation_queue import queue_rank
 from oakmux.core.context import Context, event
 from oakmux.core.fleet.lists import Listed, Lists
 from oakmux.core.index import Class, class_of, may_fit
-from oakmux.core.keeper.queue import rank
-from oakmux.core.keeper.room import Room, counts, full, has_room, less, room, times
-from oakmux.core.keeper.word import Word
 from oakmux.core.owner.places import zone_allowed
 from oakmux.core.spread.lines import Lines, Shape
 from oakmux.wire import JobSpec
@@ -27,7 +35,13 @@
     __slots__ = ("name", "type", "zone", "spot", "free", "used", "coming")
 
     def __init__(
-        self, name: str, type_name: str, zone: str, spot: bool, free: Room, coming: bool = True
+        self,
+        name: str,
+        type_name: str,
+        zone: str,
+        spot: bool,
+        free: Resources,
+        coming: bool = True,
     ) -> None:
         self.name = name
         self.type = type_name
@@ -49,7 +63,7 @@
 
     def add(self, slot: Slot) -> None:
         """Put a slot where its room says; one without room is left out."""
-        if not full(self.context, slot.free):
+        if not is_full(self.context, slot.free):
             kind = self.context.types[slot.type]
             self.classes.setdefault(
                 class_of(kind, slot.zone, slot.spot, slot.free, slot.coming), []
@@ -85,7 +99,7 @@
         kind = self.context.types[place.type]
         cpus = place.cpu_level / constants.ROOM_LEVELS * kind.cpus
         memory_gb = place.memory_level / constants.ROOM_LEVELS * kind.memory_gb
-        return len(self.classes[place]) * times((cpus, float(place.gpus), memory_gb), spec)
+        return len(self.classes[place]) * task_capacity((cpus, float(place.gpus), memory_gb), spec)
 
     def visit(self, place: Class, fill: Callable[[Slot], bool]) -> bool:
         """Hand out the slots of a class until `fill` says that it has enough; return that. Each
@@ -109,9 +123,9 @@
 class Demand:
     """Counts what is missing, and rents it."""
 
-    def __init__(self, context: Context, word: Word, lists: Lists) -> None:
+    def __init__(self, context: Context, cancellations: CancellationLog, lists: Lists) -> None:
         self.context = context
-        self.word = word
+        self.cancellations = cancellations
         self.lists = lists
         self.no_capacity: dict[Key, float] = {}
         self.renting: dict[str, tuple[str, str, bool, int]] = {}
@@ -149,14 +163,17 @@
         slots = []
         unresponsive = context.facts.workers.lease_s
         for machine in context.machines.values():
-            if counts(context, machine) and context.now - machine.heard < unresponsive:
+            if (
+                counts_as_capacity(context, machine)
+                and context.now - machine.last_heartbeat_at < unresponsive
+            ):
                 slots.append(
                     Slot(
                         machine.name,
                         machine.type,
                         machine.zone,
                         machine.spot,
-                        room(context, machine),
+                        free_resources(context, machine),
                         False,
                     )
                 )
@@ -230,7 +247,7 @@
             if context.failures.suspect(job):
                 wanted = min(wanted, 1)  # it is tried one task at a time
             more = wanted > 0  # at its team's limit, no other of the line may start either
-            if more and job_id not in self.word.cancelled:
+            if more and job_id not in self.cancellations.cancelled:
                 zones = [b.zone for b in job.bindings()]
                 placed, new = self._place(spec, zones, wanted, pool, rent)
                 slots += new
@@ -265,7 +282,7 @@
         *_, job_id = line[number]
         job = self.context.replica.jobs[job_id]
         assert job.spec is not None
-        return rank(self.context, job, job.spec, used), job.since, job_id, shape, number
+        return queue_rank(self.context, job, job.spec, used), job.since, job_id, shape, number
 
     def _place(
         self, spec: JobSpec, zones: list[str], wanted: int, pool: Pool, rent: dict[Key, int]
@@ -315,10 +332,10 @@
         """Put as many tasks into a slot as it has room for; return whether all have one."""
         while (
             len(placed) < wanted
-            and has_room(slot.free, spec)
+            and fits_resources(slot.free, spec)
             and zone_allowed(spec, zones, slot.zone)
         ):
-            slot.free = less(slot.free, spec)
+            slot.free = subtract(slot.free, spec)
             zones.append(slot.zone)
             placed.append(slot)
         return len(placed) >= wanted
--- a/oakmux/core/fleet/lists.py
+++ b/oakmux/core/fleet/lists.py
@@ -5,9 +5,9 @@
 import msgspec
 
 from oakmux import constants
+from oakmux.core.agents.capacity import heartbeat_timeout_s
 from oakmux.core.context import Context, event
 from oakmux.core.jobs import TYPES_KEY, gone_key, value_bytes, value_limit
-from oakmux.core.keeper.room import silent_s
 
 
 class Listed:
@@ -94,13 +94,13 @@
             # Once listed, a machine stays listed until it is gone: for one that was, newer lists
             # prove it, and the silence of a few reports only guards against our own mistakes.
             silence = (
-                silent_s(context)
+                heartbeat_timeout_s(context)
                 if known is not None and known.listed
                 else context.facts.workers.lease_s
             )
             machine = context.machines.get(name)
             if asked - since < lag or (
-                machine is not None and context.now - machine.heard < silence
+                machine is not None and context.now - machine.last_heartbeat_at < silence
             ):
                 continue
             # Lists certainly newer than our knowledge of the machine lack it, repeatedly.
--- a/oakmux/core/fleet/returns.py
+++ b/oakmux/core/fleet/returns.py
@@ -3,26 +3,26 @@
 from collections import Counter
 
 from oakmux import constants
+from oakmux.core.agents.cancellation_log import CancellationLog
+from oakmux.core.agents.capacity import fits_resources, is_quarantined, subtract
+from oakmux.core.agents.reachability import is_reachable, unreachable_s
 from oakmux.core.context import Context, Machine, event
 from oakmux.core.fleet.demand import Slot
 from oakmux.core.fleet.lists import Lists
-from oakmux.core.keeper.hearing import deaf_s, hears
-from oakmux.core.keeper.room import has_room, less, sick
-from oakmux.core.keeper.word import Word
 from oakmux.core.owner.places import zone_allowed
 
 
 class Returns:
     """Drains and returns machines."""
 
-    def __init__(self, context: Context, word: Word, lists: Lists) -> None:
+    def __init__(self, context: Context, cancellations: CancellationLog, lists: Lists) -> None:
         self.context = context
-        self.word = word
+        self.cancellations = cancellations
         self.lists = lists
         self.moving: dict[str, float] = {}
-        self.sick_since: dict[str, float] = {}
+        self.quarantined_since: dict[str, float] = {}
         # Zones where most machines did not hear us, until when that counts.
-        self.deaf_until: dict[str, float] = {}
+        self.zone_unreachable_until: dict[str, float] = {}
 
     def _empty(self, name: str) -> bool:
         machine = self.context.machines.get(name)
@@ -41,21 +41,27 @@
             if drained is not None:
                 if not self._empty(name):
                     # Work came before the drain was known everywhere, or a move did not end.
-                    if not sick(context, machine) and self.moving.get(name, 0.0) < context.now:
+                    if (
+                        not is_quarantined(context, machine)
+                        and self.moving.get(name, 0.0) < context.now
+                    ):
                         context.undrain(name)
                         self.moving.pop(name, None)
-                elif context.now - drained >= constants.DRAIN_S and name not in self.sick_since:
+                elif (
+                    context.now - drained >= constants.DRAIN_S
+                    and name not in self.quarantined_since
+                ):
                     self._return([name], "idle")
             elif (
                 machine.idle_since is not None
-                and hears(machine)
+                and is_reachable(machine)
                 and self._empty(name)
                 and name not in needed
                 and not context.openings.names(name)
                 # What ended in an outage left its machine idle for want of nothing but word.
                 and context.now - max(machine.idle_since, context.store_recovered_at)
                 > constants.IDLE_KEEP_S
-                and context.now - machine.first_heard > constants.IDLE_KEEP_S
+                and context.now - machine.first_heartbeat_at > constants.IDLE_KEEP_S
             ):
                 context.drain(name)
         names = [name for name in context.draining if name in context.machines]
@@ -80,7 +86,7 @@
                 machine.idle_since is not None
                 or slot.used
                 or slot.name in context.draining
-                or context.now - machine.first_heard < constants.IDLE_KEEP_S
+                or context.now - machine.first_heartbeat_at < constants.IDLE_KEEP_S
             ):
                 continue
             left = slot.free[1] / kind.gpus if kind.gpus else slot.free[0] / kind.cpus
@@ -95,7 +101,7 @@
         self.moving[name] = context.now + constants.MOVE_S
         event("move", machine=name, tasks=len(moves))
         for task, attempt in moves:
-            context.emit("send", context.machines[name].keeper, ("move", name, task, attempt))
+            context.emit("send", context.machines[name].manager, ("move", name, task, attempt))
 
     def _moves(self, machine: Machine, others: list[Slot]) -> list[tuple[str, int]] | None:
         """Return the services to move off a machine, or None if that can't be done at once."""
@@ -123,11 +129,11 @@
                 if (
                     other.idle_since is None
                     and spec.image in other.images
-                    and has_room(free[slot.name], spec)
+                    and fits_resources(free[slot.name], spec)
                     and context.fits(spec, other)
                     and zone_allowed(spec, zones, slot.zone)
                 ):
-                    free[slot.name] = less(free[slot.name], spec)
+                    free[slot.name] = subtract(free[slot.name], spec)
                     zones.append(slot.zone)
                     moves.append(task)
                     break
@@ -139,8 +145,10 @@
         """Return machines that never boot, fell silent or fail all that they run."""
         context = self.context
         unresponsive = constants.SILENT_LEASES * context.facts.workers.lease_s
-        deaf_zones = self._deaf_zones()
-        self.sick_since = {n: at for n, at in self.sick_since.items() if n in context.machines}
+        unreachable_zones = self._unreachable_zones()
+        self.quarantined_since = {
+            n: at for n, at in self.quarantined_since.items() if n in context.machines
+        }
         for name, known in list(self.lists.listed.items()):
             if name in self.lists.returning or not known.listed:
                 continue
@@ -159,45 +167,47 @@
                 ):
                     self._return([name], "never_heard")
                 continue
-            quiet = context.now - max(machine.heard, self.lists.since, context.resumed_at)
+            quiet = context.now - max(
+                machine.last_heartbeat_at, self.lists.since, context.resumed_at
+            )
             keeper_hears = (
-                machine.keeper in context.replica.nodes
-                and machine.keeper != context.label
-                and context.now - self.word.peer_heard.get(machine.keeper, -1e9)
+                machine.manager in context.replica.nodes
+                and machine.manager != context.label
+                and context.now - self.cancellations.peer_seen_at.get(machine.manager, -1e9)
                 > constants.ALIVE_S * 3
             )
             if quiet > unresponsive * (2 if keeper_hears else 1):
                 self._return([name], "silent")
-            elif min(deaf_s(context, machine), context.now - self.lists.since) > unresponsive * (
-                2 if machine.zone in deaf_zones else 1
-            ):
+            elif min(
+                unreachable_s(context, machine), context.now - self.lists.since
+            ) > unresponsive * (2 if machine.zone in unreachable_zones else 1):
                 self._return([name], "deaf")
-            elif sick(context, machine):
+            elif is_quarantined(context, machine):
                 # Nothing new goes there; it is given back if that still stands once the jobs that
                 # failed there were tried elsewhere.
-                if name not in self.sick_since:
-                    self.sick_since[name] = context.now
+                if name not in self.quarantined_since:
+                    self.quarantined_since[name] = context.now
                     context.drain(name)
                 elif (
                     self._empty(name)
-                    and context.now - self.sick_since[name] > constants.SICK_HOLD_S
+                    and context.now - self.quarantined_since[name] > constants.SICK_HOLD_S
                 ):
                     self._return([name], "sick")
-            elif self.sick_since.pop(name, None) is not None:
+            elif self.quarantined_since.pop(name, None) is not None:
                 context.undrain(name)
 
-    def _deaf_zones(self) -> set[str]:
+    def _unreachable_zones(self) -> set[str]:
         """Return the zones where most machines don't hear us, or did not a lease ago: a fault of
         the way there that ends for all of them, though not for all in the same second."""
         now = self.context.now
         all_of, deaf = Counter[str](), Counter[str]()
         for machine in self.context.machines.values():
             all_of[machine.zone] += 1
-            deaf[machine.zone] += not hears(machine)
+            deaf[machine.zone] += not is_reachable(machine)
         for zone, count in deaf.items():
             if count > 1 and count > all_of[zone] * constants.DEAF_SHARE:
-                self.deaf_until[zone] = now + self.context.facts.workers.lease_s
-        return {zone for zone, until in self.deaf_until.items() if until > now}
+                self.zone_unreachable_until[zone] = now + self.context.facts.workers.lease_s
+        return {zone for zone, until in self.zone_unreachable_until.items() if until > now}
 
     def _return(self, names: list[str], why: str) -> None:
         context = self.context
--- a/oakmux/core/index.py
+++ b/oakmux/core/index.py
@@ -13,9 +13,9 @@
 from pyroaring import BitMap
 
 from oakmux import constants
+from oakmux.core.agents.capacity import Resources, free_resources, is_schedulable, task_capacity
 from oakmux.core.context import Context, Machine
 from oakmux.core.jobs import Job
-from oakmux.core.keeper.room import Room, room, times, usable
 from oakmux.wire import JobSpec, MachineType
 
 Kind = tuple[str, str, bool]
@@ -51,7 +51,7 @@
         )
 
 
-def class_of(kind: MachineType, zone: str, spot: bool, free: Room, idle: bool) -> Class:
+def class_of(kind: MachineType, zone: str, spot: bool, free: Resources, idle: bool) -> Class:
     """Return the class of a machine with so much room."""
     return Class(
         kind.name,
@@ -86,7 +86,7 @@
     """A machine with room that was drawn, and whether it holds the job's image."""
 
     machine: Machine
-    free: Room
+    free: Resources
     held: bool
 
 
@@ -159,7 +159,7 @@
     def _set(self, machine: Machine) -> None:
         number = self._number(machine)
         self._hold(number, set(machine.images))
-        if not usable(self.context, machine):
+        if not is_schedulable(self.context, machine):
             self._leave(number)
             self.context.unresponsive.add(machine.name)
             return
@@ -167,7 +167,7 @@
             self.context.types[machine.type],
             machine.zone,
             machine.spot,
-            room(self.context, machine),
+            free_resources(self.context, machine),
             machine.idle_since is not None,
         )
         self._weigh(number, machine)
@@ -278,7 +278,7 @@
         zones: Collection[str],
         avoid: Collection[str],
         wanted: int,
-        left: Callable[[Machine, Room], Room] | None = None,
+        left: Callable[[Machine, Resources], Resources] | None = None,
     ) -> list[Drawn]:
         """Draw machines with room for `wanted` tasks and some more, at random from the best
         classes first, those that hold the image before all others. `left` may take off what is
@@ -303,10 +303,10 @@
                     machine = self._fresh(number)
                     if machine is None or machine.name in avoid:
                         continue
-                    free = room(self.context, machine)
+                    free = free_resources(self.context, machine)
                     if left is not None:
                         free = left(machine, free)
-                    count = times(free, spec)
+                    count = task_capacity(free, spec)
                     if count:
                         rows.append(Drawn(machine, free, with_image))
                         enough -= count
@@ -319,7 +319,7 @@
     def _fresh(self, number: int) -> Machine | None:
         """Return a machine unless it fell silent meanwhile: then it stays out until it speaks."""
         machine = self.machines[number]
-        if machine is not None and not usable(self.context, machine):
+        if machine is not None and not is_schedulable(self.context, machine):
             self._leave(number)
             self.context.unresponsive.add(machine.name)
             return None
--- a/oakmux/core/owner/__init__.py
+++ b/oakmux/core/owner/__init__.py
@@ -1,8 +1,8 @@
 """The owner's side: sampling machines, binding tasks, writing the records."""
 
+from oakmux.core.agents.manager import AgentManager
 from oakmux.core.context import Context
 from oakmux.core.index import Index
-from oakmux.core.keeper import Keeper
 from oakmux.core.owner.binding import Binder
 from oakmux.core.owner.gangs import Gangs
 from oakmux.core.owner.sampling import Sampler
@@ -15,14 +15,14 @@
 class Owner:
     """Places the jobs of the teams that we own. Its parts share the open jobs."""
 
-    def __init__(self, context: Context, keeper: Keeper) -> None:
+    def __init__(self, context: Context, agents: AgentManager) -> None:
         self.open: dict[str, Open] = {}
         self.buffer = WriteBuffer(context)
         self.writer = Writer(context, self.buffer)
         self.index = Index(context)
         self.gangs = Gangs(context, self.index, self.open)
         self.waiting = Waiting(context, self.open)
-        self.binder = Binder(context, keeper, self.buffer, self.open, self.waiting)
+        self.binder = Binder(context, agents, self.buffer, self.open, self.waiting)
         self.sampler = Sampler(
             context, self.index, self.buffer, self.binder, self.gangs, self.waiting
         )
--- a/oakmux/core/owner/binding.py
+++ b/oakmux/core/owner/binding.py
@@ -3,11 +3,11 @@
 import math
 
 from oakmux import constants
+from oakmux.core.agents.capacity import free_resources, is_schedulable
+from oakmux.core.agents.manager import AgentManager
+from oakmux.core.agents.termination import gone
 from oakmux.core.context import Context, Machine, event
 from oakmux.core.jobs import FORMAT_COMPACT, Binding, Job
-from oakmux.core.keeper import Keeper
-from oakmux.core.keeper.proof import gone
-from oakmux.core.keeper.room import room, usable
 from oakmux.core.owner.gangs import stop_rest
 from oakmux.core.owner.places import choose_gang, preference, zone_allowed
 from oakmux.core.owner.state import Open
@@ -22,13 +22,13 @@
     def __init__(
         self,
         context: Context,
-        keeper: Keeper,
+        agents: AgentManager,
         buffer: WriteBuffer,
         open_jobs: dict[str, Open],
         waiting: Waiting,
     ) -> None:
         self.context = context
-        self.keeper = keeper
+        self.agents = agents
         self.buffer = buffer
         self.open = open_jobs
         self.waiting = waiting
@@ -74,7 +74,7 @@
             self.waiting.moved(job)
 
     def offer(
-        self, name: str, job_id: str, offer_id: int, agent_epoch: int, term: int, keeper: str
+        self, name: str, job_id: str, offer_id: int, agent_epoch: int, term: int, manager: str
     ) -> None:
         """Bind a task to offered room, or decline."""
         context = self.context
@@ -91,20 +91,20 @@
             or not self.buffer.owns(job)
             or machine.agent_epoch != agent_epoch
             or context.now < state.retry_at
-            or not usable(context, machine)
+            or not is_schedulable(context, machine)
             or name in state.avoid
             or not context.fits(job.spec, machine)
-            or job_id in self.keeper.word.cancelled
+            or job_id in self.agents.cancellations.cancelled
             or job_id in self.buffer.finish
             or not self._take_offer(
                 job,
                 job.spec,
                 state,
                 machine,
-                (context.now, name, offer_id, agent_epoch, term, keeper, machine.zone),
+                (context.now, name, offer_id, agent_epoch, term, manager, machine.zone),
             )
         ):
-            context.emit("send", keeper, ("decline", name, offer_id))
+            context.emit("send", manager, ("decline", name, offer_id))
 
     def _take_offer(
         self, job: Job, spec: JobSpec, state: Open, machine: Machine, offer: tuple
@@ -143,7 +143,12 @@
     def choose(self, job: Job, spec: JobSpec, state: Open) -> None:
         """Bind tasks to the best of the offers that came in; decline the others."""
         offers = [
-            (preference(self.context, job, spec, machine, room(self.context, machine)), offer)
+            (
+                preference(
+                    self.context, job, spec, machine, free_resources(self.context, machine)
+                ),
+                offer,
+            )
             for offer in state.offers
             if (machine := self.context.machines.get(offer[1])) is not None
         ]
@@ -188,7 +193,9 @@
         if not bound:
             return
         machine = context.machines.get(name)
-        shown = self.keeper.reports.shown(machine) if machine is not None else {}
+        visible_tasks = (
+            self.agents.heartbeats.visible_tasks(machine) if machine is not None else {}
+        )
         for (job_id, index), binding in list(bound.items()):
             job = context.replica.jobs.get(job_id)
             if job is None or not self.buffer.owns(job):
@@ -198,7 +205,7 @@
             if current is None or current.attempt != binding.attempt:
                 continue
             task = (f"{job_id}/{index}", binding.attempt)
-            proof = gone(context, machine, task, binding, shown)
+            proof = gone(context, machine, task, binding, visible_tasks)
             if proof is not None:
                 self._unbind(job, index, current, *proof)
             elif (
@@ -207,7 +214,7 @@
                 and job.spec is not None
                 and job.spec.joint
                 and job.spec.checkpoint_s
-                and shown.get(task, ("",))[0] == "running"
+                and visible_tasks.get(task, ("",))[0] == "running"
             ):
                 # The cloud takes this machine: the gang saves while all its tasks still can.
                 stop_rest(self.buffer, job, job.spec, binding.attempt)
--- a/oakmux/core/owner/claims.py
+++ b/oakmux/core/owner/claims.py
@@ -4,8 +4,8 @@
 from typing import NamedTuple
 
 from oakmux import constants
+from oakmux.core.agents.capacity import Resources, subtract
 from oakmux.core.context import Context, Machine
-from oakmux.core.keeper.room import Room, less
 from oakmux.wire import JobSpec
 
 
@@ -41,7 +41,7 @@
             if count:
                 self.by_machine.setdefault(name, {})[job_id] = Claim(until, count, spec)
 
-    def left(self, job_id: str, machine: Machine, free: Room) -> Room:
+    def left(self, job_id: str, machine: Machine, free: Resources) -> Resources:
         """Return the room on a machine that other jobs of ours have not asked for."""
         claims = self.by_machine.get(machine.name)
         if not claims:
@@ -51,5 +51,5 @@
             if claim.until <= self.context.now or other in bound:
                 del claims[other]
             elif other != job_id:
-                free = less(free, claim.spec, claim.tasks)
+                free = subtract(free, claim.spec, claim.tasks)
         return free
--- a/oakmux/core/owner/gangs.py
+++ b/oakmux/core/owner/gangs.py
@@ -7,14 +7,14 @@
 from pyroaring import BitMap
 
 from oakmux import constants
+from oakmux.core.agents.capacity import Resources, gang_hold_s, subtract, task_capacity
 from oakmux.core.context import Context, Machine, event
 from oakmux.core.index import Drawn, Index
 from oakmux.core.jobs import FORMAT_COMPACT, Job
-from oakmux.core.keeper.minimum_share import weight
-from oakmux.core.keeper.room import Room, gather_s, less, times
 from oakmux.core.owner.places import best, fetch_s, make_room, reserve, worth_s
 from oakmux.core.owner.state import Open
 from oakmux.core.owner.write_buffer import WriteBuffer
+from oakmux.core.scheduling.minimum_share import weight
 from oakmux.core.spread.opening import choose
 from oakmux.core.spread.order import elder
 from oakmux.core.spread.sites import sites
@@ -63,7 +63,7 @@
         state.asked = {}
         state.gather_until = 0.0
 
-    def left(self, job: Job, machine: Machine, free: Room) -> Room:
+    def left(self, job: Job, machine: Machine, free: Resources) -> Resources:
         """Return the room on a machine that other gangs of ours have not asked for."""
         if job.spec is not None and self.context.openings.bars(machine.name, job, job.spec):
             return 0.0, 0.0, 0.0
@@ -74,7 +74,7 @@
             if claim.until <= self.context.now:
                 del claims[other]
             elif other != job.id:
-                free = less(free, claim.spec, claim.tasks)
+                free = subtract(free, claim.spec, claim.tasks)
         return free
 
     def _ask(
@@ -114,7 +114,7 @@
         """
         context = self.context
         if not state.gather_until:
-            state.gather_until = context.now + gather_s(spec)
+            state.gather_until = context.now + gang_hold_s(spec)
         groups: list[Group] = []
         all_zones = context.facts.zones
         for zones in [[zone] for zone in all_zones] if spec.one_zone else [all_zones]:
@@ -122,7 +122,7 @@
             if coming >= spec.tasks:
                 return True
             rows = self._draw(job, spec, state, zones, spec.tasks - coming)
-            counts = [(times(row.free, spec), row.held) for row in rows]
+            counts = [(task_capacity(row.free, spec), row.held) for row in rows]
             groups.append(
                 (
                     sum(count for count, held in counts if held) + coming + context.rng.random(),
@@ -284,7 +284,9 @@
         fetching = [row for row in rows if not row.held]
         held = [row for row in rows if row.held]
         missing = (
-            spec.tasks - self._coming(state, zones) - sum(times(row.free, spec) for row in held)
+            spec.tasks
+            - self._coming(state, zones)
+            - sum(task_capacity(row.free, spec) for row in held)
         )
         if missing <= 0 or not fetching or spec.spread:
             return False
@@ -308,7 +310,7 @@
         """Draw machines with room that is still free for a gang; of a zone no more than its
         tasks may have there."""
 
-        def left(machine: Machine, free: Room) -> Room:
+        def left(machine: Machine, free: Resources) -> Resources:
             return self.left(job, machine, free)
 
         out = {*state.avoid, *state.asked}
@@ -318,10 +320,10 @@
         for zone in zones:
             most = min(missing, math.ceil(spec.tasks / 2) - self._coming(state, [zone]))
             for row in self.index.draw(spec, [zone], out, most, left) if most > 0 else ():
-                count = min(most, times(row.free, spec))
+                count = min(most, task_capacity(row.free, spec))
                 if count:
                     most -= count
-                    rows.append(row._replace(free=less((0.0, 0.0, 0.0), spec, -count)))
+                    rows.append(row._replace(free=subtract((0.0, 0.0, 0.0), spec, -count)))
         return rows
 
     def _reserve(self, job: Job, spec: JobSpec, state: Open, group: Group) -> None:
--- a/oakmux/core/owner/places.py
+++ b/oakmux/core/owner/places.py
@@ -6,11 +6,11 @@
 
 from oakmux import constants
 from oakmux.core import teams
+from oakmux.core.agents.capacity import Resources, task_capacity
+from oakmux.core.agents.reservation_queue import preemption_candidates, save_s
 from oakmux.core.context import Context, Machine
 from oakmux.core.index import Drawn, Index
 from oakmux.core.jobs import Job
-from oakmux.core.keeper.queue import save_s, victims
-from oakmux.core.keeper.room import Room, times
 from oakmux.core.owner.state import Open
 from oakmux.wire import JobSpec, MachineType
 
@@ -43,7 +43,7 @@
     return 0.0 if held else context.fetch_s(spec, machine.type) * (1 + len(others))
 
 
-def strands(spec: JobSpec, kind: MachineType, free: Room) -> bool:
+def strands(spec: JobSpec, kind: MachineType, free: Resources) -> bool:
     """Whether a task without GPUs would take CPUs that a machine's free GPUs need, by the share
     that falls to each."""
     return (
@@ -60,7 +60,9 @@
     return not spec.spread or zones.count(zone) + 1 <= math.ceil(spec.tasks / 2)
 
 
-def preference(context: Context, job: Job, spec: JobSpec, machine: Machine, free: Room) -> tuple:
+def preference(
+    context: Context, job: Job, spec: JobSpec, machine: Machine, free: Resources
+) -> tuple:
     """Return what orders machines for a task: for one without GPUs, CPUs that the free GPUs
     can spare; image held, no other fetch under way where either is urgent (they would share
     the rate), spot if allowed, fullest. Spot machines are cheaper, but what needs no GPU takes
@@ -97,15 +99,15 @@
     for _, _, row in ranked:
         if count <= 0:
             break
-        chosen[row.machine.name] = min(count, times(row.free, spec))
+        chosen[row.machine.name] = min(count, task_capacity(row.free, spec))
         count -= chosen[row.machine.name]
     return chosen
 
 
 def reserve(context: Context, job: Job, chosen: dict[str, int]) -> None:
-    """Send reservations {machine: tasks} to the keepers of the machines."""
+    """Send reservations {machine: tasks} to the agent managers of the machines."""
     for name, number in chosen.items():
-        context.emit("send", context.machines[name].keeper, ("reserve", name, job.id, number))
+        context.emit("send", context.machines[name].manager, ("reserve", name, job.id, number))
 
 
 def worth_s(context: Context, spec: JobSpec, machine: Machine) -> float:
@@ -128,7 +130,7 @@
     wanted: int,
     most: float,
 ) -> list[str]:
-    """Ask the keepers of as many machines as tasks wait to stop work of less right, where
+    """Ask the agent managers of as many machines as tasks wait to stop work of less right, where
     that costs less than `most` seconds; return which were asked. For a gang, all its
     tasks must find room so. Looked at are some machines drawn from `among`, those that hold
     the image before others. Until `state.preempt_at` what was asked for may come."""
@@ -142,7 +144,7 @@
     machines += index.some(among - held, looks - len(machines), state.avoid)
     rows = []
     for machine in machines:
-        found = victims(context, machine, job, spec, used)
+        found = preemption_candidates(context, machine, job, spec, used)
         if found is not None:
             cost = found[0] + fetch_s(context, spec, machine)
             if cost < most:
@@ -152,7 +154,7 @@
         return []
     for _, _, machine, saving in rows[:wanted]:
         state.preempt_at = max(state.preempt_at, context.now + constants.PREEMPT_S + saving)
-        context.emit("send", machine.keeper, ("reserve", machine.name, job.id, 1, True))
+        context.emit("send", machine.manager, ("reserve", machine.name, job.id, 1, True))
     return [machine.name for _, _, machine, _ in rows[:wanted]]
 
 
--- a/oakmux/core/owner/sampling.py
+++ b/oakmux/core/owner/sampling.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 
 from oakmux import constants
+from oakmux.core.agents.capacity import Resources, task_capacity
 from oakmux.core.context import Context, Machine
 from oakmux.core.index import Drawn, Index
 from oakmux.core.jobs import Job
-from oakmux.core.keeper.room import Room, times
 from oakmux.core.owner.binding import Binder
 from oakmux.core.owner.claims import RoomClaims
 from oakmux.core.owner.gangs import Gangs
@@ -157,7 +157,7 @@
         if rows:
             self._take_room(job, spec, state, zones_left, rows, wanted, count)
             waiting.later(job.id, state.next_sample)
-            there = sum(times(row.free, spec) for row in rows)
+            there = sum(task_capacity(row.free, spec) for row in rows)
             all_drawn = there < count * constants.DRAW_RATIO + constants.DRAW_MORE
             waiting.found(shape, wanted, there if all_drawn else None)
         elif self._widely(job, spec, state, zones_left, wanted, count):
@@ -166,12 +166,12 @@
         else:
             self._none_found(job, state, shape, zones_left)
 
-    def _left(self, job: Job, spec: JobSpec) -> Callable[[Machine, Room], Room]:
+    def _left(self, job: Job, spec: JobSpec) -> Callable[[Machine, Resources], Resources]:
         """Return what takes off room that an opening keeps from a job, or that other jobs of ours
         have asked for."""
         openings = self.context.openings
 
-        def left(machine: Machine, free: Room) -> Room:
+        def left(machine: Machine, free: Resources) -> Resources:
             if openings.by_machine and openings.bars(machine.name, job, spec):
                 return 0.0, 0.0, 0.0
             return self.claims.left(job.id, machine, free)
@@ -216,7 +216,7 @@
         return len(made) >= wanted
 
     def _queue_oldest(self, job: Job, spec: JobSpec) -> None:
-        """Queue a line's oldest job as well, once it is aged: keepers owe it a share."""
+        """Queue a line's oldest job as well, once it is aged: agent managers owe it a share."""
         shape = self.waiting.lines.put(job, spec)
         oldest = self.context.replica.jobs[self.waiting.lines.oldest(shape)]
         if (
@@ -261,7 +261,7 @@
         ):
             state.next_sample = state.preempt_at
         elif len(holders) >= wanted > sum(
-            times(row.free, spec) for row in there
+            task_capacity(row.free, spec) for row in there
         ) and self._patient(spec, state, rows[0].machine):
             state.next_sample = context.now + constants.WAIT_RESAMPLE_S
             queued = self.index.some(holders, count, state.avoid)
--- /dev/null
+++ b/oakmux/core/scheduling/__init__.py
@@ -0,0 +1,1 @@
+"""Placing the jobs of the teams that this controller owns."""
--- a/oakmux/core/keeper/minimum_share.py
+++ b/oakmux/core/scheduling/minimum_share.py
@@ -3,9 +3,9 @@
 from collections.abc import Iterable
 
 from oakmux import constants
+from oakmux.core.agents.capacity import Resources, fits_resources
 from oakmux.core.context import Context
 from oakmux.core.jobs import Job
-from oakmux.core.keeper.room import Room, has_room
 from oakmux.core.spread.order import aged
 from oakmux.wire import JobSpec, MachineType
 
@@ -20,7 +20,7 @@
 
 
 class MinimumShare:
-    """What is owed to aged work of the room that a keeper's machines freed: a share of it.
+    """What is owed to aged work of the room that a agent manager's machines freed: a share of it.
 
     While work of more right is offered room, the debt grows by that share; once it is worth a
     task of the oldest aged job with a reservation where room is, that task comes first and the
@@ -33,7 +33,7 @@
         self.owed = 0.0
         self.share = context.settings.spread.minimum_share
 
-    def oldest(self, kind: MachineType, free: Room, jobs: Iterable[Job]) -> Job | None:
+    def oldest(self, kind: MachineType, free: Resources, jobs: Iterable[Job]) -> Job | None:
         """Return who is due by age among jobs that have a reservation on a machine, or None."""
         if self.owed <= 0:
             return None
@@ -42,7 +42,7 @@
             for job in jobs
             if job.spec is not None
             and not job.spec.joint
-            and has_room(free, job.spec)
+            and fits_resources(free, job.spec)
             and aged(self.context, job, job.spec)
         ]
         job = min(due, key=lambda job: (job.since, job.id), default=None)
--- a/oakmux/core/spread/opening.py
+++ b/oakmux/core/spread/opening.py
@@ -14,7 +14,7 @@
 
 from oakmux import constants
 
-Room = tuple[float, float, float]
+Resources = tuple[float, float, float]
 """CPUs, GPUs, memory (GB)."""
 
 
@@ -22,7 +22,7 @@
     """A task that is on a machine: what it takes, in how many seconds its room can be had, and the
     seconds of work that are lost thereby. Infinite: never."""
 
-    takes: Room
+    takes: Resources
     ready_s: float
     lost_s: float
 
@@ -32,7 +32,7 @@
 
     name: str
     zone: str
-    free: Room
+    free: Resources
     held: tuple[Held, ...]
 
 
@@ -53,7 +53,7 @@
     name: str
 
 
-def fits(need: Room, free: Room) -> int:
+def fits(need: Resources, free: Resources) -> int:
     """Return how many tasks fit into free room; as many as there may be if they need nothing."""
     counts = [
         math.floor((have + constants.EPSILON) / want)
@@ -63,7 +63,7 @@
     return max(0, min(counts, default=constants.CHUNK_TASKS))
 
 
-def parts(need: Room, site: Site, most: int) -> list[Part]:
+def parts(need: Resources, site: Site, most: int) -> list[Part]:
     """Return the room for one task after another on a machine, the soonest first: what ends or can
     be stopped goes in that order, and what was not needed for the room stays."""
     rows: list[Part] = []
@@ -92,7 +92,7 @@
     return rows[:most]
 
 
-def _needed(need: Room, gone: list[Held], free: Room, count: int) -> list[Held]:
+def _needed(need: Resources, gone: list[Held], free: Resources, count: int) -> list[Held]:
     """Spare what the room does not need, the dearest first."""
     needed = list(gone)
     for held in sorted(gone, key=lambda held: (-held.ready_s, -held.lost_s)):
@@ -103,14 +103,14 @@
     return needed
 
 
-def _plus(free: Room, held: Iterable[Held]) -> Room:
+def _plus(free: Resources, held: Iterable[Held]) -> Resources:
     for one in held:
         free = (free[0] + one.takes[0], free[1] + one.takes[1], free[2] + one.takes[2])
     return free
 
 
 def choose(
-    need: Room,
+    need: Resources,
     tasks: int,
     sites: Iterable[Site],
     one_zone: bool,
--- a/oakmux/core/spread/sites.py
+++ b/oakmux/core/spread/sites.py
@@ -5,9 +5,9 @@
 
 from oakmux import constants
 from oakmux.core import teams
+from oakmux.core.agents.capacity import free_resources
 from oakmux.core.context import Context, Machine, Task
 from oakmux.core.jobs import Binding, Job
-from oakmux.core.keeper.room import room
 from oakmux.core.spread.opening import Held, Site
 from oakmux.wire import JobSpec
 
@@ -36,7 +36,9 @@
                 held.append(
                     _held(context, job, machine, other, other.spec, index, binding, beyond)
                 )
-        found.append(Site(machine.name, machine.zone, room(context, machine), tuple(held)))
+        found.append(
+            Site(machine.name, machine.zone, free_resources(context, machine), tuple(held))
+        )
     return found
 
 
--- a/oakmux/net/users.py
+++ b/oakmux/net/users.py
@@ -102,11 +102,11 @@
 
     def _report(self, request: Request) -> None:
         try:
-            report = wire.parse_report(wire.decode(request.body))
+            heartbeat = wire.parse_heartbeat(wire.decode(request.body))
         except wire.Malformed as error:
             self.refuse(request, 400, str(error))
             return
-        self._queue(request, "report", request, report)
+        self._queue(request, "report", request, heartbeat)
 
     def internal(self, request: Request) -> None:
         """Serve the address for peers."""
--- a/oakmux/net/workers.py
+++ b/oakmux/net/workers.py
@@ -20,14 +20,14 @@
         self, op: int, addr: str, fencing_token: int, agent_epoch: int, orders: list[dict]
     ) -> None:
         """Send orders: ok, refused, unsent (certainly nothing done) or lost (not known)."""
-        outcome, report = "lost", None
+        outcome, heartbeat = "lost", None
         try:
             body = wire.encode(wire.orders_body(fencing_token, agent_epoch, orders))
             status, answer = await self.client.request(
                 addr, "POST", wire.PATH_ORDERS, body, constants.ORDERS_TIMEOUT_S
             )
             if status in (200, 409):
-                report = wire.parse_report(wire.decode(answer))
+                heartbeat = wire.parse_heartbeat(wire.decode(answer))
                 outcome = "ok" if status == 200 else "refused"
         except (NotSent, ValueError):  # ValueError: the worker gave no address to connect to
             outcome = "unsent"
@@ -35,4 +35,4 @@
             log.info("event=orders_lost addr=%s why=%s", addr, error)
         except Exception:
             log.exception("event=orders_failed addr=%s", addr)
-        self.put(("done", op, outcome, report))
+        self.put(("done", op, outcome, heartbeat))
--- a/oakmux/service.py
+++ b/oakmux/service.py
@@ -62,9 +62,11 @@
         self.state = State(conf, self.put)
         self.cloud = Cloud(conf, self.put)
         self.workers = Workers(self.put)
-        word = self.core.keeper.word
+        cancellations = self.core.agents.cancellations
         self.peers = {
-            m.label: Peer(conf.label, m.label, m.peer_addr, self.put, lambda: word.revision)
+            m.label: Peer(
+                conf.label, m.label, m.peer_addr, self.put, lambda: cancellations.revision
+            )
             for m in conf.members
         }
 
--- a/oakmux/wire.py
+++ b/oakmux/wire.py
@@ -118,7 +118,7 @@
         return self.kind == "gang" and self.tasks > 1
 
 
-class Report(msgspec.Struct, array_like=True):
+class Heartbeat(msgspec.Struct, array_like=True):
     """A worker's report; tasks maps (task, attempt) to (state, why, saved)."""
 
     machine: str
@@ -280,7 +280,7 @@
     )
 
 
-def parse_report(value: Any) -> Report:
+def parse_heartbeat(value: Any) -> Heartbeat:
     """Check a worker's report; raises Malformed."""
     try:
         raw = msgspec.convert(value, _Beat)
@@ -305,7 +305,7 @@
             raise Malformed("piece: not a task") from None
         why = CAUSES.get(piece.cause or "", "error" if state == "exited" else "")
         tasks[(piece.piece, piece.attempt)] = (state, why, bool(piece.stored))
-    return Report(
+    return Heartbeat(
         raw.box,
         raw.addr,
         raw.flavour,
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -12,10 +12,10 @@
 import pytest
 
 from oakmux import constants
+from oakmux.core.agents.capacity import count_free_resources, is_schedulable
 from oakmux.core.controller import Controller
 from oakmux.core.index import Index
 from oakmux.core.jobs import value_bytes, value_limit
-from oakmux.core.keeper.room import count_room, usable
 from oakmux.settings import (
     CloudLimits,
     ComingLimits,
@@ -28,7 +28,7 @@
     Team,
     Workers,
 )
-from oakmux.wire import JobSpec, MachineType, Report
+from oakmux.wire import Heartbeat, JobSpec, MachineType
 
 ZONES = ["a", "b", "c"]
 TYPE = MachineType("big", 8.0, 4.0, 64.0, 100.0, 1.0, 10.0, 3.0, 3.0, ZONES)
@@ -203,12 +203,12 @@
         if not self.dead:
             self.up = True
             self.lease_from = self.sim.now
-            self.report()
+            self.heartbeat()
 
-    def snapshot(self) -> Report:
+    def snapshot(self) -> Heartbeat:
         self.advance()
         self.sequence += 1
-        return Report(
+        return Heartbeat(
             self.name,
             self.name,
             "big",
@@ -221,12 +221,12 @@
             {k: (v[0], v[1], False) for k, v in self.tasks.items()},
         )
 
-    def peek(self) -> Report:
+    def peek(self) -> Heartbeat:
         """Return the report that it would send now, and leave it as it is."""
         sequence, tasks = self.sequence, {key: list(row) for key, row in self.tasks.items()}
-        report = self.snapshot()
+        heartbeat = self.snapshot()
         self.sequence, self.tasks = sequence, tasks
-        return report
+        return heartbeat
 
     def notice_s(self) -> float | None:
         return None if self.taken_at is None else max(0.0, self.taken_at - self.sim.now)
@@ -294,15 +294,15 @@
             if row[0] == "running" and row[2] <= now:
                 self.sim.finish(key, row, self.sick)
 
-    def report(self) -> None:
+    def heartbeat(self) -> None:
         """Send a report and go on; the answer counts within 4 s."""
         if self.dead:
             return
         if self.hung:
-            self.held.append(self.report)
+            self.held.append(self.heartbeat)
             return
         sim, label = self.sim, self.sim.labels[self.node]
-        report, sent = self.snapshot(), sim.now
+        heartbeat, sent = self.snapshot(), sim.now
         self.waiting += 1
         turn = self.waiting
 
@@ -312,7 +312,11 @@
             self.waiting += 1
             self.advance()
             before = self.fencing_token
-            if status == 200 and answer[0] == "orders" and report.agent_epoch == self.agent_epoch:
+            if (
+                status == 200
+                and answer[0] == "orders"
+                and heartbeat.agent_epoch == self.agent_epoch
+            ):
                 if answer[1] >= self.fencing_token:
                     self.lease_from = sent
                     self.obey(answer[1], answer[2])
@@ -324,25 +328,25 @@
             sooner = self.fencing_token > before and sim.now - self.told_token > LEASE_S / 2
             if sooner:
                 self.told_token = sim.now
-            sim.after(0.5 if sooner else REPORT_S * sim.rng.uniform(0.75, 1.25), self.report)
+            sim.after(0.5 if sooner else REPORT_S * sim.rng.uniform(0.75, 1.25), self.heartbeat)
 
         def lost() -> None:
             if turn == self.waiting and not self.dead:
                 self.waiting += 1
                 self.node = (self.node + 1) % len(sim.labels)
-                sim.after(1.0, self.report)
+                sim.after(1.0, self.heartbeat)
 
         if self.name in sim.muted:  # no connection to any controller
             sim.after(0.01, lambda: self.awake(lost))
             return
         if sim.kept_back and sim.rng.random() < sim.kept_back and len(sim.for_next) < 40:
-            sim.for_next.append(report)
+            sim.for_next.append(heartbeat)
         if sim.copies and sim.rng.random() < sim.copies:
             # To whom it may be, its answer goes nowhere; the machine may be gone by then.
             other = sim.rng.choice(sim.labels)
             sim.after(
                 sim.rng.uniform(0.5, 4 * LEASE_S),
-                lambda: sim.command(other, ("report", lambda *a: None, report)),
+                lambda: sim.command(other, ("report", lambda *a: None, heartbeat)),
             )
         sim.after(ANSWER_S, lambda: self.awake(lost))
         sim.pass_on(
@@ -355,12 +359,12 @@
                     lambda *a: sim.pass_on(
                         label, self.name, lambda: self.awake(lambda: answered(*a))
                     ),
-                    report,
+                    heartbeat,
                 ),
             ),
         )
 
-    def orders(self, fencing_token: int, agent_epoch: int, orders: list) -> tuple[str, Report]:
+    def orders(self, fencing_token: int, agent_epoch: int, orders: list) -> tuple[str, Heartbeat]:
         self.advance()
         if fencing_token < self.fencing_token or agent_epoch != self.agent_epoch:
             return "refused", self.snapshot()
@@ -430,7 +434,7 @@
         self.one_way: set[tuple[str, str]] = set()  # from, to: held up
         self.copies = 0.0  # share of reports of which a copy comes much later
         self.kept_back = 0.0  # share of reports of which a copy comes to whoever next wins a role
-        self.for_next: list[Report] = []
+        self.for_next: list[Heartbeat] = []
         self.muted: set[str] = set()  # machines that reach no controller, but hear direct orders
         self.close = 0.0  # share of news to users after which all controllers are asked at once
         self.broken: set[str] = set()  # jobs that fail on every machine
@@ -679,7 +683,7 @@
 
     def send(self, label: str, incarnation: int, peer: str, message: tuple) -> None:
         asked, mine = self.now, self.cores[label]
-        since = mine.keeper.word.revision if mine is not None else -1
+        since = mine.agents.cancellations.revision if mine is not None else -1
 
         def serve() -> Any:
             if self.cores.get(peer) is None:
@@ -712,12 +716,12 @@
     def written(self, key: str, value: Any) -> None:
         """The state service wrote a key: of a role, its holder gets the reports kept for it."""
         if key.startswith("ox/own/"):
-            reports, self.for_next = self.for_next, []
-            for report in reports:
+            heartbeats, self.for_next = self.for_next, []
+            for heartbeat in heartbeats:
                 self.after(
                     self.rng.uniform(0.0, 1.0),
-                    lambda report=report: self.command(
-                        value[0], ("report", lambda *a: None, report)
+                    lambda heartbeat=heartbeat: self.command(
+                        value[0], ("report", lambda *a: None, heartbeat)
                     ),
                 )
 
@@ -897,7 +901,7 @@
         if (team.cpus_max and cpus > team.cpus_max) or (team.gpus_max and gpus > team.gpus_max):
             return False
         zones = [w.zone for w, task, _ in there if task.startswith(job_id + "/")]
-        room: dict[str, int] = {}
+        free_resources: dict[str, int] = {}
         for worker in self.workers.values():
             on = [self.specs[t.partition("/")[0]] for w, t, _ in there if w is worker]
             if (
@@ -918,11 +922,17 @@
                     for have, need in zip(free, (job.cpus, job.gpus, job.memory_gb), strict=True)
                     if need
                 )
-                room[worker.zone] = room.get(worker.zone, 0) + fit
+                free_resources[worker.zone] = free_resources.get(worker.zone, 0) + fit
         if job.spread:
             most = (job.tasks + 1) // 2
-            room = {zone: min(fit, most - zones.count(zone)) for zone, fit in room.items()}
-        return (max(room.values(), default=0) if job.one_zone else sum(room.values())) >= count
+            free_resources = {
+                zone: min(fit, most - zones.count(zone)) for zone, fit in free_resources.items()
+            }
+        return (
+            max(free_resources.values(), default=0)
+            if job.one_zone
+            else sum(free_resources.values())
+        ) >= count
 
     def unresponsive(self, seconds: float = 90.0) -> set[str]:
         """Ask for every job ever accepted, and return those about which no question was answered
@@ -1081,7 +1091,7 @@
             if order["verb"] == "launch":
                 job_id = order["piece"].partition("/")[0]
                 self.given[(order["piece"], order["try"])] = self.now
-                assert core is None or not core.keeper.word.is_cancelled(job_id), (
+                assert core is None or not core.agents.cancellations.is_cancelled(job_id), (
                     f"start given though cancelled: {order['piece']}"
                 )
 
@@ -1167,7 +1177,7 @@
     """Compare what a controller keeps up to date with a full count."""
     context, replica = core.context, core.context.replica
     for name, free in replica.rooms.items():
-        assert free == pytest.approx(count_room(context, context.machines[name])), name
+        assert free == pytest.approx(count_free_resources(context, context.machines[name])), name
     check_index(core)
     used: dict[str, float] = {}
     mine: dict[str, float] = {}
@@ -1201,7 +1211,7 @@
     def named(index: Index, sets: dict) -> dict:
         return {key: {index.machines[n].name for n in ids} for key, ids in sets.items() if ids}
 
-    quiet = {n for n, m in context.machines.items() if not usable(context, m)}
+    quiet = {n for n, m in context.machines.items() if not is_schedulable(context, m)}
     for attr in ("classes", "kinds", "holders", "weak", "teams"):
         kept, anew = (named(i, getattr(i, attr)) for i in (index, fresh))
         if attr != "holders":  # one that fell silent leaves when it is drawn
--- a/tests/recorded.py
+++ b/tests/recorded.py
@@ -840,12 +840,12 @@
             m.notice_at,
             m.tasks,
         ]
-        + [m.keeper, m.keeper_term, m.heard, m.images]
+        + [m.manager, m.manager_term, m.last_heartbeat_at, m.images]
         for m in context.machines.values()
     ]
     kept = [
         [name, [[r.job_id, r.count] for r in one.queue.values()], one.offers, one.stops]
-        for name, one in core.keeper.ward.kept.items()
+        for name, one in core.agents.workers.tracked.items()
     ]
     offers = [[job_id, state.offers] for job_id, state in core.owner.binder.open.items()]
     return plain(
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -83,7 +83,7 @@
     for core in sim.cores.values():
         job = core.context.replica.jobs["job-2"]
         assert not job.ready and not job.chunks and "job-2" not in core.owner.open
-        assert not any("job-2" in kept.queue for kept in core.keeper.ward.kept.values())
+        assert not any("job-2" in kept.queue for kept in core.agents.workers.tracked.values())
         assert core.context.replica.used.get("red", (0, 0))[1] == 0
 
 
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -8,7 +8,7 @@
 from oakmux.core.context import Context, Machine
 from oakmux.core.jobs import Binding, Chunk, chunk_key, job_key, job_value
 from oakmux.core.owner.claims import RoomClaims
-from oakmux.wire import Report
+from oakmux.wire import Heartbeat
 from tests.fakes import TYPE, settings_for, spec
 from tools.capacity.cell import Cell, cpu_job
 
@@ -19,8 +19,8 @@
     """Return claims of one job, for two tasks on two machines, and the first machine."""
     context = Context(settings_for("h0"), random.Random(1), 0)
     for name in ("m1", "m2"):
-        report = Report(name, name, "big", "a", False, 1, 1, 1, None, {})
-        context.machines[name] = Machine(report, 0.0)
+        heartbeat = Heartbeat(name, name, "big", "a", False, 1, 1, 1, None, {})
+        context.machines[name] = Machine(heartbeat, 0.0)
     context.replica.apply(job_key("job-1"), job_value("queued", "red", spec(), 0, 2), 1)
     claims = RoomClaims(context)
     claims.ask("job-1", spec(cpus=3.0), {"m1": 2, "m2": 2}, 2)
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -135,7 +135,7 @@
         "warning_s": None,
         "pieces": [{"piece": "job-1/3", "try": 2, "status": "ended", "cause": "done"}],
     }
-    assert wire.parse_report(good).tasks == {("job-1/3", 2): ("exited", "done", False)}
+    assert wire.parse_heartbeat(good).tasks == {("job-1/3", 2): ("exited", "done", False)}
     for field, value in (
         ("tenure", -1),
         ("pieces", [{}]),
@@ -144,7 +144,7 @@
         ("pieces", [{"piece": "x", "try": 1, "status": "running"}]),
     ):
         with pytest.raises(wire.Malformed):
-            wire.parse_report({**good, field: value})
+            wire.parse_heartbeat({**good, field: value})
 
 
 class FakeTransport:
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -108,7 +108,7 @@
 def test_without_elders_the_largest_may_wait_for_ever(monkeypatch):
     for module in (
         "core.spread.order",
-        "core.keeper.queue",
+        "core.agents.reservation_queue",
         "core.spread.lines",
         "core.owner.write_buffer",
         "core.owner.gangs",
--- a/tests/test_index.py
+++ b/tests/test_index.py
@@ -6,12 +6,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from oakmux.core.agents.capacity import (
+    fits_resources,
+    free_resources,
+    heartbeat_timeout_s,
+    is_schedulable,
+    task_capacity,
+)
+from oakmux.core.agents.heartbeats import apply_heartbeat
 from oakmux.core.context import Context
 from oakmux.core.index import Index, class_of, may_fit
 from oakmux.core.jobs import chunk_key, job_key, job_value
-from oakmux.core.keeper.reports import take_report
-from oakmux.core.keeper.room import has_room, room, silent_s, times, usable
-from oakmux.wire import Report
+from oakmux.wire import Heartbeat
 from tests.fakes import TYPE, ZONES, settings_for, spec
 
 # The same verdict every time, and nothing kept between runs.
@@ -26,8 +32,8 @@
     "job-3": spec("array", 8, "blue", gpus=0.0, cpus=1.0, memory_gb=30.0, image="x", spot=True),
 }
 
-report = st.tuples(
-    st.just("report"),
+heartbeat = st.tuples(
+    st.just("heartbeat"),
     st.sampled_from(NAMES),
     st.sets(
         st.tuples(
@@ -40,7 +46,7 @@
     st.booleans(),
 )
 change = st.one_of(
-    report,
+    heartbeat,
     st.tuples(
         st.just("bind"), st.sampled_from(sorted(JOBS)), st.integers(0, 3), st.sampled_from(NAMES)
     ),
@@ -67,16 +73,16 @@
         self.mod_revision += 1
         self.context.replica.apply(key, value, self.mod_revision)
 
-    def report(self, name, tasks, notice):
+    def heartbeat(self, name, tasks, notice):
         self.sequence += 1
         number = int(name[1:])
         states = {
             (f"{job}/{index}", 1): (state, "done" if state == "exited" else "", False)
             for job, index, state in sorted(tasks)
         }
-        take_report(
+        apply_heartbeat(
             self.context,
-            Report(
+            Heartbeat(
                 name,
                 name,
                 "big",
@@ -130,17 +136,17 @@
         number = index.ids[machine.name]
         where = [key for key, ids in index.classes.items() if number in ids]
         assert len(where) <= 1
-        if usable(context, machine):
+        if is_schedulable(context, machine):
             assert where == [
                 class_of(
                     TYPE,
                     machine.zone,
                     machine.spot,
-                    room(context, machine),
+                    free_resources(context, machine),
                     machine.idle_since is not None,
                 )
             ]
-        elif context.now - machine.heard < silent_s(context):
+        elif context.now - machine.last_heartbeat_at < heartbeat_timeout_s(context):
             assert where == []  # drained, noticed or sick; one that fell silent leaves when drawn
         held = {image for image, ids in index.holders.items() if number in ids}
         assert held == set(machine.images)
@@ -163,15 +169,15 @@
     fitting = {
         m.name
         for m in context.machines.values()
-        if usable(context, m)
+        if is_schedulable(context, m)
         and context.fits(job, m)
         and m.zone in zones
         and m.name != "m5"
-        and has_room(room(context, m), job)
+        and fits_resources(free_resources(context, m), job)
     }
     assert set(names) <= fitting
     # With so few machines nothing that has room may be missed, unless there was enough.
-    if sum(times(row.free, job) for row in drawn) < wanted:
+    if sum(task_capacity(row.free, job) for row in drawn) < wanted:
         assert set(names) == fitting
     held = [row.held for row in drawn]
     assert held == sorted(held, reverse=True)  # those that hold the image come first
@@ -189,16 +195,16 @@
 def test_a_class_that_is_left_out_has_no_room(cpus, gpus, memory, need, need_gpus, need_memory):
     job = spec(cpus=need, gpus=need_gpus, memory_gb=need_memory)
     free = (cpus, float(gpus), memory)
-    if has_room(free, job):
+    if fits_resources(free, job):
         assert may_fit(job, TYPE, class_of(TYPE, "a", False, free, True))
 
 
 def test_a_machine_that_fell_silent_leaves_when_it_is_drawn_and_comes_back_when_heard():
-    place = after([("report", "m1", set(), False)])
+    place = after([("heartbeat", "m1", set(), False)])
     place.wait(100.0)
     assert place.index.draw(JOBS["job-0"], ZONES, (), 1) == []
     assert not place.index.classes and "m1" in place.context.unresponsive
-    place.report("m1", set(), False)
+    place.heartbeat("m1", set(), False)
     place.index.refresh()
     assert [row.machine.name for row in place.index.draw(JOBS["job-0"], ZONES, (), 1)] == ["m1"]
 
@@ -208,7 +214,7 @@
     for count in (60, 600):
         place = Place()
         for number in range(count):
-            place.report(f"m{number}", set(), False)
+            place.heartbeat(f"m{number}", set(), False)
         place.index.refresh()
         seen = []
         monkeypatch.setattr(
@@ -231,7 +237,7 @@
     for number, name in enumerate(names):
         tasks = {("job-9", number, "running")} if number < 90 else set()
         for _ in range(2):  # the second shows that it hears us
-            place.report(name, tasks, False)
+            place.heartbeat(name, tasks, False)
     place.index.refresh()
     little = {"cpus": 0.1, "memory_gb": 0.1, scarce: 0.2 * getattr(TYPE, scarce)}
     wanted = spec("array", 1, "blue", gpus=0.0, spot=True, **little)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -51,7 +51,7 @@
     worker = sim.workers[name]
     worker.waiting += 1
     worker.node = sim.labels.index(label)
-    worker.report()
+    worker.heartbeat()
 
 
 def cut_off(sim: Sim, names: list[str], seconds: float) -> None:
@@ -298,7 +298,7 @@
 def test_a_cancellation_is_told_to_peers_from_the_step_in_which_its_user_is_told(first):
     sim = busy()
     core = sim.cores["h1"]
-    since = core.keeper.word.revision
+    since = core.agents.cancellations.revision
 
     def asked_for(writes: bool, effects: list[tuple]) -> int:
         return next(e[1] for e in effects if e[0] == "txn" and bool(e[3]) == writes)
@@ -320,7 +320,7 @@
     monkeypatch.setattr(constants, "CANCELS_KEPT", 3)
     sim = Sim(1)
     sim.run(3)
-    word = sim.cores["h0"].keeper.word
+    word = sim.cores["h0"].agents.cancellations
     known = word.cancels_known_until()
     many = [f"job-{number}" for number in range(2 if until < 0 else 4)]
     word.peer_alive("h1", 7, 0.0, many, known + 50.0, until)
@@ -577,11 +577,11 @@
     sim.run(25)
     sim.crash(sim.labels[-1], 0.1)
     sim.run(0.3)  # just started: it has not heard the machines
-    for report in reversed(old):
+    for heartbeat in reversed(old):
         for label in sim.labels:
-            machine = sim.cores[label].context.machines.get(report.machine)
+            machine = sim.cores[label].context.machines.get(heartbeat.machine)
             known = machine and machine.version
-            deliver(sim, label, report)
+            deliver(sim, label, heartbeat)
             assert machine is None or machine.version >= known
         sim.run(0.02)
     before = sim.start_log[:]
--- a/tests/test_meetings_later.py
+++ b/tests/test_meetings_later.py
@@ -7,6 +7,7 @@
 import pytest
 
 from oakmux import constants
+from oakmux.core.agents import reachability
 from oakmux.core.context import Context, Machine
 from oakmux.core.jobs import (
     Binding,
@@ -17,10 +18,9 @@
     job_value,
     role_key,
 )
-from oakmux.core.keeper import hearing
 from oakmux.core.replica import Replica
 from oakmux.settings import Team
-from oakmux.wire import Report
+from oakmux.wire import Heartbeat
 from tests.fakes import CANCEL_S, LEASE_S, PLACED, TYPE, Sim, settings_for, spec
 from tests.test_meetings import (
     Twins,
@@ -134,19 +134,19 @@
     sim.submit("job-1", spec("service", 1, "blue"))
     sim.run(8)
     owner = holder(sim, "red")
-    keeper, other = [label for label in sim.labels if label != owner]
-    gather(sim, keeper)
+    manager, other = [label for label in sim.labels if label != owner]
+    gather(sim, manager)
     [name] = up(sim)
     sim.run(5)
-    sim.cuts.add(frozenset((keeper, other)))
+    sim.cuts.add(frozenset((manager, other)))
     reset(sim, name, other)
     sim.run(0.05)
-    reset(sim, name, keeper)
+    reset(sim, name, manager)
     sim.run(1.5)
     seen = sim.cores[owner].context.machines[name]
-    assert seen.keeper == other or not hearing.hears(seen)
+    assert seen.manager == other or not reachability.is_reachable(seen)
     sim.run(constants.VIEW_AGAIN_S + 2)
-    assert seen.keeper == keeper and hearing.hears(seen)
+    assert seen.manager == manager and reachability.is_reachable(seen)
     sim.submit("job-2", spec("array", 2, estimate_s=2.0))
     sim.run(3)
     assert [task for _, task, _, _ in sim.start_log if task.startswith("job-2/")]
@@ -156,15 +156,15 @@
 
 def test_what_a_controller_says_again_of_a_machine_is_no_sign_that_it_hears():
     context = Context(settings_for("h0"), random.Random(1), 0)
-    machine = Machine(Report("m", "a:1", "big", "a", False, 1, 1, 5, None, {}), 0.0)
-    machine.keeper, machine.keeper_term = "h1", 5
+    machine = Machine(Heartbeat("m", "a:1", "big", "a", False, 1, 1, 5, None, {}), 0.0)
+    machine.manager, machine.manager_term = "h1", 5
     moved(context, machine, "h2", fencing_token=5)
     moved(
         context, machine, "h1", fencing_token=5
     )  # it shows the term of its controller from before
-    report = Report("m", "a:1", "big", "a", False, 1, machine.sequence, 5, None, {})
-    hearing.next_word(context, machine, report, "h1", 5)
-    assert not hearing.hears(machine)
+    heartbeat = Heartbeat("m", "a:1", "big", "a", False, 1, machine.sequence, 5, None, {})
+    reachability.assess_heartbeat(context, machine, heartbeat, "h1", 5)
+    assert not reachability.is_reachable(machine)
 
 
 # --- limits that are kept for nobody's use ---
@@ -481,10 +481,10 @@
     for label in ended:
         sim.crash(label, 0.2)
     sim.run(0.2 + when)
-    for report in [*old, *reversed(old)]:
+    for heartbeat in [*old, *reversed(old)]:
         for label in sim.labels:
             if sim.cores[label] is not None:
-                deliver(sim, label, report)
+                deliver(sim, label, heartbeat)
     sim.run(8)
     left = sorted((task, worker.name) for worker, task, _ in sim.live())
     assert left == where and len(sim.start_log) == starts
@@ -635,6 +635,6 @@
     sim.specs["job-9"] = spec(team="blue", gpus=0.0, cpus=0.1, memory_gb=0.1)
     assert sim.could_start("job-9")
     for core in sim.cores.values():
-        core.keeper.word.cancelled["job-9"] = 0.0
+        core.agents.cancellations.cancelled["job-9"] = 0.0
     with pytest.raises(AssertionError, match="start given"):
         sim.check_given("h0", [{"verb": "launch", "piece": "job-9/0", "try": 1}])
--- a/tests/test_oncall.py
+++ b/tests/test_oncall.py
@@ -6,12 +6,12 @@
 import pytest
 
 from oakmux import constants
+from oakmux.core.agents import reachability
 from oakmux.core.context import Context, Machine
 from oakmux.core.failing import Failures
 from oakmux.core.jobs import node_key
-from oakmux.core.keeper import hearing
 from oakmux.core.membership import FLEET
-from oakmux.wire import Report
+from oakmux.wire import Heartbeat
 from tests.fakes import CANCEL_S, LEASE_S, REPORT_S, Sim, settings_for, spec
 from tests.test_stories import asked, quiet
 
@@ -69,9 +69,9 @@
 
 
 def test_without_that_evidence_machines_that_do_not_hear_are_kept(monkeypatch):
-    monkeypatch.setattr("oakmux.core.keeper.room.hears", lambda machine: True)
-    monkeypatch.setattr("oakmux.core.fleet.returns.deaf_s", lambda context, machine: 0.0)
-    monkeypatch.setattr("oakmux.core.fleet.returns.hears", lambda machine: True)
+    monkeypatch.setattr("oakmux.core.agents.capacity.is_reachable", lambda machine: True)
+    monkeypatch.setattr("oakmux.core.fleet.returns.unreachable_s", lambda context, machine: 0.0)
+    monkeypatch.setattr("oakmux.core.fleet.returns.is_reachable", lambda machine: True)
     with pytest.raises(AssertionError):
         test_work_of_a_machine_that_does_not_hear_goes_on_elsewhere()
 
@@ -88,10 +88,10 @@
 
 
 def moved(
-    context: Context, machine: Machine, keeper: str, agent_epoch: int = 1, fencing_token: int = 0
+    context: Context, machine: Machine, manager: str, agent_epoch: int = 1, fencing_token: int = 0
 ) -> None:
     """Take the next report of a machine, as a controller hears of it."""
-    report = Report(
+    heartbeat = Heartbeat(
         machine.name,
         "a:1",
         "big",
@@ -103,53 +103,53 @@
         None,
         {},
     )
-    hearing.next_word(context, machine, report, keeper, 5)
-    machine.take(report, context.now)
-    machine.keeper = keeper
+    reachability.assess_heartbeat(context, machine, heartbeat, manager, 5)
+    machine.take(heartbeat, context.now)
+    machine.manager = manager
 
 
 @pytest.mark.parametrize("sign", ["goes from one to the next", "a lease ends while it reports"])
 def test_each_sign_alone_tells_that_a_machine_does_not_hear(sign):
     context = Context(settings_for("h0"), random.Random(1), 0)
-    machine = Machine(Report("m", "a:1", "big", "a", False, 1, 1, 5, None, {}), 0.0)
-    machine.keeper, machine.keeper_term = "h1", 5
+    machine = Machine(Heartbeat("m", "a:1", "big", "a", False, 1, 1, 5, None, {}), 0.0)
+    machine.manager, machine.manager_term = "h1", 5
     if sign == "goes from one to the next":
         moved(context, machine, "h2")
-        assert hearing.hears(machine)  # handed over, or its controller fell
+        assert reachability.is_reachable(machine)  # handed over, or its controller fell
         moved(context, machine, "h0")
     else:
         context.now = LEASE_S / 3
         moved(context, machine, "h1", agent_epoch=2)
-    assert not hearing.hears(machine)
+    assert not reachability.is_reachable(machine)
     moved(
-        context, machine, machine.keeper, machine.agent_epoch
+        context, machine, machine.manager, machine.agent_epoch
     )  # it stays, but does not show the term
-    assert not hearing.hears(machine)
-    moved(context, machine, machine.keeper, machine.agent_epoch, 5)
-    assert hearing.hears(machine)
+    assert not reachability.is_reachable(machine)
+    moved(context, machine, machine.manager, machine.agent_epoch, 5)
+    assert reachability.is_reachable(machine)
 
 
 def test_a_lease_that_ended_in_silence_is_no_sign():
     context = Context(settings_for("h0"), random.Random(1), 0)
-    machine = Machine(Report("m", "a:1", "big", "a", False, 1, 1, 5, None, {}), 0.0)
-    machine.keeper = "h1"
+    machine = Machine(Heartbeat("m", "a:1", "big", "a", False, 1, 1, 5, None, {}), 0.0)
+    machine.manager = "h1"
     context.now = 1.5 * LEASE_S
     moved(context, machine, "h1", agent_epoch=2)
-    assert hearing.hears(machine)
+    assert reachability.is_reachable(machine)
 
 
 # --- copies that come late ---
 
 
-def copy_of(sim: Sim, name: str) -> Report:
+def copy_of(sim: Sim, name: str) -> Heartbeat:
     """Return a report of a machine as it is now, to be delivered later."""
     return sim.workers[name].snapshot()
 
 
-def deliver(sim: Sim, label: str, report: Report) -> list[int]:
+def deliver(sim: Sim, label: str, heartbeat: Heartbeat) -> list[int]:
     """Deliver a copy of a report; return the status of its answer, which goes nowhere."""
     answers: list[int] = []
-    sim.command(label, ("report", lambda status, _: answers.append(status), report))
+    sim.command(label, ("report", lambda status, _: answers.append(status), heartbeat))
     return answers
 
 
@@ -182,7 +182,7 @@
     for label in sim.labels:
         deliver(sim, label, old)
         machine = sim.cores[label].context.machines.get(name)
-        assert machine is None or not hearing.hears(machine)
+        assert machine is None or not reachability.is_reachable(machine)
     sim.run(3)
     assert sim.state.rows["ox/term"][0] <= terms + count  # each raises its own at its start
     assert sim.unfinished(100) == set()
@@ -197,7 +197,7 @@
     sim.run(0.3 + 2 * REPORT_S + 1.5)  # they try another after a second
     core = sim.cores["h0"]
     known = [m for n, m in core.context.machines.items() if n in up(sim)]
-    assert known and all(hearing.hears(machine) for machine in known)
+    assert known and all(reachability.is_reachable(machine) for machine in known)
 
 
 # --- a controller with only its workers ---
@@ -213,7 +213,7 @@
     alone = max(
         sim.labels,
         key=lambda label: sum(
-            1 for m in sim.cores[label].context.machines.values() if m.keeper == label
+            1 for m in sim.cores[label].context.machines.values() if m.manager == label
         ),
     )
     sim.isolate(alone, 3 * CANCEL_S)
@@ -444,15 +444,15 @@
     for number in range(10, 14):
         sim.broken.add(f"job-{number}")
         sim.submit(f"job-{number}", spec("array", 3, "red", estimate_s=0.5))
-    sick = sim.workers[up(sim)[0]]
-    sick.sick = True
+    is_quarantined = sim.workers[up(sim)[0]]
+    is_quarantined.sick = True
     for number in range(20, 32):
         sim.submit(f"job-{number}", spec("array", 2, "blue", estimate_s=1.0))
         sim.run(6)
     for number in range(10, 14):
         sim.cancel(f"job-{number}")
     sim.run(40)
-    assert sick.dead
+    assert is_quarantined.dead
     assert sim.unfinished(60) == set()
 
 
--- a/tests/test_opening.py
+++ b/tests/test_opening.py
@@ -86,11 +86,11 @@
         for site in sites:  # never what is protected, never more than there is
             if site.name in opening.machines:
                 assert site.zone == opening.zone
-                room = [
+                free_resources = [
                     have + sum(h.takes[k] for h in site.held if h.ready_s <= opening.ready_s)
                     for k, have in enumerate(site.free)
                 ]
-                assert fits(NEED, tuple(room)) >= opening.machines[site.name]
+                assert fits(NEED, tuple(free_resources)) >= opening.machines[site.name]
         bound = best([s for s in sites if s.zone == opening.zone], tasks, opening.ready_s)
         assert opening.lost_s >= bound - 1e-6
         found += 1
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -9,7 +9,7 @@
 from oakmux import constants
 from oakmux.core.context import Context
 from oakmux.core.jobs import Job
-from oakmux.core.keeper.minimum_share import MinimumShare
+from oakmux.core.scheduling.minimum_share import MinimumShare
 from oakmux.core.spread.lines import Lines
 from oakmux.core.spread.order import turn_ms
 from oakmux.core.spread.waiting import Waiting
@@ -96,7 +96,7 @@
     for number in range(2, 20):
         sim.submit(f"job-{number}", spec("array", 1, "blue", estimate_s=1.0))
     sim.run(10)
-    kept = [kept for core in sim.cores.values() for kept in core.keeper.ward.kept.values()]
+    kept = [kept for core in sim.cores.values() for kept in core.agents.workers.tracked.values()]
     for one in kept:
         one.queue.clear()
     sim.run(15)
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -5,8 +5,8 @@
 import pytest
 
 from oakmux import constants
+from oakmux.core.agents import termination
 from oakmux.core.jobs import Binding, Job
-from oakmux.core.keeper import proof
 from oakmux.core.owner.places import fetch_s, preference
 from oakmux.settings import Team
 from tests.fakes import CANCEL_S, LEASE_S, REPORT_S, TEAMS, Sim, spec
@@ -185,17 +185,17 @@
     sim.run(10)
     sim.cancel("job-1")
     sim.run(3)
-    core = next(c for c in sim.cores.values() if c.keeper.ward.kept)
+    core = next(c for c in sim.cores.values() if c.agents.workers.tracked)
     term = core.context.term
     name, machine = next(
-        (n, m) for n, m in core.context.machines.items() if m.keeper == core.context.label
+        (n, m) for n, m in core.context.machines.items() if m.manager == core.context.label
     )
-    core.keeper.ward.kept[name].starting[("job-5/0", 1)] = term
-    core.keeper.orders._ordered(name, [("job-5/0", 1)], term, "lost", None)
-    assert core.keeper.reports.shown(machine)[("job-5/0", 1)][0] == "starting"
+    core.agents.workers.tracked[name].starting[("job-5/0", 1)] = term
+    core.agents.commands._commands_answered(name, [("job-5/0", 1)], term, "lost", None)
+    assert core.agents.heartbeats.visible_tasks(machine)[("job-5/0", 1)][0] == "starting"
     sim.run(6)
     assert core.context.term > term
-    assert ("job-5/0", 1) not in core.keeper.ward.kept[name].starting
+    assert ("job-5/0", 1) not in core.agents.workers.tracked[name].starting
 
 
 def test_keeper_cut_from_state_hands_its_workers_over():
@@ -403,7 +403,7 @@
 
 def test_the_random_story_can_fail(monkeypatch):
     # Without the proof, a task that a report does not list yet is started a second time.
-    real = proof.gone
+    real = termination.gone
 
     def hasty(context, machine, task, binding, shown):
         if (
@@ -697,7 +697,9 @@
     core.step(sim.now + 0.2, [])
     assert len(core.owner.open) > 900
     assert len(sampled) <= 40
-    assert all(len(k.queue) <= 64 for c in sim.cores.values() for k in c.keeper.ward.kept.values())
+    assert all(
+        len(k.queue) <= 64 for c in sim.cores.values() for k in c.agents.workers.tracked.values()
+    )
     assert (
         sum(
             len(c.context.replica.by_machine.get(m, {}))
--- a/tools/capacity/cell.py
+++ b/tools/capacity/cell.py
@@ -23,7 +23,7 @@
     Team,
     Workers,
 )
-from oakmux.wire import JobSpec, MachineType, Report
+from oakmux.wire import Heartbeat, JobSpec, MachineType
 
 # Seconds from one step of the core to the next; a transaction is answered one step later.
 STEP_S = 0.02
@@ -118,12 +118,12 @@
             self.tasks[task] = ("exited", "done", False)
             self.changed(now)
 
-    def report(self, now: float) -> Report:
+    def heartbeat(self, now: float) -> Heartbeat:
         """Return the report that is due."""
         self.sequence += 1
         self.reported = now
         self.next_report = now + REPORT_S
-        return Report(
+        return Heartbeat(
             self.name,
             self.name,
             "big",
@@ -202,7 +202,7 @@
         for worker in self.workers:
             worker.advance(self.now)
             if worker.next_report <= self.now:
-                commands.append(("report", worker.name, worker.report(self.now)))
+                commands.append(("report", worker.name, worker.heartbeat(self.now)))
         commands.append(("watch", [], self.revision, self.now))
         begun = time.process_time()
         effects = self.core.step(self.now, commands)
@@ -231,7 +231,7 @@
         _, op, address, fencing_token, _, orders = effect
         worker = self.by_name[address]
         self.starts += worker.obey(fencing_token, orders, self.now)
-        self.pending.append(("done", op, "ok", worker.report(self.now)))
+        self.pending.append(("done", op, "ok", worker.heartbeat(self.now)))
 
     def _transaction(self, effect: tuple) -> None:
         writes = effect[3]
--- a/tools/capacity/measurements.py
+++ b/tools/capacity/measurements.py
@@ -108,7 +108,7 @@
 
     def run() -> None:
         for _ in range(300):
-            wire.parse_report(wire.decode(body))
+            wire.parse_heartbeat(wire.decode(body))
             wire.encode(wire.answer_body(("orders", 41, [])))
 
     return spent_s(run) / 300 * 1000
@@ -116,7 +116,7 @@
 
 def keeper_report_ms(machines: float) -> float:
     """Processor time of the core for a report that changes what runs."""
-    found, _ = cost.reports(int(machines), 300, SEED)
+    found, _ = cost.heartbeats(int(machines), 300, SEED)
     return found.get_mean_value() / 1000
 
 
@@ -178,9 +178,9 @@
     core.context.term = core.context.incarnation = 1
     sent = 0
     for sequence in range(1, 21):
-        report = wire.parse_report({**report_value(sequence % 3), "tick": sequence})
+        heartbeat = wire.parse_heartbeat({**report_value(sequence % 3), "tick": sequence})
         effects = core.step(
-            0.01 * sequence, [("watch", [], 0, 0.01 * sequence), ("report", sequence, report)]
+            0.01 * sequence, [("watch", [], 0, 0.01 * sequence), ("report", sequence, heartbeat)]
         )
         sent += sum(1 for effect in effects if effect[0] == "send" and effect[2][0] == "view")
     return sent / 20
--- a/tools/cost.py
+++ b/tools/cost.py
@@ -29,7 +29,7 @@
     Team,
     Workers,
 )
-from oakmux.wire import JobSpec, MachineType, Report
+from oakmux.wire import Heartbeat, JobSpec, MachineType
 
 ZONES = ["a", "b", "c"]
 TYPE = MachineType("big", 48.0, 4.0, 288.0, 120.0, 0.4, 10.0, 3.0, 30.0, ZONES)
@@ -128,7 +128,7 @@
         """Pass a tenth of a second with current records; return the step's processor time."""
         self.now += 0.1
         for machine in self.core.context.machines.values():
-            machine.heard = self.now
+            machine.last_heartbeat_at = self.now
         return self.step([("watch", [], self.revision, self.now)])
 
     def word(self, name: str) -> tuple:
@@ -140,7 +140,7 @@
             return (
                 "report",
                 number,
-                Report(
+                Heartbeat(
                     name,
                     "10.1.0.1:1",
                     "big",
@@ -270,7 +270,7 @@
         bench.now += 1.0
         bench.core.context.now = bench.core.context.store_seen_at = bench.now
         for machine in bench.core.context.machines.values():
-            machine.heard = bench.now
+            machine.last_heartbeat_at = bench.now
         start = time.process_time()
         bench.core.fleet.tick()
         bench.core.context.effects.clear()
@@ -309,7 +309,7 @@
     return pages * resource.getpagesize() / 1e6
 
 
-def reports(machines: int, count: int, seed: int) -> tuple[HdrHistogram, float]:
+def heartbeats(machines: int, count: int, seed: int) -> tuple[HdrHistogram, float]:
     """Reports that change what runs on a machine of ours; also bytes to one peer for each."""
     bench = Bench(machines, True, seed)
     bench.sent.clear()
@@ -372,7 +372,7 @@
         show(size, "burst tick", burst(size, jobs, ticks, seed))
         show(size, "quiet tick", quiet(size, ticks, seed))
         show(size, "fleet pass", fleet_pass(size, jobs, max(1, ticks // 4), seed))
-        found, sent = reports(size, ticks * 10, seed)
+        found, sent = heartbeats(size, ticks * 10, seed)
         show(size, "report", found)
         click.echo(f"{size:8}  bytes to a peer for each changed report: {sent:.0f}")
     for count in lines:
