--- a/oakmux/core/agents/cancellation_log.py
+++ b/oakmux/core/agents/cancellation_log.py
@@ -79,7 +79,10 @@
         it, and the revision up to which that is all of them; -1 if we can't say."""
         if since < 0:  # of a version that does not say what it has
             return [
-                job for _, job in self.context.replica.cancels[-constants.CANCELS_UNASKED :]
+                job
+                for _, job in self.context.replica.cancellations_by_revision[
+                    -constants.CANCELS_UNASKED :
+                ]
             ], -1
         found = self.context.replica.cancelled_since(since)
         return ([], -1) if found is None else (found, self.context.replica.revision)
--- a/oakmux/core/agents/capacity.py
+++ b/oakmux/core/agents/capacity.py
@@ -15,10 +15,10 @@
     context: Context, machine: Machine, extra: list[JobSpec] | None = None
 ) -> Resources:
     """Return what is free on a machine: reported tasks, records and `extra` taken off."""
-    free = context.replica.rooms.get(machine.name)
+    free = context.replica.free_resources.get(machine.name)
     if free is None:
         free = count_free_resources(context, machine)
-        context.replica.rooms[machine.name] = free
+        context.replica.free_resources[machine.name] = free
     for spec in extra or ():
         free = subtract(free, spec)
     return free
@@ -44,9 +44,9 @@
     for task in live:
         job = jobs.get(task.partition("/")[0])
         if job is not None:
-            cpus -= job.takes[0]
-            gpus -= job.takes[1]
-            memory -= job.takes[2]
+            cpus -= job.resources[0]
+            gpus -= job.resources[1]
+            memory -= job.resources[2]
     return cpus, gpus, memory
 
 
@@ -87,7 +87,7 @@
     return (
         cpus <= constants.EPSILON
         or memory <= constants.EPSILON
-        or (gpus <= constants.EPSILON and not context.replica.gpuless)
+        or (gpus <= constants.EPSILON and not context.replica.jobs_without_gpus)
     )
 
 
@@ -125,7 +125,7 @@
         context.now - machine.last_heartbeat_at < heartbeat_timeout_s(context)
         and machine.name not in context.draining
         and machine.notice_at is None
-        and machine.name not in context.replica.gone
+        and machine.name not in context.replica.terminated_machines
         and not is_quarantined(context, machine)
     )
 
--- a/oakmux/core/agents/heartbeats.py
+++ b/oakmux/core/agents/heartbeats.py
@@ -10,7 +10,7 @@
 from oakmux.core.agents.tracked_workers import TrackedWorker, WorkerTable
 from oakmux.core.agents.worker_commands import WorkerCommands
 from oakmux.core.context import Context, Machine, Task, event
-from oakmux.core.membership import Membership
+from oakmux.core.leadership.leadership import Leadership
 from oakmux.wire import Heartbeat
 
 STARTING = ("starting", "", False)
@@ -25,14 +25,14 @@
         context: Context,
         workers: WorkerTable,
         cancellations: CancellationLog,
-        membership: Membership,
+        leadership: Leadership,
         commands: WorkerCommands,
         queue: ReservationQueue,
     ) -> None:
         self.context = context
         self.workers = workers
         self.cancellations = cancellations
-        self.membership = membership
+        self.leadership = leadership
         self.commands = commands
         self.queue = queue
 
@@ -43,12 +43,15 @@
         if machine is not None and (heartbeat.agent_epoch, heartbeat.sequence) <= machine.version:
             context.emit("answer", rid, 503, ("error", "old report"))
             return
-        if heartbeat.machine in context.replica.gone or heartbeat.machine in context.terminated:
+        if (
+            heartbeat.machine in context.replica.terminated_machines
+            or heartbeat.machine in context.terminated
+        ):
             context.emit("answer", rid, 503, ("error", "returned"))
             return
         if (
             not context.replica.loaded
-            or context.replica.foreign
+            or context.replica.unknown_format
             or not self.cancellations.may_renew_leases()
         ):
             context.emit("answer", rid, 503, ("error", "no current records"))
@@ -68,7 +71,7 @@
             context.emit("answer", rid, 503, ("error", "a cancelled start is on its way"))
             return
         if heartbeat.fencing_token > context.term or not context.term:
-            self.membership.need_term_above(heartbeat.fencing_token)
+            self.leadership.need_term_above(heartbeat.fencing_token)
             if heartbeat.fencing_token:
                 # The worker's own token keeps its lease; nothing starts under it.
                 stops = self.commands.stop_cancelled(tracked, machine, set())
@@ -195,5 +198,5 @@
 def hold_image(context: Context, machine: Machine, image: str, size_gb: float) -> None:
     """Remember that a machine uses an image now."""
     kind = context.types.get(machine.type)
-    context.replica.stale.add(machine.name)  # no `touch`: its room stays as it is
+    context.replica.stale_machines.add(machine.name)  # no `touch`: its room stays as it is
     machine.hold(image, size_gb, math.inf if kind is None else kind.cache_gb)
--- a/oakmux/core/agents/manager.py
+++ b/oakmux/core/agents/manager.py
@@ -7,20 +7,20 @@
 from oakmux.core.agents.tracked_workers import WorkerTable
 from oakmux.core.agents.worker_commands import WorkerCommands
 from oakmux.core.context import Context
-from oakmux.core.membership import Membership
+from oakmux.core.leadership.leadership import Leadership
 
 
 class AgentManager:
     """Hears workers, queues reservations, makes offers, gives commands; one part for each."""
 
-    def __init__(self, context: Context, membership: Membership) -> None:
+    def __init__(self, context: Context, leadership: Leadership) -> None:
         self.context = context
         self.workers = WorkerTable()
         self.cancellations = CancellationLog(context, self.workers)
         self.queue = ReservationQueue(context, self.workers, self.cancellations)
-        self.commands = WorkerCommands(context, self.workers, self.cancellations, membership)
+        self.commands = WorkerCommands(context, self.workers, self.cancellations, leadership)
         self.heartbeats = HeartbeatHandler(
-            context, self.workers, self.cancellations, membership, self.commands, self.queue
+            context, self.workers, self.cancellations, leadership, self.commands, self.queue
         )
         self.commands.take = self.heartbeats.take
         self.next_look = 0.0
--- a/oakmux/core/agents/reservation_queue.py
+++ b/oakmux/core/agents/reservation_queue.py
@@ -3,7 +3,6 @@
 from collections.abc import Collection
 
 from oakmux import constants
-from oakmux.core import teams
 from oakmux.core.agents.cancellation_log import CancellationLog
 from oakmux.core.agents.capacity import (
     Resources,
@@ -16,9 +15,14 @@
 )
 from oakmux.core.agents.tracked_workers import Reservation, TrackedWorker, WorkerTable
 from oakmux.core.context import Context, Machine, Task, event
-from oakmux.core.jobs import Job
+from oakmux.core.scheduling import quotas
 from oakmux.core.scheduling.minimum_share import MinimumShare
-from oakmux.core.spread.order import elder, late, turn_ms
+from oakmux.core.scheduling.queue_order import (
+    effective_submission_ms,
+    is_starving,
+    misses_objective,
+)
+from oakmux.core.state.records import Job
 from oakmux.wire import JobSpec
 
 
@@ -69,7 +73,7 @@
             machine,
             job,
             job.spec,
-            teams.usage(context),
+            quotas.usage(context),
             self.held(tracked),
             tracked.not_preemptible,
         )
@@ -138,7 +142,7 @@
         free = free_resources(context, machine, self.held(tracked))
         if is_full(context, free):
             return
-        used = teams.usage(context)
+        used = quotas.usage(context)
         ranked = []
         for reservation in list(tracked.queue.values()):
             job = context.replica.jobs.get(reservation.job_id)
@@ -150,7 +154,9 @@
             ):
                 del tracked.queue[reservation.job_id]
                 continue
-            if not fits_resources(free, job.spec) or context.openings.bars(name, job, job.spec):
+            if not fits_resources(free, job.spec) or context.backfill.blocks_job(
+                name, job, job.spec
+            ):
                 continue
             # The age of the job, not of the reservation: of two gangs that wait for the same
             # machines, one must come first at all of them.
@@ -231,7 +237,7 @@
     another team runs beyond its own guarantee. What has least to lose goes first, and nothing of
     the jobs in `not_preemptible`.
     """
-    beyond = teams.beyond(context, job, spec, used)
+    beyond = quotas.beyond(context, job, spec, used)
     rows = []
     for (job_id, index), binding in context.replica.by_machine.get(machine.name, {}).items():
         other = context.replica.jobs.get(job_id)
@@ -288,11 +294,11 @@
     last, what has to start first for a deadline, what can meet its aim, fair between teams, and
     by turn."""
     return (
-        not teams.inside(context, job, spec, used),
+        not quotas.inside(context, job, spec, used),
         -job.priority,
-        not elder(context, job),
-        job.latest,
-        late(context, job, spec),
-        teams.share(context, job.team, used),
-        turn_ms(context, job, spec),
+        not is_starving(context, job),
+        job.latest_start_ms,
+        misses_objective(context, job, spec),
+        quotas.share(context, job.team, used),
+        effective_submission_ms(context, job, spec),
     )
--- a/oakmux/core/agents/termination.py
+++ b/oakmux/core/agents/termination.py
@@ -1,7 +1,7 @@
 """The proof that a bound task is gone, the only ground on which a binding ends (R ran_twice)."""
 
 from oakmux.core.context import Context, Machine, Task
-from oakmux.core.jobs import Binding
+from oakmux.core.state.records import Binding
 
 
 def gone(
@@ -12,7 +12,7 @@
     visible_tasks: dict[Task, tuple[str, str, bool]],
 ) -> tuple[str, bool] | None:
     """Return (why, saved) if a bound task is proven gone from its machine, else None."""
-    if binding.machine in context.replica.gone:
+    if binding.machine in context.replica.terminated_machines:
         return "lost", False
     if machine is None or machine.agent_epoch < binding.agent_epoch:
         return None
--- a/oakmux/core/agents/worker_commands.py
+++ b/oakmux/core/agents/worker_commands.py
@@ -6,8 +6,8 @@
 from oakmux.core.agents.cancellation_log import CancellationLog
 from oakmux.core.agents.tracked_workers import TrackedWorker, WorkerTable
 from oakmux.core.context import Context, Machine, Task, event
-from oakmux.core.jobs import Binding, Job
-from oakmux.core.membership import Membership
+from oakmux.core.leadership.leadership import Leadership
+from oakmux.core.state.records import Binding, Job
 from oakmux.wire import Heartbeat
 
 
@@ -19,12 +19,12 @@
         context: Context,
         workers: WorkerTable,
         cancellations: CancellationLog,
-        membership: Membership,
+        leadership: Leadership,
     ) -> None:
         self.context = context
         self.workers = workers
         self.cancellations = cancellations
-        self.membership = membership
+        self.leadership = leadership
         # Takes a heartbeat that answers direct commands; set by the agent manager.
         self.take: Callable[[TrackedWorker, Heartbeat], Machine]
         # Machines where a start is held back until others of its gang have their image.
@@ -148,8 +148,8 @@
         patience = slowest - context.facts.workers.gang_wait_s * constants.GANG_WAIT_SHARE
         if context.now - tracked.delayed.setdefault(task, context.now) >= patience:
             return False
-        for chunk in job.chunks.values():
-            for index, other in chunk.bound.items():
+        for block in job.blocks.values():
+            for index, other in block.bound.items():
                 if other.attempt != binding.attempt or other.machine == machine.name:
                     continue
                 there = context.machines.get(other.machine)
@@ -258,7 +258,7 @@
         if outcome == "lost":
             # They may still be carried out, minutes later: only a newer term settles that.
             tracked.commands_after = context.now + constants.ORDERS_TIMEOUT_S
-            self.membership.need_term_above(term)
+            self.leadership.need_term_above(term)
             return
         for task in starts:
             if tracked.starting.get(task) == term:
@@ -271,7 +271,7 @@
                 self.take(tracked, heartbeat)
         context.changed_workers.add(name)
         if heartbeat is not None and heartbeat.fencing_token > context.term:
-            self.membership.need_term_above(heartbeat.fencing_token)
+            self.leadership.need_term_above(heartbeat.fencing_token)
 
     def move(self, name: str, task: str, attempt: int) -> None:
         """Stop a service so that its owner starts it on another machine."""
--- /dev/null
+++ b/oakmux/core/api/__init__.py
@@ -0,0 +1,1 @@
+"""What users ask for: submitting, querying and cancelling jobs."""
--- a/oakmux/core/api/jobs.py
+++ b/oakmux/core/api/jobs.py
@@ -5,15 +5,22 @@
 from typing import Any
 
 from oakmux import constants
-from oakmux.core import teams
 from oakmux.core.context import Context, event
-from oakmux.core.jobs import FORMAT_COMPACT, Job, job_key, job_value, value_bytes, value_limit
+from oakmux.core.scheduling import quotas
+from oakmux.core.state.records import (
+    FORMAT_COMPACT,
+    Job,
+    job_key,
+    job_value,
+    value_bytes,
+    value_limit,
+)
 from oakmux.wire import JobSpec
 
 Then = Callable[[Job | None], None]
 
 
-class Desk:
+class JobApi:
     """Answers users. A read is current: it compares versions after the request arrived."""
 
     def __init__(self, context: Context) -> None:
@@ -46,7 +53,7 @@
             self.unavailable(rid, "machine types are not known yet")
         else:
             never = (
-                teams.never_fits(self.context, spec)
+                quotas.infeasible_reason(self.context, spec)
                 or self._wrong_needs(job_id, spec)
                 or self._too_large(spec)
                 or self._reserved(job_id)
@@ -64,7 +71,7 @@
     def readable(self, rid: Any) -> bool:
         """Whether we have records to answer from; tells the user to come back if not."""
         replica = self.context.replica
-        if not replica.loaded or replica.foreign:
+        if not replica.loaded or replica.unknown_format:
             self.unavailable(rid, "starting")
             return False
         return True
@@ -127,7 +134,8 @@
         context = self.context
         # A job that needs a cancelled one is accepted, and cancelled with it.
         cascaded = any(
-            context.replica.jobs[name].state == "cancelled" or name in context.replica.cascaded
+            context.replica.jobs[name].state == "cancelled"
+            or name in context.replica.cascade_cancelled
             for name in spec.waits_on
         )
         state = "cancelled" if cascaded else "queued"
@@ -195,7 +203,7 @@
 
     def _cascade_now(self) -> None:
         """We cancelled a job: write at once that those are cancelled that need it."""
-        for name in self.context.replica.cascaded:
+        for name in self.context.replica.cascade_cancelled:
             self.cascade_at[name] = min(self.context.now, self.cascade_at.get(name, math.inf))
 
     def _write_cascade(self) -> None:
@@ -205,7 +213,7 @@
         the cancellation did not.
         """
         context = self.context
-        cascaded = context.replica.cascaded
+        cascaded = context.replica.cascade_cancelled
         for name in cascaded:
             if context.replica.jobs[name].team in context.held_roles:
                 self.cascade_at.setdefault(name, context.now + constants.CASCADE_S)
@@ -239,19 +247,19 @@
                 event("cancelled", job=key.rpartition("/")[2], why="needs_cancelled")
 
     def _show(self, rid: Any, job: Job) -> None:
-        if job.id in self.context.replica.cascaded:
+        if job.id in self.context.replica.cascade_cancelled:
             self._cancel(rid, job.id, job)  # written before it is said
             return
         running = 0
         if not job.final:
-            for chunk in job.chunks.values():
-                for index, binding in chunk.bound.items():
+            for block in job.blocks.values():
+                for index, binding in block.bound.items():
                     machine = self.context.machines.get(binding.machine)
                     task = (f"{job.id}/{index}", binding.attempt)
                     if machine is not None and machine.tasks.get(task, ("",))[0] == "running":
                         running += 1
         state = "running" if running else job.state
-        waits_on = [sorted(job.unmet)] if job.unmet else []
+        waits_on = [sorted(job.unmet_dependencies)] if job.unmet_dependencies else []
         self.context.emit(
             "answer", rid, 200, ("job", job.id, state, job.done_count(), running, *waits_on)
         )
@@ -267,7 +275,7 @@
         context = self.context
         if self.behind:
             self._catch_up()
-        if context.replica.cascaded or self.cascade_at:
+        if context.replica.cascade_cancelled or self.cascade_at:
             self._write_cascade()
         if len(self.waiting) > self.most_guards and self.reading < constants.READS_IN_FLIGHT:
             # More than one transaction can compare: one that only brings the service's revision
--- /dev/null
+++ b/oakmux/core/autoscaling/__init__.py
@@ -0,0 +1,1 @@
+"""Scaling the fleet out and in: rentals, returns, and which instances exist."""
--- a/oakmux/core/autoscaling/autoscaler.py
+++ b/oakmux/core/autoscaling/autoscaler.py
@@ -2,45 +2,45 @@
 
 from oakmux import constants
 from oakmux.core.agents.cancellation_log import CancellationLog
+from oakmux.core.autoscaling.instance_inventory import InstanceInventory
+from oakmux.core.autoscaling.scale_in import ScaleIn
+from oakmux.core.autoscaling.scale_out import ScaleOut
 from oakmux.core.context import Context
-from oakmux.core.fleet.demand import Demand
-from oakmux.core.fleet.lists import Lists
-from oakmux.core.fleet.returns import Returns
-from oakmux.core.membership import FLEET
+from oakmux.core.leadership.leadership import FLEET
 
 
-class Fleet:
+class Autoscaler:
     """Rents and returns, while we hold the fleet role."""
 
     def __init__(self, context: Context, cancellations: CancellationLog) -> None:
         self.context = context
         self.cancellations = cancellations
-        self.lists = Lists(context)
-        self.demand = Demand(context, cancellations, self.lists)
-        self.returns = Returns(context, cancellations, self.lists)
+        self.inventory = InstanceInventory(context)
+        self.scale_out = ScaleOut(context, cancellations, self.inventory)
+        self.scale_in = ScaleIn(context, cancellations, self.inventory)
         self.next_pass = 0.0
 
-    def won(self) -> None:
+    def on_role_acquired(self) -> None:
         """Begin to hold the role."""
-        self.lists.won()
-        self.demand.won()
+        self.inventory.on_role_acquired()
+        self.scale_out.on_role_acquired()
 
     def changed(self, job_id: str) -> None:
         """The records of a job changed."""
         if FLEET in self.context.held_roles:
-            self.demand.changed(job_id)
+            self.scale_out.changed(job_id)
 
     def tick(self) -> None:
         """Do what is due."""
         context = self.context
         if FLEET not in context.held_roles or not context.types:
             return
-        self.lists.ask()
+        self.inventory.ask()
         if context.now >= self.next_pass and self.cancellations.store_fresh():
             self.next_pass = context.now + constants.FLEET_PASS_S
-            self.lists.records()
-            slots = self.demand.count()
-            if not self.demand.unplaced:
-                self.returns.consolidate(slots)
-            self.returns.idle(slots)
-            self.returns.return_bad()
+            self.inventory.records()
+            slots = self.scale_out.plan()
+            if not self.scale_out.unplaced:
+                self.scale_in.consolidate(slots)
+            self.scale_in.idle(slots)
+            self.scale_in.return_unhealthy()
--- a/oakmux/core/autoscaling/instance_inventory.py
+++ b/oakmux/core/autoscaling/instance_inventory.py
@@ -7,13 +7,13 @@
 from oakmux import constants
 from oakmux.core.agents.capacity import heartbeat_timeout_s
 from oakmux.core.context import Context, event
-from oakmux.core.jobs import TYPES_KEY, gone_key, value_bytes, value_limit
+from oakmux.core.state.records import TYPES_KEY, termination_key, value_bytes, value_limit
 
 
-class Listed:
+class Instance:
     """A machine as the cloud's list or a rental's answer names it."""
 
-    __slots__ = ("type", "zone", "spot", "state", "since", "running_since", "absent", "listed")
+    __slots__ = ("type", "zone", "spot", "state", "since", "running_since", "absent", "instances")
 
     def __init__(self, type_name: str, zone: str, spot: bool, state: str, since: float) -> None:
         self.type = type_name
@@ -23,30 +23,30 @@
         self.since = since
         self.running_since: float | None = None
         self.absent = 0
-        self.listed = False
+        self.instances = False
 
 
-class Lists:
+class InstanceInventory:
     """Reads the cloud's list and records which machines are gone."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
         self.since = 0.0
-        self.listed: dict[str, Listed] = {}
+        self.instances: dict[str, Instance] = {}
         self.returned: dict[str, float] = {}
         self.returning: set[str] = set()
         # When machines were given up that never came up, and which: (type, zone, spot).
-        self.never_up: list[tuple[float, tuple[str, str, bool]]] = []
+        self.failed_boots: list[tuple[float, tuple[str, str, bool]]] = []
         self.known_since: dict[str, float] = {}
         self.listing = False
         self.next_list = 0.0
         self.cloud_after = 0.0
         self.gone_written: dict[str, float] = {}
 
-    def won(self) -> None:
+    def on_role_acquired(self) -> None:
         """Begin to hold the role."""
         self.since = self.context.now
-        self.listed.clear()
+        self.instances.clear()
         self.known_since.clear()
         self.returning.clear()
         self.next_list = 0.0
@@ -75,27 +75,27 @@
             # Known from here on, not from the first list that lacks it: after a takeover of the
             # fleet, machines that vanished were proven gone 15 s later than they could be.
             self.known_since.setdefault(name, asked)
-            known = self.listed.get(name)
+            known = self.instances.get(name)
             if known is None:
-                known = self.listed[name] = Listed(type_name, zone, spot, state, asked - age)
+                known = self.instances[name] = Instance(type_name, zone, spot, state, asked - age)
             known.state = state
             known.absent = 0
-            known.listed = True
+            known.instances = True
             if state == "running" and known.running_since is None:
                 known.running_since = context.now
             if state == "failed":
-                self.gone(name, "failed")
+                self.terminate(name, "failed")
         lag = constants.ABSENT_LAGS * context.facts.cloud.list_lag_s
-        for name in {*self.listed, *context.machines, *context.replica.by_machine} - names:
+        for name in {*self.instances, *context.machines, *context.replica.by_machine} - names:
             since = self.known_since.setdefault(name, context.now)
-            known = self.listed.get(name)
-            if known is not None and not known.listed:
+            known = self.instances.get(name)
+            if known is not None and not known.instances:
                 since = max(since, known.since)
             # Once listed, a machine stays listed until it is gone: for one that was, newer lists
             # prove it, and the silence of a few reports only guards against our own mistakes.
             silence = (
                 heartbeat_timeout_s(context)
-                if known is not None and known.listed
+                if known is not None and known.instances
                 else context.facts.workers.lease_s
             )
             machine = context.machines.get(name)
@@ -104,18 +104,18 @@
             ):
                 continue
             # Lists certainly newer than our knowledge of the machine lack it, repeatedly.
-            known = self.listed.setdefault(name, Listed("", "", False, "running", since))
+            known = self.instances.setdefault(name, Instance("", "", False, "running", since))
             known.absent += 1
             if known.absent >= constants.ABSENT_LISTS:
-                self.gone(name, "absent")
+                self.terminate(name, "absent")
 
-    def gone(self, name: str, why: str) -> None:
+    def terminate(self, name: str, why: str) -> None:
         """A machine and all on it are certainly gone; its name never comes again."""
         context = self.context
         if name not in self.returned:
             event("machine_gone", machine=name, why=why)
         self.returned[name] = context.now
-        self.listed.pop(name, None)
+        self.instances.pop(name, None)
         self.known_since.pop(name, None)
         self.returning.discard(name)
         for label in self.peers():
@@ -140,12 +140,12 @@
         for name in context.replica.by_machine:
             if (
                 name in self.returned
-                and name not in context.replica.gone
+                and name not in context.replica.terminated_machines
                 and context.now - self.gone_written.get(name, -1e9) > constants.STATE_TIMEOUT_S
             ):
                 self.gone_written[name] = context.now
-                writes.append((gone_key(name), True, None))
-        for name in context.replica.gone:
+                writes.append((termination_key(name), True, None))
+        for name in context.replica.terminated_machines:
             if name in context.replica.by_machine:
                 self.gone_written[name] = context.now
             elif (
@@ -153,7 +153,7 @@
                 > constants.GONE_KEEP_S
             ):
                 self.gone_written[name] = context.now
-                writes.append((gone_key(name),))
+                writes.append((termination_key(name),))
         if writes:
             writes = writes[:most]
             context.call(lambda s, r: self._recorded(writes, s, r), "txn", [], writes, 1)
--- a/oakmux/core/autoscaling/scale_in.py
+++ b/oakmux/core/autoscaling/scale_in.py
@@ -6,19 +6,21 @@
 from oakmux.core.agents.cancellation_log import CancellationLog
 from oakmux.core.agents.capacity import fits_resources, is_quarantined, subtract
 from oakmux.core.agents.reachability import is_reachable, unreachable_s
+from oakmux.core.autoscaling.instance_inventory import InstanceInventory
+from oakmux.core.autoscaling.scale_out import Slot
 from oakmux.core.context import Context, Machine, event
-from oakmux.core.fleet.demand import Slot
-from oakmux.core.fleet.lists import Lists
-from oakmux.core.owner.places import zone_allowed
+from oakmux.core.scheduling.placement import zone_allowed
 
 
-class Returns:
+class ScaleIn:
     """Drains and returns machines."""
 
-    def __init__(self, context: Context, cancellations: CancellationLog, lists: Lists) -> None:
+    def __init__(
+        self, context: Context, cancellations: CancellationLog, inventory: InstanceInventory
+    ) -> None:
         self.context = context
         self.cancellations = cancellations
-        self.lists = lists
+        self.inventory = inventory
         self.moving: dict[str, float] = {}
         self.quarantined_since: dict[str, float] = {}
         # Zones where most machines did not hear us, until when that counts.
@@ -33,9 +35,9 @@
     def idle(self, slots: list[Slot]) -> None:
         """Drain what has nothing to do, and return what is drained."""
         context = self.context
-        needed = {slot.name for slot in slots if slot.used}
+        needed = {slot.name for slot in slots if slot.team_usage}
         for name, machine in context.machines.items():
-            if name in self.lists.returning or name in self.lists.returned:
+            if name in self.inventory.returning or name in self.inventory.returned:
                 continue
             drained = context.draining.get(name)
             if drained is not None:
@@ -57,7 +59,7 @@
                 and is_reachable(machine)
                 and self._empty(name)
                 and name not in needed
-                and not context.openings.names(name)
+                and not context.backfill.names(name)
                 # What ended in an outage left its machine idle for want of nothing but word.
                 and context.now - max(machine.idle_since, context.store_recovered_at)
                 > constants.IDLE_KEEP_S
@@ -66,7 +68,7 @@
                 context.drain(name)
         names = [name for name in context.draining if name in context.machines]
         if names:
-            for label in self.lists.peers()[1:]:
+            for label in self.inventory.peers()[1:]:
                 context.emit("send", label, ("drain", names))
 
     def consolidate(self, slots: list[Slot]) -> None:
@@ -84,7 +86,7 @@
             kind = context.types[slot.type]
             if (
                 machine.idle_since is not None
-                or slot.used
+                or slot.team_usage
                 or slot.name in context.draining
                 or context.now - machine.first_heartbeat_at < constants.IDLE_KEEP_S
             ):
@@ -141,7 +143,7 @@
                 return None
         return moves
 
-    def return_bad(self) -> None:
+    def return_unhealthy(self) -> None:
         """Return machines that never boot, fell silent or fail all that they run."""
         context = self.context
         unresponsive = constants.SILENT_LEASES * context.facts.workers.lease_s
@@ -149,8 +151,8 @@
         self.quarantined_since = {
             n: at for n, at in self.quarantined_since.items() if n in context.machines
         }
-        for name, known in list(self.lists.listed.items()):
-            if name in self.lists.returning or not known.listed:
+        for name, known in list(self.inventory.instances.items()):
+            if name in self.inventory.returning or not known.instances:
                 continue
             machine = context.machines.get(name)
             kind = context.types.get(known.type)
@@ -159,19 +161,21 @@
                     constants.BOOT_PATIENCE * kind.boot_s if kind is not None else unresponsive
                 )
                 if known.state == "booting" and context.now - known.since > patience:
-                    self.lists.never_up.append((context.now, (known.type, known.zone, known.spot)))
+                    self.inventory.failed_boots.append(
+                        (context.now, (known.type, known.zone, known.spot))
+                    )
                     self._return([name], "never_booted")
                 elif (
                     known.running_since is not None
-                    and context.now - max(known.running_since, self.lists.since) > unresponsive
+                    and context.now - max(known.running_since, self.inventory.since) > unresponsive
                 ):
                     self._return([name], "never_heard")
                 continue
             quiet = context.now - max(
-                machine.last_heartbeat_at, self.lists.since, context.resumed_at
+                machine.last_heartbeat_at, self.inventory.since, context.resumed_at
             )
             keeper_hears = (
-                machine.manager in context.replica.nodes
+                machine.manager in context.replica.live_controllers
                 and machine.manager != context.label
                 and context.now - self.cancellations.peer_seen_at.get(machine.manager, -1e9)
                 > constants.ALIVE_S * 3
@@ -179,7 +183,7 @@
             if quiet > unresponsive * (2 if keeper_hears else 1):
                 self._return([name], "silent")
             elif min(
-                unreachable_s(context, machine), context.now - self.lists.since
+                unreachable_s(context, machine), context.now - self.inventory.since
             ) > unresponsive * (2 if machine.zone in unreachable_zones else 1):
                 self._return([name], "deaf")
             elif is_quarantined(context, machine):
@@ -204,23 +208,23 @@
         for machine in self.context.machines.values():
             all_of[machine.zone] += 1
             deaf[machine.zone] += not is_reachable(machine)
-        for zone, count in deaf.items():
-            if count > 1 and count > all_of[zone] * constants.DEAF_SHARE:
+        for zone, plan in deaf.items():
+            if plan > 1 and plan > all_of[zone] * constants.DEAF_SHARE:
                 self.zone_unreachable_until[zone] = now + self.context.facts.workers.lease_s
         return {zone for zone, until in self.zone_unreachable_until.items() if until > now}
 
     def _return(self, names: list[str], why: str) -> None:
         context = self.context
-        if context.now < self.lists.cloud_after:
+        if context.now < self.inventory.cloud_after:
             return
-        self.lists.returning.update(names)
+        self.inventory.returning.update(names)
         event("return", machines=",".join(names), why=why)
         context.call(lambda s, r: self._return_done(names, s), "cloud", "return", names)
 
     def _return_done(self, names: list[str], status: int) -> None:
-        self.lists.returning.difference_update(names)
+        self.inventory.returning.difference_update(names)
         if status == 200:
             for name in names:
-                self.lists.gone(name, "returned")
+                self.inventory.terminate(name, "returned")
         else:
-            self.lists.cloud_after = self.context.now + constants.BACKOFF_MOST_S
+            self.inventory.cloud_after = self.context.now + constants.BACKOFF_MOST_S
--- a/oakmux/core/autoscaling/scale_out.py
+++ b/oakmux/core/autoscaling/scale_out.py
@@ -6,7 +6,6 @@
 from typing import Any
 
 from oakmux import constants
-from oakmux.core import teams
 from oakmux.core.agents.cancellation_log import CancellationLog
 from oakmux.core.agents.capacity import (
     Resources,
@@ -18,11 +17,12 @@
     task_capacity,
 )
 from oakmux.core.agents.reservation_queue import queue_rank
+from oakmux.core.autoscaling.instance_inventory import Instance, InstanceInventory
 from oakmux.core.context import Context, event
-from oakmux.core.fleet.lists import Listed, Lists
-from oakmux.core.index import Class, class_of, may_fit
-from oakmux.core.owner.places import zone_allowed
-from oakmux.core.spread.lines import Lines, Shape
+from oakmux.core.scheduling import quotas
+from oakmux.core.scheduling.machine_index import CapacityClass, capacity_class, may_fit
+from oakmux.core.scheduling.pending_queues import PendingQueues, Shape
+from oakmux.core.scheduling.placement import zone_allowed
 from oakmux.wire import JobSpec
 
 Key = tuple[str, str, bool]
@@ -32,7 +32,7 @@
 class Slot:
     """Room on a machine that is up, on its way, or to be rented."""
 
-    __slots__ = ("name", "type", "zone", "spot", "free", "used", "coming")
+    __slots__ = ("name", "type", "zone", "spot", "free", "team_usage", "coming")
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         self.zone = zone
         self.spot = spot
         self.free = free
-        self.used = False
+        self.team_usage = False
         self.coming = coming
 
 
@@ -57,7 +57,7 @@
 
     def __init__(self, context: Context, slots: list[Slot]) -> None:
         self.context = context
-        self.classes: dict[Class, list[Slot]] = {}
+        self.classes: dict[CapacityClass, list[Slot]] = {}
         for slot in slots:
             self.add(slot)
 
@@ -66,10 +66,10 @@
         if not is_full(self.context, slot.free):
             kind = self.context.types[slot.type]
             self.classes.setdefault(
-                class_of(kind, slot.zone, slot.spot, slot.free, slot.coming), []
+                capacity_class(kind, slot.zone, slot.spot, slot.free, slot.coming), []
             ).append(slot)
 
-    def order(self, spec: JobSpec, zones: list[str]) -> list[Class]:
+    def order(self, spec: JobSpec, zones: list[str]) -> list[CapacityClass]:
         """Return the classes where a task may find room in these zones, the best first: spot
         where the job may use it and needs GPUs, those that are up, fullest."""
         rows = []
@@ -94,14 +94,14 @@
         rows.sort()
         return [row[-1] for row in rows]
 
-    def estimate(self, spec: JobSpec, place: Class) -> int:
+    def estimate(self, spec: JobSpec, place: CapacityClass) -> int:
         """Return how many tasks of a job find room in a class, at least."""
         kind = self.context.types[place.type]
         cpus = place.cpu_level / constants.ROOM_LEVELS * kind.cpus
         memory_gb = place.memory_level / constants.ROOM_LEVELS * kind.memory_gb
         return len(self.classes[place]) * task_capacity((cpus, float(place.gpus), memory_gb), spec)
 
-    def visit(self, place: Class, fill: Callable[[Slot], bool]) -> bool:
+    def visit(self, place: CapacityClass, fill: Callable[[Slot], bool]) -> bool:
         """Hand out the slots of a class until `fill` says that it has enough; return that. Each
         goes back to where its room then belongs."""
         slots = self.classes.pop(place)
@@ -120,27 +120,29 @@
         return enough
 
 
-class Demand:
+class ScaleOut:
     """Counts what is missing, and rents it."""
 
-    def __init__(self, context: Context, cancellations: CancellationLog, lists: Lists) -> None:
+    def __init__(
+        self, context: Context, cancellations: CancellationLog, inventory: InstanceInventory
+    ) -> None:
         self.context = context
         self.cancellations = cancellations
-        self.lists = lists
+        self.inventory = inventory
         self.no_capacity: dict[Key, float] = {}
         self.renting: dict[str, tuple[str, str, bool, int]] = {}
         self.requests = 0
         self.unplaced = False
         # Kinds of machines that came up late or never of late: others are rented where they do.
         self.troubled: set[Key] = set()
-        self.there: Counter[str] = Counter()
+        self.machines_by_zone: Counter[str] = Counter()
         # Unfinished jobs of all teams that have tasks which are not bound, by the records.
-        self.lines = Lines(context)
+        self.queues = PendingQueues(context)
 
-    def won(self) -> None:
+    def on_role_acquired(self) -> None:
         """Begin to hold the role."""
         self.renting.clear()
-        self.lines.clear()
+        self.queues.clear()
         for job_id in self.context.replica.active:
             self.changed(job_id)
 
@@ -154,9 +156,9 @@
             and job.ready
             and job.unbound() > 0
         ):
-            self.lines.put(job, job.spec)
+            self.queues.put(job, job.spec)
         else:
-            self.lines.drop(job_id)
+            self.queues.drop(job_id)
 
     def _slots(self) -> list[Slot]:
         context = self.context
@@ -177,12 +179,12 @@
                         False,
                     )
                 )
-        late: Counter[Key] = Counter()
-        for name, known in self.lists.listed.items():
+        misses_objective: Counter[Key] = Counter()
+        for name, known in self.inventory.instances.items():
             kind = context.types.get(known.type)
             if (
                 name in context.machines
-                or name in self.lists.returned
+                or name in self.inventory.returned
                 or kind is None
                 or known.state == "failed"
                 or context.now - known.since > constants.BOOT_PATIENCE * kind.boot_s
@@ -191,8 +193,8 @@
             if context.now - known.since > constants.BOOT_LATE * kind.boot_s:
                 # Neither room nor nothing: all of them counted on, work waits for what never
                 # comes; none, and a late hour rents everything twice.
-                late[(known.type, known.zone, known.spot)] += 1
-                if late.total() % 2:
+                misses_objective[(known.type, known.zone, known.spot)] += 1
+                if misses_objective.total() % 2:
                     continue
             slots.append(
                 Slot(
@@ -203,39 +205,51 @@
                     (kind.cpus, kind.gpus, kind.memory_gb),
                 )
             )
-        self._note_trouble(late)
-        for type_name, zone, spot, count in self.renting.values():
+        self._note_boot_trouble(misses_objective)
+        for type_name, zone, spot, plan in self.renting.values():
             kind = context.types[type_name]
             slots.extend(
                 Slot("", type_name, zone, spot, (kind.cpus, kind.gpus, kind.memory_gb))
-                for _ in range(count)
+                for _ in range(plan)
             )
         return slots
 
-    def _note_trouble(self, late: Counter[Key]) -> None:
+    def _note_boot_trouble(self, misses_objective: Counter[Key]) -> None:
         """Note the kinds of machines that come up late or never, zone by zone, for a while."""
-        lists, now = self.lists, self.context.now
-        lists.never_up = [row for row in lists.never_up if now - row[0] < constants.BOOT_TROUBLE_S]
-        late.update(key for _, key in lists.never_up)
-        troubled = {key for key, count in late.items() if count >= constants.BOOT_TROUBLE}
+        inventory, now = self.inventory, self.context.now
+        inventory.failed_boots = [
+            row for row in inventory.failed_boots if now - row[0] < constants.BOOT_TROUBLE_S
+        ]
+        misses_objective.update(key for _, key in inventory.failed_boots)
+        troubled = {
+            key for key, plan in misses_objective.items() if plan >= constants.BOOT_TROUBLE
+        }
         for key in troubled - self.troubled:
-            event("boot_trouble", type=key[0], zone=key[1], spot=int(key[2]), late=late[key])
+            event(
+                "boot_trouble",
+                type=key[0],
+                zone=key[1],
+                spot=int(key[2]),
+                misses_objective=misses_objective[key],
+            )
         self.troubled = troubled
 
-    def count(self) -> list[Slot]:
+    def plan(self) -> list[Slot]:
         """Place unstarted tasks on what is there or coming; rent for the rest."""
         context = self.context
         slots = self._slots()
-        self.there = Counter(slot.zone for slot in slots)
+        self.machines_by_zone = Counter(slot.zone for slot in slots)
         pool = Pool(context, slots)
-        used = dict(teams.usage(context))
+        used = dict(quotas.usage(context))
         rent: dict[Key, int] = {}
         left = constants.DEMAND_TASKS
         self.unplaced = False
-        self.lines.resize()
-        self.lines.grow_old()
+        self.queues.resize()
+        self.queues.promote_starving()
         turns = [
-            turn for shape in self.lines.lines if (turn := self._turn(shape, 0, used)) is not None
+            turn
+            for shape in self.queues.by_shape
+            if (turn := self._turn(shape, 0, used)) is not None
         ]
         heapq.heapify(turns)
         while turns and left > 0:
@@ -243,7 +257,7 @@
             job = context.replica.jobs[job_id]
             spec = job.spec
             assert spec is not None
-            wanted = min(job.unbound(), left, teams.tasks_left(context, job.team, spec, used))
+            wanted = min(job.unbound(), left, quotas.tasks_left(context, job.team, spec, used))
             if context.failures.suspect(job):
                 wanted = min(wanted, 1)  # it is tried one task at a time
             more = wanted > 0  # at its team's limit, no other of the line may start either
@@ -255,7 +269,7 @@
                     self.unplaced or len(placed) < wanted or any(not slot.name for slot in placed)
                 )
                 for slot in placed:
-                    slot.used = True
+                    slot.team_usage = True
                 cpus, gpus = used.get(job.team, (0.0, 0.0))
                 used[job.team] = (cpus + len(placed) * spec.cpus, gpus + len(placed) * spec.gpus)
                 left -= len(placed)
@@ -266,17 +280,17 @@
                 heapq.heappop(turns)
             else:
                 heapq.heapreplace(turns, turn)
-        for key, count in rent.items():
-            while count > 0:
-                self._rent(*key, min(count, constants.MAX_RENT))
-                count -= constants.MAX_RENT
+        for key, plan in rent.items():
+            while plan > 0:
+                self._rent(*key, min(plan, constants.MAX_RENT))
+                plan -= constants.MAX_RENT
         return slots
 
     def _turn(
         self, shape: Shape, number: int, used: dict[str, tuple[float, float]]
     ) -> tuple[tuple, float, str, Shape, int] | None:
         """Return the turn of a line's job: (rank, age, name, line, number in it), or None."""
-        line = self.lines.lines[shape]
+        line = self.queues.by_shape[shape]
         if number >= len(line):
             return None
         *_, job_id = line[number]
@@ -319,7 +333,7 @@
                 break
             kind = context.types[key[0]]
             rent[key] = rent.get(key, 0) + 1
-            self.there[key[1]] += 1
+            self.machines_by_zone[key[1]] += 1
             slot = Slot("", *key, (kind.cpus, kind.gpus, kind.memory_gb))
             new.append(slot)
             self._fill(spec, slot, zones, placed, wanted)
@@ -358,7 +372,7 @@
                     row = (
                         key in self.troubled,
                         price,
-                        self.there[zone],
+                        self.machines_by_zone[zone],
                         context.rng.random(),
                         key,
                     )
@@ -366,18 +380,18 @@
                         best = row
         return None if best is None else best[4]
 
-    def _rent(self, type_name: str, zone: str, spot: bool, count: int) -> None:
-        if self.context.now < self.lists.cloud_after:
+    def _rent(self, type_name: str, zone: str, spot: bool, plan: int) -> None:
+        if self.context.now < self.inventory.cloud_after:
             return
         self.requests += 1
         # The name holds our life's term, so no controller and no life uses it again.
         name = f"oakmux-{self.context.incarnation}-{self.requests}"
-        self.renting[name] = (type_name, zone, spot, count)
-        event("rent", request=name, type=type_name, zone=zone, spot=int(spot), count=count)
+        self.renting[name] = (type_name, zone, spot, plan)
+        event("rent", request=name, type=type_name, zone=zone, spot=int(spot), plan=plan)
         self._ask(name, 1)
 
     def _ask(self, name: str, tries: int) -> None:
-        type_name, zone, spot, count = self.renting[name]
+        type_name, zone, spot, plan = self.renting[name]
         self.context.call(
             lambda s, r: self._rented(name, tries, s, r),
             "cloud",
@@ -386,7 +400,7 @@
             type_name,
             zone,
             spot,
-            count,
+            plan,
         )
 
     def _rented(self, name: str, tries: int, status: int, result: Any) -> None:
@@ -398,14 +412,16 @@
             self._ask(name, tries + 1)  # repeating a name never rents twice
             return
         del self.renting[name]
-        type_name, zone, spot, count = wanted
+        type_name, zone, spot, plan = wanted
         if status == 200:
             for machine in result:
-                self.lists.listed[machine] = Listed(type_name, zone, spot, "booting", context.now)
-            if len(result) < count:
+                self.inventory.instances[machine] = Instance(
+                    type_name, zone, spot, "booting", context.now
+                )
+            if len(result) < plan:
                 self.no_capacity[(type_name, zone, spot)] = context.now + constants.NO_CAPACITY_S
         elif status == 503 and result == "no capacity":
             self.no_capacity[(type_name, zone, spot)] = context.now + constants.NO_CAPACITY_S
         else:
-            self.lists.cloud_after = context.now + constants.BACKOFF_MOST_S
+            self.inventory.cloud_after = context.now + constants.BACKOFF_MOST_S
         event("rented", request=name, status=status, got=len(result) if status == 200 else 0)
--- a/oakmux/core/context.py
+++ b/oakmux/core/context.py
@@ -5,13 +5,13 @@
 from typing import TYPE_CHECKING, Any
 
 from oakmux import constants
-from oakmux.core.failing import Failures
-from oakmux.core.replica import Replica
+from oakmux.core.scheduling.failure_attribution import FailureAttribution
+from oakmux.core.state.replica import Replica
 from oakmux.settings import Settings, Team
 from oakmux.wire import Heartbeat, JobSpec, MachineType
 
 if TYPE_CHECKING:  # it is about a world
-    from oakmux.core.spread.openings import Openings
+    from oakmux.core.scheduling.backfill_reservations import BackfillReservations
 
 log = logging.getLogger("oakmux.core")
 
@@ -99,7 +99,7 @@
         self.now = 0.0
         self.wall = wall
         self.replica = Replica()
-        self.failures = Failures(self.replica)
+        self.failures = FailureAttribution(self.replica)
         self.types: dict[str, MachineType] = {}
         self.teams: dict[str, Team] = {team.name: team for team in settings.facts.teams}
         self.start_objectives: dict[str, list[float]] = {}
@@ -147,7 +147,7 @@
         self.extra_roles: list[str] = []
         self.reserved = ""
         # Machines that wait for gangs; set by the controller, which joins the parts.
-        self.openings: Openings
+        self.backfill: BackfillReservations
         self._op = 0
         self.ops: dict[int, Any] = {}
 
@@ -205,8 +205,8 @@
 
     def types_changed(self) -> None:
         """The catalogue changed: what is free on a machine counts anew."""
-        self.replica.rooms.clear()
-        self.replica.stale.update(self.machines)
+        self.replica.free_resources.clear()
+        self.replica.stale_machines.update(self.machines)
 
     def fits_type(self, spec: JobSpec, type_name: str) -> bool:
         """Whether a task of the job fits an empty machine of an allowed type."""
--- a/oakmux/core/controller.py
+++ b/oakmux/core/controller.py
@@ -10,19 +10,19 @@
 from oakmux import constants
 from oakmux.core.agents.heartbeats import apply_heartbeat, hold_image
 from oakmux.core.agents.manager import AgentManager
+from oakmux.core.api.jobs import JobApi
+from oakmux.core.autoscaling.autoscaler import Autoscaler
 from oakmux.core.context import Context, event
-from oakmux.core.desk import Desk
-from oakmux.core.fleet import Fleet
-from oakmux.core.membership import FLEET, Membership
-from oakmux.core.owner import Owner
-from oakmux.core.spread.openings import Openings
+from oakmux.core.leadership.leadership import FLEET, Leadership
+from oakmux.core.scheduling.backfill_reservations import BackfillReservations
+from oakmux.core.scheduling.scheduler import ShardScheduler
 from oakmux.settings import Settings
 from oakmux.wire import Heartbeat, MachineType
 
 log = logging.getLogger("oakmux.core")
 
 
-class Part(Protocol):
+class SlotOffer(Protocol):
     """A subsystem that is switched on: takes commands of its own and has a turn in every tick."""
 
     commands: dict[str, Callable[..., None]]
@@ -39,23 +39,23 @@
         settings: Settings,
         rng: random.Random,
         wall: int,
-        parts: Sequence[Callable[[Context], Part]] = (),
+        parts: Sequence[Callable[[Context], SlotOffer]] = (),
     ) -> None:
         self.context = Context(settings, rng, wall)
-        self.context.openings = Openings(self.context)
-        self.membership = Membership(self.context)
-        self.agents = AgentManager(self.context, self.membership)
-        self.owner = Owner(self.context, self.agents)
-        self.fleet = Fleet(self.context, self.agents.cancellations)
-        self.desk = Desk(self.context)
+        self.context.backfill = BackfillReservations(self.context)
+        self.leadership = Leadership(self.context)
+        self.agents = AgentManager(self.context, self.leadership)
+        self.scheduler = ShardScheduler(self.context, self.agents)
+        self.autoscaler = Autoscaler(self.context, self.agents.cancellations)
+        self.jobs_api = JobApi(self.context)
         self.next_alive = 0.0
         self.last_resent = ""  # the machine of which peers were told last in `_tell_again`
         self.next_tick = 0.0
         self.format = self.context.replica.format
         self.handlers: dict[str, Callable[..., None]] = {
-            "submit": self.desk.submit,
-            "query": self.desk.query,
-            "cancel": self.desk.cancel,
+            "submit": self.jobs_api.submit,
+            "query": self.jobs_api.query,
+            "cancel": self.jobs_api.cancel,
             "health": self._health,
             "status": self._status,
             "report": self.agents.heartbeats.receive,
@@ -76,12 +76,12 @@
             "heard": self._heard,
             "view": self._view,
             "reserve": self.agents.queue.reserve,
-            "offer": self.owner.binder.offer,
+            "offer": self.scheduler.binder.offer,
             "decline": self.agents.queue.decline,
             "move": self.agents.commands.move,
             "drain": self._drain,
             "gone": self._gone,
-            "opening": self.context.openings.take,
+            "opening": self.context.backfill.take,
             "borrow": lambda label, wanted: self.context.emit("lend", label, wanted),
             "lent": lambda given: self.context.emit("credit", given),
         }
@@ -104,14 +104,14 @@
         if context.now >= self.next_tick:
             self.next_tick = context.now + constants.TICK_S
             due += [
-                self.membership.tick,
-                self.owner.sampler.sample,
-                self.fleet.tick,
+                self.leadership.tick,
+                self.scheduler.sampler.sample,
+                self.autoscaler.tick,
                 self._say_alive,
                 *(more.tick for more in self.parts),
                 self._settle,
             ]
-        for part in [*due, self.owner.writer.flush, self.desk.flush]:
+        for part in [*due, self.scheduler.writer.flush, self.jobs_api.flush]:
             try:
                 part()
             except Exception:  # a fault in one part must end neither the others nor the process
@@ -154,7 +154,7 @@
         context = self.context
         replica = context.replica
         before = context.held_roles
-        won = self.membership.refresh_roles() if replica.loaded else []
+        won = self.leadership.refresh_roles() if replica.loaded else []
         more = set(context.extra_roles)
         held = {
             role
@@ -162,16 +162,16 @@
             if context.held_roles.get(role) == mod_revision
         }
         if set(before) - held - more or set(won) - more:
-            self.owner.lost(held)
+            self.scheduler.on_roles_lost(held)
         if set(won) - more:
-            self.owner.binder.won()
+            self.scheduler.binder.on_role_acquired()
             if FLEET in won:
-                self.fleet.won()
+                self.autoscaler.on_role_acquired()
         if replica.format != self.format:
             self.format = replica.format
             event("format", format=self.format)
-            self.owner.buffer.switched()
-        freed, replica.freed = replica.freed, []
+            self.scheduler.buffer.switched()
+        freed, replica.released = replica.released, []
         for job_id in freed:  # age and the aims for starting count from now
             replica.jobs[job_id].since = context.wall + int(context.now * 1000)
             event("ready", job=job_id)
@@ -182,12 +182,12 @@
             job = replica.jobs.get(job_id)
             if job is not None and job.state == "cancelled" and job_id in replica.active:
                 self.agents.cancellations.reconcile_job(job_id)
-            self.owner.binder.changed(job_id)
-            self.fleet.changed(job_id)
+            self.scheduler.binder.changed(job_id)
+            self.autoscaler.changed(job_id)
         for name in machines:
             self.agents.queue.records_changed(name)
         for name in machines | dirty:
-            self.owner.binder.machine_changed(name)
+            self.scheduler.binder.machine_changed(name)
         for name in dirty:
             self._tell(name, [m.label for m in context.settings.members])
         return bool(jobs or machines or dirty)
@@ -234,7 +234,7 @@
         # are served by whoever has them, if anybody: we can't tell, and could only refuse them.
         ready = (
             context.replica.loaded
-            and not context.replica.foreign
+            and not context.replica.unknown_format
             and bool(context.types)
             and (fresh or not (served or self.agents.cancellations.isolated()))
         )
@@ -332,7 +332,7 @@
             same = (agent_epoch, sequence) == machine.version and machine.manager == label
             if not newer and not same:
                 return
-        elif name in context.replica.gone or name in context.terminated:
+        elif name in context.replica.terminated_machines or name in context.terminated:
             return
         heartbeat = Heartbeat(
             name,
--- a/oakmux/core/leadership/leadership.py
+++ b/oakmux/core/leadership/leadership.py
@@ -6,19 +6,19 @@
 
 from oakmux import constants
 from oakmux.core.context import Context, event
-from oakmux.core.jobs import (
+from oakmux.core.state.records import (
     FORMAT_KEY,
     TERM_KEY,
-    chunk_tasks,
-    node_key,
+    controller_key,
     role_key,
+    tasks_per_block,
     version_key,
 )
 
 FLEET = "#fleet"
 
 
-def assign(free: list[str], held: dict[str, str], nodes: list[str]) -> dict[str, str]:
+def assign_roles(free: list[str], held: dict[str, str], nodes: list[str]) -> dict[str, str]:
     """Return who should claim each free role: the controller with the fewest, chance by hash.
 
     All controllers come to the same answer from the same records, and claims are guarded.
@@ -34,7 +34,7 @@
     return chosen
 
 
-class Membership:
+class Leadership:
     """Keeps our term, our lease and our roles."""
 
     def __init__(self, context: Context) -> None:
@@ -45,13 +45,13 @@
         self.busy: set[str] = set()
         self.raise_above = 0
         self.want_term = True
-        self.node_written = False
-        self.node_at = 0.0
+        self.key_written = False
+        self.key_written_at = 0.0
         self.next_try = 0.0
         self.next_yield = 0.0
         # What the roles were last seen at, and whether a claim is newer than our records then.
-        self.seen: tuple[int, int, int] | None = None
-        self.early = False
+        self.roles_seen: tuple[int, int, int] | None = None
+        self.awaiting_claims = False
 
     def need_term_above(self, fencing_token: int) -> None:
         """Ask for a term above a token that a worker showed."""
@@ -62,9 +62,13 @@
     def tick(self) -> None:
         """Do what is due."""
         context = self.context
-        if not context.replica.loaded or context.replica.foreign or context.now < self.next_try:
+        if (
+            not context.replica.loaded
+            or context.replica.unknown_format
+            or context.now < self.next_try
+        ):
             return
-        self._version()
+        self._negotiate_format()
         if self.want_term and "term" not in self.busy:
             self._raise_term()
         if not context.incarnation:
@@ -79,26 +83,26 @@
             self.next_renew = context.now + constants.NODE_RENEW_S
             context.call(self._renewed, "renew", self.lease)
         if (
-            self.node_written
-            and context.replica.nodes.get(context.label) != context.incarnation
-            and context.now - self.node_at > constants.STATE_STALE_S
+            self.key_written
+            and context.replica.live_controllers.get(context.label) != context.incarnation
+            and context.now - self.key_written_at > constants.STATE_STALE_S
         ):
             # A late write of the process before us has put its own life and lease there: once
             # that lease ends the key is gone, and others would share out roles without us.
-            self.node_written = False
-        if not self.node_written and "node" not in self.busy:
+            self.key_written = False
+        if not self.key_written and "node" not in self.busy:
             self.busy.add("node")
             context.call(
-                self._node_done,
+                self._key_written,
                 "txn",
                 [],
-                [(node_key(context.label), context.incarnation, self.lease)],
+                [(controller_key(context.label), context.incarnation, self.lease)],
                 constants.FIRST,
             )
-        if self.node_written and context.now - self.lease_since > constants.CLAIM_DELAY_S:
-            self._claim()
+        if self.key_written and context.now - self.lease_since > constants.CLAIM_DELAY_S:
+            self._acquire_roles()
 
-    def _version(self) -> None:
+    def _negotiate_format(self) -> None:
         """Say durably what we can read; switch to the latest format that all controllers can.
 
         The key has no lease: a process that was started anew has replaced the old one for good,
@@ -113,12 +117,14 @@
         if replica.versions.get(label, 0) >= replica.known_format:
             labels = [label, *(member.label for member in self.context.settings.members)]
             common = min(replica.versions.get(name, 0) for name in labels)
-            if common <= replica.format or label != min([label, *replica.nodes]):
+            if common <= replica.format or label != min([label, *replica.live_controllers]):
                 return
             key, guards = FORMAT_KEY, [(FORMAT_KEY, replica.format_revision)]
             # Tasks to a chunk stay as they were recorded first.
-            per_chunk = replica.per_chunk or chunk_tasks(self.context.facts.state.value_kb)
-            value = [common, per_chunk]
+            tasks_per_record = replica.tasks_per_record or tasks_per_block(
+                self.context.facts.state.value_kb
+            )
+            value = [common, tasks_per_record]
         self.busy.add("version")
         self.context.call(
             lambda s, r: self._version_done(key, value, s, r),
@@ -179,37 +185,37 @@
             self.lease = result
             self.lease_since = self.context.now
             self.next_renew = self.context.now + constants.NODE_RENEW_S
-            self.node_written = False
+            self.key_written = False
         else:
             self.next_try = self.context.now + constants.BACKOFF_FIRST_S
 
     def _renewed(self, status: int, _: Any) -> None:
         self.busy.discard("renew")
         if status == 404:
-            self.drop_lease("lease_ended")
+            self.on_lease_lost("lease_ended")
 
-    def drop_lease(self, why: str) -> None:
+    def on_lease_lost(self, why: str) -> None:
         """The lease is gone: our roles with it."""
         event("lost_lease", why=why, roles=len(self.context.held_roles))
         self.lease = None
-        self.node_written = False
+        self.key_written = False
 
-    def _node_done(self, status: int, _: Any) -> None:
+    def _key_written(self, status: int, _: Any) -> None:
         self.busy.discard("node")
         if status == 200:
-            self.node_written = True
-            self.node_at = self.context.now
+            self.key_written = True
+            self.key_written_at = self.context.now
         elif status == 400:
-            self.drop_lease("no_such_lease")
+            self.on_lease_lost("no_such_lease")
         else:
             self.next_try = self.context.now + constants.BACKOFF_FIRST_S
 
-    def _claim(self) -> None:
+    def _acquire_roles(self) -> None:
         context = self.context
-        nodes = sorted({*context.replica.nodes, context.label})
+        nodes = sorted({*context.replica.live_controllers, context.label})
         roles = [*context.teams, FLEET]
         held = {role: row[0] for role, row in context.replica.roles.items()}
-        due = assign([role for role in roles if role not in held], held, nodes)
+        due = assign_roles([role for role in roles if role not in held], held, nodes)
         # Further roles are no part of that count, in which all controllers must agree: one that
         # runs without the subsystem, or is of an earlier version, would wait for others, and
         # others for it. Whoever keeps the subsystem claims them; the guard lets one have them.
@@ -226,7 +232,7 @@
             key = role_key(role)
             value = [context.label, context.incarnation]
             context.call(
-                lambda s, r, role=role, value=value: self._claimed(role, value, s, r),
+                lambda s, r, role=role, value=value: self._role_acquired(role, value, s, r),
                 "txn",
                 [(key, row[2] if row else 0)],
                 [(key, value, self.lease)],
@@ -234,9 +240,9 @@
             )
         if not due and context.now >= self.next_yield:
             self.next_yield = context.now + constants.YIELD_S
-            self._yield(held, nodes)
+            self._rebalance(held, nodes)
 
-    def _yield(self, held: dict[str, str], nodes: list[str]) -> None:
+    def _rebalance(self, held: dict[str, str], nodes: list[str]) -> None:
         """Give up a role when another controller has two fewer, so that it is claimed there."""
         context = self.context
         load = Counter(
@@ -249,24 +255,24 @@
         event("yield", role=mine[0], roles=len(mine))
         key = role_key(mine[0])
         context.call(
-            lambda s, r: self._yielded(key, s, r),
+            lambda s, r: self._role_released(key, s, r),
             "txn",
             [(key, context.held_roles[mine[0]])],
             [(key,)],
             1,
         )
 
-    def _yielded(self, key: str, status: int, result: Any) -> None:
+    def _role_released(self, key: str, status: int, result: Any) -> None:
         if status == 200:
             self.context.replica.apply(key, None, result[0])
 
-    def _claimed(self, role: str, value: list, status: int, result: Any) -> None:
+    def _role_acquired(self, role: str, value: list, status: int, result: Any) -> None:
         self.busy.discard(role)
         if status == 200:
             self.context.replica.apply(role_key(role), value, result[0])
             event("claimed", role=role, revision=result[0])
         elif status == 400:
-            self.drop_lease("no_such_lease")
+            self.on_lease_lost("no_such_lease")
 
     def refresh_roles(self) -> list[str]:
         """Bring my_roles up to date; return those won since.
@@ -275,18 +281,21 @@
         earlier owner can come after it, so the records are then complete.
         """
         context = self.context
-        seen = (
+        roles_seen = (
             context.replica.role_changes,
             context.incarnation,
-            context.replica.revision if self.early else 0,
+            context.replica.revision if self.awaiting_claims else 0,
         )
-        if seen == self.seen:
+        if roles_seen == self.roles_seen:
             return []
-        self.early = any(
+        self.awaiting_claims = any(
             mod_revision > context.replica.revision
             for _, _, mod_revision in context.replica.roles.values()
         )
-        self.seen = (*seen[:2], context.replica.revision if self.early else 0)
+        self.roles_seen = (
+            *roles_seen[:2],
+            context.replica.revision if self.awaiting_claims else 0,
+        )
         held = {
             role: mod_revision
             for role, (label, incarnation, mod_revision) in context.replica.roles.items()
--- a/oakmux/core/scheduling/backfill_candidates.py
+++ b/oakmux/core/scheduling/backfill_candidates.py
@@ -4,11 +4,11 @@
 from collections.abc import Iterable
 
 from oakmux import constants
-from oakmux.core import teams
 from oakmux.core.agents.capacity import free_resources
 from oakmux.core.context import Context, Machine, Task
-from oakmux.core.jobs import Binding, Job
-from oakmux.core.spread.opening import Held, Site
+from oakmux.core.scheduling import quotas
+from oakmux.core.scheduling.backfill_plan import BackfillCandidate, Held
+from oakmux.core.state.records import Binding, Job
 from oakmux.wire import JobSpec
 
 
@@ -24,9 +24,11 @@
     return max(spec.estimate_s - ran, overrun if ran > spec.estimate_s else 0.0)
 
 
-def sites(context: Context, job: Job, spec: JobSpec, machines: Iterable[Machine]) -> list[Site]:
+def sites(
+    context: Context, job: Job, spec: JobSpec, machines: Iterable[Machine]
+) -> list[BackfillCandidate]:
     """Return machines for a job that looks for room on them."""
-    beyond = teams.beyond(context, job, spec, teams.usage(context))
+    beyond = quotas.beyond(context, job, spec, quotas.usage(context))
     found = []
     for machine in machines:
         held = []
@@ -37,7 +39,9 @@
                     _held(context, job, machine, other, other.spec, index, binding, beyond)
                 )
         found.append(
-            Site(machine.name, machine.zone, free_resources(context, machine), tuple(held))
+            BackfillCandidate(
+                machine.name, machine.zone, free_resources(context, machine), tuple(held)
+            )
         )
     return found
 
--- a/oakmux/core/scheduling/backfill_plan.py
+++ b/oakmux/core/scheduling/backfill_plan.py
@@ -22,12 +22,12 @@
     """A task that is on a machine: what it takes, in how many seconds its room can be had, and the
     seconds of work that are lost thereby. Infinite: never."""
 
-    takes: Resources
+    resources: Resources
     ready_s: float
     lost_s: float
 
 
-class Site(NamedTuple):
+class BackfillCandidate(NamedTuple):
     """A machine as far as an opening is concerned."""
 
     name: str
@@ -36,7 +36,7 @@
     held: tuple[Held, ...]
 
 
-class Opening(NamedTuple):
+class BackfillPlan(NamedTuple):
     """Machines to open, with the tasks that each is for; when all are ready, and what is lost."""
 
     zone: str | None
@@ -45,7 +45,7 @@
     lost_s: float
 
 
-class Part(NamedTuple):
+class SlotOffer(NamedTuple):
     """Room for one task more on a machine: when it is ready, what is lost for it."""
 
     ready_s: float
@@ -63,14 +63,14 @@
     return max(0, min(counts, default=constants.CHUNK_TASKS))
 
 
-def parts(need: Resources, site: Site, most: int) -> list[Part]:
+def parts(need: Resources, site: BackfillCandidate, most: int) -> list[SlotOffer]:
     """Return the room for one task after another on a machine, the soonest first: what ends or can
     be stopped goes in that order, and what was not needed for the room stays."""
-    rows: list[Part] = []
+    rows: list[SlotOffer] = []
     gone: list[Held] = []
     free = site.free
     found = fits(need, free)
-    rows += [Part(0.0, 0.0, site.name)] * min(found, most)
+    rows += [SlotOffer(0.0, 0.0, site.name)] * min(found, most)
     for held in sorted(site.held, key=lambda held: (held.ready_s, held.lost_s)):
         if len(rows) >= most or held.ready_s == math.inf:
             break
@@ -81,13 +81,13 @@
             free = _plus(free, needed)
             gone = [held for held in gone if held not in needed]
             rows.append(
-                Part(
+                SlotOffer(
                     max(held.ready_s for held in needed),
                     sum(held.lost_s for held in needed),
                     site.name,
                 )
             )
-            rows += [Part(rows[-1].ready_s, 0.0, site.name)] * (count - found - 1)
+            rows += [SlotOffer(rows[-1].ready_s, 0.0, site.name)] * (count - found - 1)
             found = count
     return rows[:most]
 
@@ -96,7 +96,11 @@
     """Spare what the room does not need, the dearest first."""
     needed = list(gone)
     for held in sorted(gone, key=lambda held: (-held.ready_s, -held.lost_s)):
-        less = (free[0] - held.takes[0], free[1] - held.takes[1], free[2] - held.takes[2])
+        less = (
+            free[0] - held.resources[0],
+            free[1] - held.resources[1],
+            free[2] - held.resources[2],
+        )
         if len(needed) > 1 and fits(need, less) >= count:
             needed.remove(held)
             free = less
@@ -105,28 +109,28 @@
 
 def _plus(free: Resources, held: Iterable[Held]) -> Resources:
     for one in held:
-        free = (free[0] + one.takes[0], free[1] + one.takes[1], free[2] + one.takes[2])
+        free = (free[0] + one.resources[0], free[1] + one.resources[1], free[2] + one.resources[2])
     return free
 
 
 def choose(
     need: Resources,
     tasks: int,
-    sites: Iterable[Site],
+    sites: Iterable[BackfillCandidate],
     one_zone: bool,
     kept: Mapping[str, int] | None = None,
-) -> Opening | None:
+) -> BackfillPlan | None:
     """Return the machines to open for all tasks of a gang, or None if there never is room.
 
     The zone (or the whole fleet) whose room is ready first is taken; in it, of all room that is
     ready by then, what costs least. `kept` is what was chosen before: it stays unless other room
     is ready sooner by OPENING_MARGIN_S, so that the plan does not go back and forth.
     """
-    groups: dict[str | None, list[Part]] = {}
+    groups: dict[str | None, list[SlotOffer]] = {}
     was = kept or {}
     for site in sites:
         groups.setdefault(site.zone if one_zone else None, []).extend(parts(need, site, tasks))
-    best: tuple[float, float, Opening] | None = None
+    best: tuple[float, float, BackfillPlan] | None = None
     for zone, rows in groups.items():
         if len(rows) < tasks:
             continue
@@ -140,24 +144,26 @@
         staying = sum(min(count, was.get(name, 0)) for name, count in machines.items())
         rank = ready - constants.OPENING_MARGIN_S * staying / tasks
         if best is None or (rank, lost) < best[:2]:
-            best = rank, lost, Opening(zone, machines, ready, lost)
+            best = rank, lost, BackfillPlan(zone, machines, ready, lost)
     return None if best is None else best[2]
 
 
-def _cheapest(rows: list[Part], tasks: int, by: float, kept: Mapping[str, int]) -> list[Part]:
+def _cheapest(
+    rows: list[SlotOffer], tasks: int, by: float, kept: Mapping[str, int]
+) -> list[SlotOffer]:
     """Take the cheapest room that is ready in time, of each machine what comes first there."""
     by += min(by, constants.OPENING_MARGIN_S)
-    waiting: dict[str, list[Part]] = {}
+    waiting: dict[str, list[SlotOffer]] = {}
     for row in reversed(rows):
         if row.ready_s <= by:
             waiting.setdefault(row.name, []).append(row)
 
-    def key(row: Part) -> tuple[bool, float, float, str]:
+    def key(row: SlotOffer) -> tuple[bool, float, float, str]:
         return row.name not in kept, row.lost_s, row.ready_s, row.name
 
     heap = [(key(line[-1]), line) for line in waiting.values()]
     heapq.heapify(heap)
-    chosen: list[Part] = []
+    chosen: list[SlotOffer] = []
     while heap and len(chosen) < tasks:
         _, line = heap[0]
         chosen.append(line.pop())
--- a/oakmux/core/scheduling/backfill_reservations.py
+++ b/oakmux/core/scheduling/backfill_reservations.py
@@ -4,12 +4,12 @@
 
 from oakmux import constants
 from oakmux.core.context import Context
-from oakmux.core.jobs import Job
-from oakmux.core.spread.order import elder
+from oakmux.core.scheduling.queue_order import is_starving
+from oakmux.core.state.records import Job
 from oakmux.wire import JobSpec
 
 
-class Standing(NamedTuple):
+class BackfillReservation(NamedTuple):
     """An opening as its owner last said it; without word of it, it ends by itself."""
 
     priority: int
@@ -19,12 +19,12 @@
     machines: frozenset[str]
 
 
-class Openings:
+class BackfillReservations:
     """Openings of all owners. The older gang has a machine that two of them name."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
-        self.by_job: dict[str, Standing] = {}
+        self.by_job: dict[str, BackfillReservation] = {}
         self.by_machine: dict[str, str] = {}
 
     def take(
@@ -36,7 +36,7 @@
         for other in [o for o, row in self.by_job.items() if row.until <= now]:
             del self.by_job[other]
         if names and len(self.by_job) < constants.OPENINGS_MOST:
-            self.by_job[job_id] = Standing(
+            self.by_job[job_id] = BackfillReservation(
                 priority, since, now + constants.OPENING_S, now + ready_s, frozenset(names)
             )
         self.by_machine = {}
@@ -45,7 +45,7 @@
         ):
             self.by_machine.update(dict.fromkeys(row.machines, other))
 
-    def bars(self, machine: str, job: Job, spec: JobSpec) -> bool:
+    def blocks_job(self, machine: str, job: Job, spec: JobSpec) -> bool:
         """Whether an opening keeps a job off a machine: what is younger, could not be stopped for
         it and may not end in time; and what could be stopped but would have to be very soon."""
         name = self.by_machine.get(machine)
@@ -57,7 +57,7 @@
         if job.priority == row.priority and (job.since, job.id) < (row.since, name):
             # Older work goes first, but not on and on: what has begun lets the others begin.
             other = self.context.replica.jobs.get(name or "")
-            if not job.begun or other is None or not elder(self.context, other):
+            if not job.begun or other is None or not is_starving(self.context, other):
                 return False
         left = row.ready_at - self.context.now
         if job.priority < row.priority and spec.kind != "service" and not spec.joint:
--- a/oakmux/core/scheduling/binding.py
+++ b/oakmux/core/scheduling/binding.py
@@ -7,12 +7,12 @@
 from oakmux.core.agents.manager import AgentManager
 from oakmux.core.agents.termination import gone
 from oakmux.core.context import Context, Machine, event
-from oakmux.core.jobs import FORMAT_COMPACT, Binding, Job
-from oakmux.core.owner.gangs import stop_rest
-from oakmux.core.owner.places import choose_gang, preference, zone_allowed
-from oakmux.core.owner.state import Open
-from oakmux.core.owner.write_buffer import WriteBuffer
-from oakmux.core.spread.waiting import Waiting
+from oakmux.core.scheduling.gangs import stop_rest
+from oakmux.core.scheduling.pending_job import PendingJob
+from oakmux.core.scheduling.placement import choose_gang, preference, zone_allowed
+from oakmux.core.scheduling.sampling_schedule import SamplingSchedule
+from oakmux.core.state.records import FORMAT_COMPACT, Binding, Job
+from oakmux.core.state.write_buffer import WriteBuffer
 from oakmux.wire import JobSpec
 
 
@@ -24,18 +24,18 @@
         context: Context,
         agents: AgentManager,
         buffer: WriteBuffer,
-        open_jobs: dict[str, Open],
-        waiting: Waiting,
+        open_jobs: dict[str, PendingJob],
+        schedule: SamplingSchedule,
     ) -> None:
         self.context = context
         self.agents = agents
         self.buffer = buffer
         self.open = open_jobs
-        self.waiting = waiting
+        self.schedule = schedule
         # Jobs that hold offers of which the best are taken soon, in the order of the first.
-        self.gathered: dict[str, None] = {}
+        self.collecting: dict[str, None] = {}
 
-    def won(self) -> None:
+    def on_role_acquired(self) -> None:
         """Begin with the records of a team just won."""
         for job in list(self.context.replica.active.values()):
             if self.buffer.owns(job):
@@ -50,28 +50,28 @@
         if job is None or not self.buffer.owns(job):
             return
         if job.final:
-            self.waiting.leave(job_id)
+            self.schedule.leave(job_id)
             state = self.open.pop(job_id, None)
             if state is not None:
                 self.release(state)
-            self.buffer.finish.pop(job_id, None)
-            for number in list(job.chunks):
-                if not self.buffer.chunk(job, number).bound and number not in self.buffer.work.get(
+            self.buffer.finished_jobs.pop(job_id, None)
+            for number in list(job.blocks):
+                if not self.buffer.block(job, number).bound and number not in self.buffer.work.get(
                     job_id, ()
                 ):
                     # A finished job needs no chunks any more.
-                    in_page = job.chunks[number].page is not None
-                    due = self.context.now + self.buffer.coalesce_s if in_page else 0.0
+                    in_batch = job.blocks[number].batch is not None
+                    due = self.context.now + self.buffer.coalesce_s if in_batch else 0.0
                     self.buffer.edit(job, number, due)
         elif not job.ready:
             return  # no reservations while it waits on others
         elif job_id not in self.open:
-            self.open[job_id] = Open()
-            self.waiting.due(job)
-        elif self.open[job_id].next_sample == math.inf:
-            self.waiting.later(job_id, self.context.now + constants.RESAMPLE_S)
+            self.open[job_id] = PendingJob()
+            self.schedule.due(job)
+        elif self.open[job_id].next_sample_at == math.inf:
+            self.schedule.defer(job_id, self.context.now + constants.RESAMPLE_S)
         else:
-            self.waiting.moved(job)
+            self.schedule.moved(job)
 
     def offer(
         self, name: str, job_id: str, offer_id: int, agent_epoch: int, term: int, manager: str
@@ -92,10 +92,10 @@
             or machine.agent_epoch != agent_epoch
             or context.now < state.retry_at
             or not is_schedulable(context, machine)
-            or name in state.avoid
+            or name in state.excluded_machines
             or not context.fits(job.spec, machine)
             or job_id in self.agents.cancellations.cancelled
-            or job_id in self.buffer.finish
+            or job_id in self.buffer.finished_jobs
             or not self._take_offer(
                 job,
                 job.spec,
@@ -107,13 +107,13 @@
             context.emit("send", manager, ("decline", name, offer_id))
 
     def _take_offer(
-        self, job: Job, spec: JobSpec, state: Open, machine: Machine, offer: tuple
+        self, job: Job, spec: JobSpec, state: PendingJob, machine: Machine, offer: tuple
     ) -> bool:
         gang = spec.joint
         bound = self.buffer.bindings(job)
         if gang and bound:
             return False
-        if self.buffer.beyond_limit(job, spec, spec.tasks if gang else 1):
+        if self.buffer.exceeds_limit(job, spec, spec.tasks if gang else 1):
             return False
         if not gang:
             if not zone_allowed(
@@ -121,15 +121,15 @@
             ) or not self.buffer.unstarted(job):
                 return False
             state.offers.append(offer)
-            self.gathered[job.id] = None
+            self.collecting[job.id] = None
             return True
-        if machine.name not in state.asked:
+        if machine.name not in state.requested:
             return False  # left over from a gathering that was given up
         state.offers.append(offer)
         if len(state.offers) < spec.tasks:
             return True
         chosen = choose_gang(spec, state.offers)
-        size = self.buffer.per_chunk
+        size = self.buffer.tasks_per_record
         if chosen is not None and all(
             self.buffer.holds(job, first // size, chosen[first : first + size])
             for first in range(0, spec.tasks, size)
@@ -140,7 +140,7 @@
             self._bind(job, list(range(spec.tasks)), chosen)
         return True
 
-    def choose(self, job: Job, spec: JobSpec, state: Open) -> None:
+    def choose(self, job: Job, spec: JobSpec, state: PendingJob) -> None:
         """Bind tasks to the best of the offers that came in; decline the others."""
         offers = [
             (
@@ -158,7 +158,7 @@
             zones = [b.zone for b in self.buffer.bindings(job)]
             if not zone_allowed(spec, zones, offer[6]):
                 continue
-            if self.buffer.beyond_limit(job, spec):
+            if self.buffer.exceeds_limit(job, spec):
                 break
             index = self.buffer.next_unstarted(job, state, offer)
             if index is None:
@@ -167,7 +167,7 @@
             state.offers.remove(offer)
         self.release(state)
 
-    def release(self, state: Open) -> None:
+    def release(self, state: PendingJob) -> None:
         """Decline all offers that a job holds."""
         for offer in state.offers:
             self.context.emit("send", offer[5], ("decline", offer[1], offer[2]))
@@ -181,9 +181,9 @@
         attempt = self.buffer.next_attempt(job)
         for index, offer in zip(indexes, offers, strict=True):
             _, name, _, agent_epoch, term, _, zone = offer
-            chunk = self.buffer.edit(job, index // self.buffer.per_chunk)
-            chunk.last = attempt
-            chunk.bound[index] = Binding(attempt, name, agent_epoch, term, zone)
+            block = self.buffer.edit(job, index // self.buffer.tasks_per_record)
+            block.last = attempt
+            block.bound[index] = Binding(attempt, name, agent_epoch, term, zone)
             event("bind", task=f"{job.id}/{index}", attempt=attempt, machine=name)
 
     def machine_changed(self, name: str) -> None:
@@ -200,8 +200,8 @@
             job = context.replica.jobs.get(job_id)
             if job is None or not self.buffer.owns(job):
                 continue
-            number = index // self.buffer.per_chunk
-            current = self.buffer.chunk(job, number).bound.get(index)
+            number = index // self.buffer.tasks_per_record
+            current = self.buffer.block(job, number).bound.get(index)
             if current is None or current.attempt != binding.attempt:
                 continue
             task = (f"{job_id}/{index}", binding.attempt)
@@ -221,15 +221,15 @@
 
     def _unbind(self, job: Job, index: int, binding: Binding, why: str, saved: bool) -> None:
         context = self.context
-        number, bit = divmod(index, self.buffer.per_chunk)
+        number, bit = divmod(index, self.buffer.tasks_per_record)
         # Starts go first; the ends of an array's tasks wait a little for one another, and so do
         # all of a page's: that a job is done is written at once, its row may go later.
-        in_page = self.buffer.chunk(job, number).page is not None
+        in_batch = self.buffer.block(job, number).batch is not None
         array = job.spec is not None and job.spec.kind == "array"
-        lazy = (why == "done" and (array or in_page)) or (job.final and in_page)
+        lazy = (why == "done" and (array or in_batch)) or (job.final and in_batch)
         due = context.now + (self.buffer.coalesce_s if lazy else 0.0)
-        chunk = self.buffer.edit(job, number, due)
-        del chunk.bound[index]
+        block = self.buffer.edit(job, number, due)
+        del block.bound[index]
         event(
             "unbind",
             task=f"{job.id}/{index}",
@@ -245,24 +245,24 @@
         if why == "done" and spec.kind != "service":
             if spec.kind == "gang":  # the tasks of a gang complete together
                 for other in range(spec.tasks):
-                    part = self.buffer.edit(job, other // self.buffer.per_chunk, due)
-                    part.done |= 1 << other % self.buffer.per_chunk
+                    part = self.buffer.edit(job, other // self.buffer.tasks_per_record, due)
+                    part.done |= 1 << other % self.buffer.tasks_per_record
             else:
-                chunk.done |= 1 << bit
-            if sum(c.done.bit_count() for c in self.buffer.chunks(job)) >= spec.tasks:
-                self.buffer.finish[job.id] = None
-                self.buffer.edit(job, number, due if in_page else context.now)
+                block.done |= 1 << bit
+            if sum(c.done.bit_count() for c in self.buffer.blocks(job)) >= spec.tasks:
+                self.buffer.finished_jobs[job.id] = None
+                self.buffer.edit(job, number, due if in_batch else context.now)
         elif spec.kind == "gang":
             stop_rest(self.buffer, job, spec, binding.attempt)
         if state is not None:
             if why != "done":
-                self.waiting.due(job)
-            state.cursor = min(state.cursor, index)
+                self.schedule.due(job)
+            state.next_task = min(state.next_task, index)
             if why == "error":
                 state.failures += 1
-                state.avoid.add(binding.machine)
-                if len(state.avoid) > max(1, len(context.machines) // 2):
-                    state.avoid.clear()
+                state.excluded_machines.add(binding.machine)
+                if len(state.excluded_machines) > max(1, len(context.machines) // 2):
+                    state.excluded_machines.clear()
                 pause = min(
                     constants.RETRY_FIRST_S * 2 ** (state.failures - 1), constants.RETRY_MOST_S
                 )
@@ -274,6 +274,6 @@
         """Forget jobs but of teams that we hold all the while."""
         jobs = self.context.replica.jobs
         for job_id in [j for j in self.open if jobs[j].team not in held]:
-            self.waiting.leave(job_id)
+            self.schedule.leave(job_id)
             del self.open[job_id]
-            self.buffer.finish.pop(job_id, None)
+            self.buffer.finished_jobs.pop(job_id, None)
--- a/oakmux/core/scheduling/capacity_claims.py
+++ b/oakmux/core/scheduling/capacity_claims.py
@@ -17,7 +17,7 @@
     spec: JobSpec
 
 
-class RoomClaims:
+class CapacityClaims:
     """What an owner's jobs have asked for counts as taken for its other jobs, until the task is
     bound there by the records or the job may ask elsewhere. Without that, all jobs that are
     sampled in a tick ask for the same few machines, and most of them in vain."""
--- a/oakmux/core/scheduling/failure_attribution.py
+++ b/oakmux/core/scheduling/failure_attribution.py
@@ -5,11 +5,11 @@
 """
 
 from oakmux import constants
-from oakmux.core.jobs import Job
-from oakmux.core.replica import Replica
+from oakmux.core.state.records import Job
+from oakmux.core.state.replica import Replica
 
 
-class Failures:
+class FailureAttribution:
     """On which machines tasks of unfinished jobs ended with an error."""
 
     def __init__(self, replica: Replica) -> None:
--- a/oakmux/core/scheduling/machine_index.py
+++ b/oakmux/core/scheduling/machine_index.py
@@ -15,14 +15,14 @@
 from oakmux import constants
 from oakmux.core.agents.capacity import Resources, free_resources, is_schedulable, task_capacity
 from oakmux.core.context import Context, Machine
-from oakmux.core.jobs import Job
+from oakmux.core.state.records import Job
 from oakmux.wire import JobSpec, MachineType
 
 Kind = tuple[str, str, bool]
 """What is rented: type, zone, spot."""
 
 
-class Class(NamedTuple):
+class CapacityClass(NamedTuple):
     """Machines that are alike for sampling.
 
     `gpus` are whole GPUs free; the levels say which part of CPUs and of memory is free, in steps
@@ -42,7 +42,7 @@
         """Which part is free of the scarcer of CPUs and memory."""
         return min(self.cpu_level, self.memory_level)
 
-    def more_than(self, other: "Class") -> bool:
+    def more_than(self, other: "CapacityClass") -> bool:
         """Whether it has more free of anything than another class."""
         return (
             self.gpus > other.gpus
@@ -51,9 +51,11 @@
         )
 
 
-def class_of(kind: MachineType, zone: str, spot: bool, free: Resources, idle: bool) -> Class:
+def capacity_class(
+    kind: MachineType, zone: str, spot: bool, free: Resources, idle: bool
+) -> CapacityClass:
     """Return the class of a machine with so much room."""
-    return Class(
+    return CapacityClass(
         kind.name,
         zone,
         spot,
@@ -69,7 +71,7 @@
     return math.floor(part * constants.ROOM_LEVELS + constants.EPSILON)
 
 
-def may_fit(spec: JobSpec, kind: MachineType, place: Class) -> bool:
+def may_fit(spec: JobSpec, kind: MachineType, place: CapacityClass) -> bool:
     """Whether a machine of a class may have room for a task; if not, none has.
 
     Both CPUs and memory are asked for: machines whose CPUs were all taken, more of them than a
@@ -82,7 +84,7 @@
     )
 
 
-class Drawn(NamedTuple):
+class SampledMachine(NamedTuple):
     """A machine with room that was drawn, and whether it holds the job's image."""
 
     machine: Machine
@@ -96,7 +98,7 @@
     return [ids[i] for i in rng.sample(range(have), min(have, count))]
 
 
-class Index:
+class MachineIndex:
     """Sets of machines for one controller."""
 
     def __init__(self, context: Context) -> None:
@@ -104,22 +106,22 @@
         self.ids: dict[str, int] = {}
         self.machines: list[Machine | None] = []
         self.spare: list[int] = []
-        self.classes: dict[Class, BitMap] = {}
+        self.classes: dict[CapacityClass, BitMap] = {}
         self.kinds: dict[Kind, BitMap] = {}
         self.holders: dict[str, BitMap] = {}
         # Machines with work that may be stopped for others: by its priority, and by its team.
         self.weak: dict[int, BitMap] = {}
         self.teams: dict[str, BitMap] = {}
         # Where each machine stands: its class, its images, and what may be stopped on it.
-        self.place: dict[int, Class] = {}
+        self.place: dict[int, CapacityClass] = {}
         self.images: dict[int, set[str]] = {}
         self.victims: dict[int, tuple[set[int], set[str]]] = {}
         # The classes where a task finds room, by what it needs, as long as neither these nor the
         # machine types change.
-        self.orders: dict[tuple, list[Class]] = {}
+        self.orders: dict[tuple, list[CapacityClass]] = {}
         self.types = context.types
         # Classes that a machine with more room than before has come to, until somebody takes note.
-        self.gained: set[Class] = set()
+        self.gained: set[CapacityClass] = set()
 
     # --- keeping up ---
 
@@ -128,7 +130,7 @@
         if self.types is not self.context.types:
             self.types = self.context.types
             self.orders.clear()
-        stale, self.context.replica.stale = self.context.replica.stale, set()
+        stale, self.context.replica.stale_machines = self.context.replica.stale_machines, set()
         for name in stale:
             machine = self.context.machines.get(name)
             if machine is None or machine.type not in self.context.types:
@@ -163,7 +165,7 @@
             self._leave(number)
             self.context.unresponsive.add(machine.name)
             return
-        place = class_of(
+        place = capacity_class(
             self.context.types[machine.type],
             machine.zone,
             machine.spot,
@@ -186,7 +188,7 @@
         members.add(number)
         self.kinds.setdefault(place[:3], BitMap()).add(number)
 
-    def _take_out(self, number: int, place: Class) -> None:
+    def _take_out(self, number: int, place: CapacityClass) -> None:
         members = self.classes[place]
         members.discard(number)
         if not members:
@@ -239,7 +241,7 @@
 
     # --- drawing ---
 
-    def _order(self, spec: JobSpec) -> list[Class]:
+    def _order(self, spec: JobSpec) -> list[CapacityClass]:
         """Return the classes where a task may find room, the best first: spot where it is
         cheaper for the job, in use rather than idle, fullest."""
         key = (
@@ -279,13 +281,13 @@
         avoid: Collection[str],
         wanted: int,
         left: Callable[[Machine, Resources], Resources] | None = None,
-    ) -> list[Drawn]:
+    ) -> list[SampledMachine]:
         """Draw machines with room for `wanted` tasks and some more, at random from the best
         classes first, those that hold the image before all others. `left` may take off what is
         promised of a machine's room."""
         enough = wanted * constants.DRAW_RATIO + constants.DRAW_MORE
         looks = constants.DRAW_LOOKS + math.ceil(enough)
-        rows: list[Drawn] = []
+        rows: list[SampledMachine] = []
         held = self.holders.get(spec.image)
         for with_image in (True, False):
             if with_image and held is None:
@@ -308,7 +310,7 @@
                         free = left(machine, free)
                     count = task_capacity(free, spec)
                     if count:
-                        rows.append(Drawn(machine, free, with_image))
+                        rows.append(SampledMachine(machine, free, with_image))
                         enough -= count
                         if enough <= 0:
                             return rows
--- a/oakmux/core/scheduling/minimum_share.py
+++ b/oakmux/core/scheduling/minimum_share.py
@@ -5,8 +5,8 @@
 from oakmux import constants
 from oakmux.core.agents.capacity import Resources, fits_resources
 from oakmux.core.context import Context
-from oakmux.core.jobs import Job
-from oakmux.core.spread.order import aged
+from oakmux.core.scheduling.queue_order import is_aged
+from oakmux.core.state.records import Job
 from oakmux.wire import JobSpec, MachineType
 
 
@@ -43,7 +43,7 @@
             if job.spec is not None
             and not job.spec.joint
             and fits_resources(free, job.spec)
-            and aged(self.context, job, job.spec)
+            and is_aged(self.context, job, job.spec)
         ]
         job = min(due, key=lambda job: (job.since, job.id), default=None)
         if job is None or job.spec is None or weight(job.spec, kind) > self.owed:
--- a/oakmux/core/scheduling/pending_queues.py
+++ b/oakmux/core/scheduling/pending_queues.py
@@ -13,9 +13,14 @@
 
 from oakmux import constants
 from oakmux.core.context import Context
-from oakmux.core.index import Class
-from oakmux.core.jobs import Job
-from oakmux.core.spread.order import elder, elder_s, late, turn_ms
+from oakmux.core.scheduling.machine_index import CapacityClass
+from oakmux.core.scheduling.queue_order import (
+    effective_submission_ms,
+    is_starving,
+    misses_objective,
+    starvation_s,
+)
+from oakmux.core.state.records import Job
 from oakmux.wire import JobSpec
 
 
@@ -27,7 +32,7 @@
     cpu_level: int
     memory_level: int
 
-    def may_fit(self, place: Class) -> bool:
+    def may_fit(self, place: CapacityClass) -> bool:
         """Whether a machine of a class may have as much."""
         return (
             self.type == place.type
@@ -53,7 +58,7 @@
     one_zone: bool
     spread: bool
 
-    def may_fit(self, place: Class) -> bool:
+    def may_fit(self, place: CapacityClass) -> bool:
         """Whether a machine of a class may have room for a task; if not, none has."""
         return (
             self.gpus < place.gpus + 1
@@ -98,18 +103,18 @@
 (ms), whether its aim is lost, its turn (ms), and its name."""
 
 
-class Lines:
+class PendingQueues:
     """Lines of jobs by their shape."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
-        self.lines: dict[Shape, SortedList] = {}
+        self.by_shape: dict[Shape, SortedList] = {}
         self.ages: dict[Shape, SortedList] = {}
         self.where: dict[str, tuple[Shape, Place, float]] = {}
         self.sizes: dict[str, tuple[float, float, float]] = {}
         # When each job that stood in a line becomes an elder, the first of them first; each is
         # there once, however often it leaves its line and comes back.
-        self.elders: list[tuple[float, str]] = []
+        self.starving_at: list[tuple[float, str]] = []
         self.growing: set[str] = set()
 
     def resize(self) -> bool:
@@ -134,35 +139,35 @@
         """Put a job where it belongs now; return its line."""
         shape = shape_of(self.context, job, spec)
         place = (
-            not elder(self.context, job),
-            job.latest,
-            late(self.context, job, spec),
-            turn_ms(self.context, job, spec),
+            not is_starving(self.context, job),
+            job.latest_start_ms,
+            misses_objective(self.context, job, spec),
+            effective_submission_ms(self.context, job, spec),
             job.id,
         )
         if self.where.get(job.id) != (shape, place, job.since):
             self.drop(job.id)
-            line = self.lines.get(shape)
+            line = self.by_shape.get(shape)
             if line is None:
-                line = self.lines[shape] = SortedList()
+                line = self.by_shape[shape] = SortedList()
                 self.ages[shape] = SortedList()
             line.add(place)
             self.ages[shape].add((job.since, job.id))
             self.where[job.id] = (shape, place, job.since)
-            at = job.since + 1000 * elder_s(job)
+            at = job.since + 1000 * starvation_s(job)
             if at >= self.context.wall_clock_ms and job.id not in self.growing:
                 self.growing.add(job.id)
-                heapq.heappush(self.elders, (at, job.id))
+                heapq.heappush(self.starving_at, (at, job.id))
         return shape
 
-    def grow_old(self) -> None:
+    def promote_starving(self) -> None:
         """Put those anew that have waited for so long that they come first: their place in line
         was found when they were younger."""
-        while self.elders and self.elders[0][0] < self.context.wall_clock_ms:
-            _, job_id = heapq.heappop(self.elders)
+        while self.starving_at and self.starving_at[0][0] < self.context.wall_clock_ms:
+            _, job_id = heapq.heappop(self.starving_at)
             self.growing.discard(job_id)
             job = self.context.replica.jobs[job_id]
-            if job_id in self.where and job.spec is not None and elder(self.context, job):
+            if job_id in self.where and job.spec is not None and is_starving(self.context, job):
                 self.put(job, job.spec)
 
     def drop(self, job_id: str) -> None:
@@ -171,11 +176,11 @@
         if known is None:
             return
         shape, place, since = known
-        line = self.lines[shape]
+        line = self.by_shape[shape]
         line.remove(place)
         self.ages[shape].remove((since, job_id))
         if not line:
-            del self.lines[shape]
+            del self.by_shape[shape]
             del self.ages[shape]
 
     def oldest(self, shape: Shape) -> str:
@@ -184,23 +189,23 @@
 
     def head(self, shape: Shape) -> Place | None:
         """Return who stands first in a line, or None."""
-        while line := self.lines.get(shape):  # it is another once its only job was put anew
+        while line := self.by_shape.get(shape):  # it is another once its only job was put anew
             place: Place = line[0]
             job = self.context.replica.jobs[place[4]]
-            if place[2] or job.spec is None or not late(self.context, job, job.spec):
+            if place[2] or job.spec is None or not misses_objective(self.context, job, job.spec):
                 return place
             self.put(job, job.spec)  # its aim was lost meanwhile: it goes behind the others
         return None
 
     def first(self, shape: Shape, count: int) -> Iterator[str]:
         """Return the jobs that stand first in a line."""
-        line = self.lines.get(shape)
+        line = self.by_shape.get(shape)
         return iter(()) if line is None else (place[4] for place in line.islice(0, count))
 
     def clear(self) -> None:
         """Forget all."""
-        self.lines.clear()
+        self.by_shape.clear()
         self.ages.clear()
         self.where.clear()
-        self.elders.clear()
+        self.starving_at.clear()
         self.growing.clear()
--- a/oakmux/core/scheduling/placement.py
+++ b/oakmux/core/scheduling/placement.py
@@ -5,13 +5,13 @@
 from pyroaring import BitMap
 
 from oakmux import constants
-from oakmux.core import teams
 from oakmux.core.agents.capacity import Resources, task_capacity
 from oakmux.core.agents.reservation_queue import preemption_candidates, save_s
 from oakmux.core.context import Context, Machine
-from oakmux.core.index import Drawn, Index
-from oakmux.core.jobs import Job
-from oakmux.core.owner.state import Open
+from oakmux.core.scheduling import quotas
+from oakmux.core.scheduling.machine_index import MachineIndex, SampledMachine
+from oakmux.core.scheduling.pending_job import PendingJob
+from oakmux.core.state.records import Job
 from oakmux.wire import JobSpec, MachineType
 
 
@@ -43,7 +43,7 @@
     return 0.0 if held else context.fetch_s(spec, machine.type) * (1 + len(others))
 
 
-def strands(spec: JobSpec, kind: MachineType, free: Resources) -> bool:
+def strands_gpus(spec: JobSpec, kind: MachineType, free: Resources) -> bool:
     """Whether a task without GPUs would take CPUs that a machine's free GPUs need, by the share
     that falls to each."""
     return (
@@ -74,7 +74,7 @@
     fetching = not held and any(urgent or other.priority >= constants.URGENT for other in others)
     dearer = spec.spot and not machine.spot if spec.gpus else machine.spot
     return (
-        strands(spec, kind, free),
+        strands_gpus(spec, kind, free),
         not held,
         fetching,
         dearer,
@@ -84,7 +84,7 @@
 
 
 def best(
-    context: Context, job: Job, spec: JobSpec, rows: list[Drawn], count: int
+    context: Context, job: Job, spec: JobSpec, rows: list[SampledMachine], count: int
 ) -> dict[str, int]:
     """Choose among drawn machines with room: image held, spot if allowed, fullest; chance
     decides between equals."""
@@ -110,7 +110,7 @@
         context.emit("send", context.machines[name].manager, ("reserve", name, job.id, number))
 
 
-def worth_s(context: Context, spec: JobSpec, machine: Machine) -> float:
+def preemption_budget_s(context: Context, spec: JobSpec, machine: Machine) -> float:
     """Return the lost work that is worth sparing a job the fetch on a machine: the fetch, and
     more if only without it an aim for starting this class can be met."""
     fetch = fetch_s(context, spec, machine)
@@ -120,12 +120,12 @@
     return fetch
 
 
-def make_room(
+def request_preemption(
     context: Context,
-    index: Index,
+    index: MachineIndex,
     job: Job,
     spec: JobSpec,
-    state: Open,
+    state: PendingJob,
     among: BitMap,
     wanted: int,
     most: float,
@@ -136,12 +136,12 @@
     the image before others. Until `state.preempt_at` what was asked for may come."""
     if context.now < state.preempt_at or context.failures.suspect(job):
         return []
-    used = teams.usage(context)
-    among = among & index.yielding(job, teams.beyond(context, job, spec, used))
+    used = quotas.usage(context)
+    among = among & index.yielding(job, quotas.beyond(context, job, spec, used))
     looks = math.ceil(constants.PREEMPT_LOOKS * wanted) + constants.DRAW_LOOKS
     held = among & index.holders.get(spec.image, BitMap())
-    machines = index.some(held, looks, state.avoid)
-    machines += index.some(among - held, looks - len(machines), state.avoid)
+    machines = index.some(held, looks, state.excluded_machines)
+    machines += index.some(among - held, looks - len(machines), state.excluded_machines)
     rows = []
     for machine in machines:
         found = preemption_candidates(context, machine, job, spec, used)
--- a/oakmux/core/scheduling/quotas.py
+++ b/oakmux/core/scheduling/quotas.py
@@ -2,11 +2,11 @@
 
 from oakmux import constants
 from oakmux.core.context import Context
-from oakmux.core.jobs import Job
+from oakmux.core.state.records import Job
 from oakmux.wire import JobSpec
 
 
-def beyond_limit(context: Context, team: str, cpus: float, gpus: float) -> bool:
+def exceeds_limit(context: Context, team: str, cpus: float, gpus: float) -> bool:
     """Whether use of this much would break the team's limit."""
     limits = context.teams.get(team)
     if limits is None:
@@ -36,7 +36,7 @@
     return max(0, min(counts, default=spec.tasks))
 
 
-def never_fits(context: Context, spec: JobSpec) -> str | None:
+def infeasible_reason(context: Context, spec: JobSpec) -> str | None:
     """Return why a job can never run, or None."""
     if spec.team not in context.teams:
         return "unknown team"
@@ -51,14 +51,14 @@
     count = 1 if spec.kind == "array" else spec.tasks
     if spec.spread and count > 1 and (spec.one_zone or len(zones) < 2):
         return "tasks that run at the same time can't be spread over one zone"
-    if beyond_limit(context, spec.team, spec.cpus * count, spec.gpus * count):
+    if exceeds_limit(context, spec.team, spec.cpus * count, spec.gpus * count):
         return "more than the team's limit"
     return None
 
 
 def usage(context: Context) -> dict[str, tuple[float, float]]:
     """Return what each team's tasks use by the records: {team: (cpus, gpus)}; only to be read."""
-    return context.replica.used
+    return context.replica.team_usage
 
 
 def within_guarantee(context: Context, team: str, cpus: float, gpus: float) -> bool:
--- a/oakmux/core/scheduling/scheduler.py
+++ b/oakmux/core/scheduling/scheduler.py
@@ -2,32 +2,32 @@
 
 from oakmux.core.agents.manager import AgentManager
 from oakmux.core.context import Context
-from oakmux.core.index import Index
-from oakmux.core.owner.binding import Binder
-from oakmux.core.owner.gangs import Gangs
-from oakmux.core.owner.sampling import Sampler
-from oakmux.core.owner.state import Open
-from oakmux.core.owner.write_buffer import WriteBuffer
-from oakmux.core.owner.writer import Writer
-from oakmux.core.spread.waiting import Waiting
+from oakmux.core.scheduling.binding import Binder
+from oakmux.core.scheduling.gangs import GangScheduler
+from oakmux.core.scheduling.machine_index import MachineIndex
+from oakmux.core.scheduling.pending_job import PendingJob
+from oakmux.core.scheduling.sampling import Sampler
+from oakmux.core.scheduling.sampling_schedule import SamplingSchedule
+from oakmux.core.state.record_writer import RecordWriter
+from oakmux.core.state.write_buffer import WriteBuffer
 
 
-class Owner:
+class ShardScheduler:
     """Places the jobs of the teams that we own. Its parts share the open jobs."""
 
     def __init__(self, context: Context, agents: AgentManager) -> None:
-        self.open: dict[str, Open] = {}
+        self.open: dict[str, PendingJob] = {}
         self.buffer = WriteBuffer(context)
-        self.writer = Writer(context, self.buffer)
-        self.index = Index(context)
-        self.gangs = Gangs(context, self.index, self.open)
-        self.waiting = Waiting(context, self.open)
-        self.binder = Binder(context, agents, self.buffer, self.open, self.waiting)
+        self.writer = RecordWriter(context, self.buffer)
+        self.index = MachineIndex(context)
+        self.gangs = GangScheduler(context, self.index, self.open)
+        self.schedule = SamplingSchedule(context, self.open)
+        self.binder = Binder(context, agents, self.buffer, self.open, self.schedule)
         self.sampler = Sampler(
-            context, self.index, self.buffer, self.binder, self.gangs, self.waiting
+            context, self.index, self.buffer, self.binder, self.gangs, self.schedule
         )
 
-    def lost(self, held: set[str]) -> None:
+    def on_roles_lost(self, held: set[str]) -> None:
         """Drop what belongs to teams other than those held all the while. One that we lost and won
         again within one look at the records had another owner in between: what we had not written
         would be written over what that one did (R ran_twice, quota)."""
--- a/oakmux/core/state/batch_allocator.py
+++ b/oakmux/core/state/batch_allocator.py
@@ -5,10 +5,10 @@
 
 from oakmux import constants
 from oakmux.core.context import Context
-from oakmux.core.pages import reserved_bytes
+from oakmux.core.state.binding_batches import reserved_bytes
 
 
-class PageAllocator:
+class BatchAllocator:
     """Gives each small job of ours room in a page for all of its bindings, before the first is
     written: a job must not wait for others of its page to end."""
 
@@ -31,8 +31,8 @@
         return name
 
     def _taken(self, name: str) -> int:
-        page = self.context.replica.pages.get(name)
-        return self.pending_bytes[name] + (page.reserved if page is not None else 0)
+        batch = self.context.replica.batches.get(name)
+        return self.pending_bytes[name] + (batch.reserved if batch is not None else 0)
 
     def release(self, job_id: str) -> None:
         """A job's row is written, or will not be: its page alone says what it takes."""
--- a/oakmux/core/state/binding_batches.py
+++ b/oakmux/core/state/binding_batches.py
@@ -9,59 +9,59 @@
 from typing import Any, NamedTuple
 
 from oakmux import constants
-from oakmux.core.jobs import PREFIX, Chunk, chunk_from
+from oakmux.core.state.records import PREFIX, TaskBlock, parse_block
 
 # A job's only chunk has this number.
-ONLY_CHUNK = 0
+ONLY_BLOCK = 0
 
 
-class PageRow(NamedTuple):
+class BatchRow(NamedTuple):
     """A job's row: its id, how many tasks it has, its chunk's value."""
 
     job_id: str
     tasks: int
-    chunk: list[Any]
+    block: list[Any]
 
     def to_value(self) -> list[Any]:
         """Return the row as the page holds it."""
-        return [self.job_id, self.tasks, *self.chunk]
+        return [self.job_id, self.tasks, *self.block]
 
 
-class Page:
+class BindingBatch:
     """A page as the records have it: its revision and its rows by job."""
 
     __slots__ = ("mod_revision", "rows", "reserved")
 
-    def __init__(self, mod_revision: int, rows: dict[str, PageRow]) -> None:
+    def __init__(self, mod_revision: int, rows: dict[str, BatchRow]) -> None:
         self.mod_revision = mod_revision
         self.rows = rows
         # Bytes that its rows may grow to take.
         self.reserved = sum(reserved_bytes(row.tasks) for row in rows.values())
 
 
-def page_key(name: str) -> str:
+def batch_key(name: str) -> str:
     """Return the key of a page, by its name (team/number)."""
     return f"{PREFIX}p/{name}"
 
 
-def page_from(value: list[list[Any]], mod_revision: int) -> Page:
+def parse_batch_rows(value: list[list[Any]], mod_revision: int) -> BindingBatch:
     """Read a page's value; raises ValueError or TypeError."""
-    rows: dict[str, PageRow] = {}
-    for job_id, tasks, *chunk in value:
-        rows[job_id] = PageRow(job_id, int(tasks), chunk)
-    return Page(mod_revision, rows)
+    rows: dict[str, BatchRow] = {}
+    for job_id, tasks, *block in value:
+        rows[job_id] = BatchRow(job_id, int(tasks), block)
+    return BindingBatch(mod_revision, rows)
 
 
-def row_chunk(row: PageRow, name: str, mod_revision: int) -> Chunk:
+def row_block(row: BatchRow, name: str, mod_revision: int) -> TaskBlock:
     """Return the chunk that a row of a page holds."""
-    chunk = chunk_from(row.chunk, mod_revision)
-    chunk.page = name
-    return chunk
+    block = parse_block(row.block, mod_revision)
+    block.batch = name
+    return block
 
 
-def shares_page(tasks: int, per_chunk: int) -> bool:
+def shares_batch(tasks: int, tasks_per_record: int) -> bool:
     """Whether the bindings of a job of so many tasks go into a page."""
-    return tasks <= min(constants.PAGE_TASKS, per_chunk)
+    return tasks <= min(constants.PAGE_TASKS, tasks_per_record)
 
 
 def reserved_bytes(tasks: int) -> int:
--- a/oakmux/core/state/record_writer.py
+++ b/oakmux/core/state/record_writer.py
@@ -13,17 +13,17 @@
 
 from oakmux import constants
 from oakmux.core.context import Context, event
-from oakmux.core.jobs import (
-    Chunk,
+from oakmux.core.state.binding_batches import ONLY_BLOCK, BatchRow, BindingBatch, batch_key
+from oakmux.core.state.records import (
     Job,
-    chunk_key,
+    TaskBlock,
+    block_key,
     job_key,
     job_value,
     role_key,
     value_bytes,
 )
-from oakmux.core.owner.write_buffer import WriteBuffer
-from oakmux.core.pages import ONLY_CHUNK, Page, PageRow, page_key
+from oakmux.core.state.write_buffer import WriteBuffer
 
 log = logging.getLogger("oakmux.core")
 
@@ -31,7 +31,7 @@
 """A change as the state service's transactions have it: (key, value, lease) or (key,)."""
 
 
-class SentChunk(NamedTuple):
+class SentBlock(NamedTuple):
     """A working copy that a transaction brings into the records."""
 
     job_id: str
@@ -52,9 +52,9 @@
     def __init__(self) -> None:
         self.guards: dict[str, int] = {}
         self.writes: list[Write] = []
-        self.sent: list[SentChunk] = []
+        self.sent: list[SentBlock] = []
         self.jobs: set[str] = set()
-        self.pages: set[str] = set()
+        self.batches: set[str] = set()
         self.finishing: set[str] = set()
         self.bytes = 0
 
@@ -64,12 +64,12 @@
         self.writes += other.writes
         self.sent += other.sent
         self.jobs |= other.jobs
-        self.pages |= other.pages
+        self.batches |= other.batches
         self.finishing |= other.finishing
         self.bytes += other.bytes
 
 
-class Writer:
+class RecordWriter:
     """Writes the working copies of our teams' records."""
 
     def __init__(self, context: Context, buffer: WriteBuffer) -> None:
@@ -77,7 +77,7 @@
         self.buffer = buffer
         # Jobs and pages of transactions without an outcome yet: each is in one at a time.
         self.writing: set[str] = set()
-        self.writing_pages: set[str] = set()
+        self.writing_batches: set[str] = set()
         self.write_after = 0.0
         self.in_flight = 0
         self.outgrown: set[str] = set()
@@ -99,13 +99,15 @@
         if transaction.writes:
             self._send(transaction)
         else:
-            for chunk in transaction.sent:
-                self.buffer.settled(chunk.job_id, chunk.number)
+            for block in transaction.sent:
+                self.buffer.settled(block.job_id, block.number)
 
     def _something_due(self) -> bool:
         """Whether there is anything to write now."""
         now = self.context.now
-        return bool(self.buffer.finish) or any(at <= now for at in self.buffer.dirty.values())
+        return bool(self.buffer.finished_jobs) or any(
+            at <= now for at in self.buffer.dirty.values()
+        )
 
     def _dirty(self) -> list[Dirty]:
         """Return all jobs with something to write, the first due before all others."""
@@ -136,10 +138,10 @@
             name = self._page_of(row)
             if name is None:
                 self._add_job(found, row)
-            elif name not in found.pages and name not in self.writing_pages:
+            elif name not in found.batches and name not in self.writing_batches:
                 self._add_page(found, name, row.job.team, of_page[name])
-        for chunk in found.sent:
-            self.buffer.dirty.pop(chunk, None)
+        for block in found.sent:
+            self.buffer.dirty.pop(block, None)
         return found
 
     def _busy(self, found: Transaction, job: Job) -> bool:
@@ -148,9 +150,9 @@
 
     def _page_of(self, row: Dirty) -> str | None:
         """Return the page that holds a job's only chunk, if one does."""
-        if row.numbers != [ONLY_CHUNK]:
+        if row.numbers != [ONLY_BLOCK]:
             return None
-        return self.buffer.work[row.job.id][ONLY_CHUNK].page
+        return self.buffer.work[row.job.id][ONLY_BLOCK].batch
 
     # --- chunks with records of their own ---
 
@@ -176,9 +178,9 @@
         if finishing:
             self._finish(part, job)
         for number in numbers:
-            key, old = chunk_key(job.id, number), job.chunks.get(number)
+            key, old = block_key(job.id, number), job.blocks.get(number)
             part.guards[key] = old.mod_revision if old is not None else 0
-            part.sent.append(SentChunk(job.id, number))
+            part.sent.append(SentBlock(job.id, number))
             if not self._over(job, work[number], finishing):
                 part.writes.append((key, values[number], None))
             elif old is not None:
@@ -203,7 +205,7 @@
 
     def _finishing(self, job: Job) -> bool:
         """Whether the job's end is to be written with its last chunks."""
-        return job.id in self.buffer.finish and not job.final
+        return job.id in self.buffer.finished_jobs and not job.final
 
     def _finish(self, part: Transaction, job: Job) -> None:
         """Add that a job is done."""
@@ -214,9 +216,9 @@
         part.finishing.add(job.id)
 
     @staticmethod
-    def _over(job: Job, chunk: Chunk, finishing: bool) -> bool:
+    def _over(job: Job, block: TaskBlock, finishing: bool) -> bool:
         """Whether nothing of a chunk is needed any more."""
-        return (job.final or finishing) and not chunk.bound
+        return (job.final or finishing) and not block.bound
 
     def _too_large(self, job_id: str, number: int, value: list) -> bool:
         """Whether a record has outgrown the limit; it is written once more of its tasks ended."""
@@ -224,31 +226,31 @@
         bound = len(self.buffer.work[job_id][number].bound)
         if bound * constants.BINDING_BYTES <= limit or value_bytes(value) <= limit:
             return False
-        self._postpone(chunk_key(job_id, number), value_bytes(value), [(job_id, number)])
+        self._postpone(block_key(job_id, number), value_bytes(value), [(job_id, number)])
         return True
 
-    def _postpone(self, key: str, size: int, chunks: Iterable[tuple[str, int]]) -> None:
+    def _postpone(self, key: str, size: int, blocks: Iterable[tuple[str, int]]) -> None:
         """Try chunks again later, of a record that has outgrown the limit."""
         if key not in self.outgrown:
             self.outgrown.add(key)
             limit = self.buffer.limit()
             log.error("event=record_too_large key=%s bytes=%s limit=%s", key, size, limit)
-        for chunk in chunks:
-            self.buffer.dirty[chunk] = self.context.now + constants.RETRY_MOST_S
+        for block in blocks:
+            self.buffer.dirty[block] = self.context.now + constants.RETRY_MOST_S
 
     # --- chunks in pages ---
 
     def _add_ends(self, found: Transaction) -> None:
         """Add that jobs with rows in pages are done, at once: users wait for it. Their rows go
         with a later write of the page; until then they count as bound, as before the end."""
-        for job_id in self.buffer.finish:
+        for job_id in self.buffer.finished_jobs:
             if len(found.writes) >= self.most_writes:
                 return
             job = self.context.replica.jobs[job_id]
-            work = self.buffer.work.get(job_id, {}).get(ONLY_CHUNK)
+            work = self.buffer.work.get(job_id, {}).get(ONLY_BLOCK)
             if (
                 work is None
-                or work.page is None
+                or work.batch is None
                 or job.final
                 or job.team not in self.context.held_roles
                 or self._busy(found, job)
@@ -266,31 +268,31 @@
         Other rows stay as the records have them. A job's stamp guards what binds tasks of it; what
         only lets go of tasks can't undo anything that happened to the job.
         """
-        page = self.context.replica.pages.get(name) or Page(0, {})
-        rows = dict(page.rows)
+        batch = self.context.replica.batches.get(name) or BindingBatch(0, {})
+        rows = dict(batch.rows)
         part = Transaction()
-        part.pages.add(name)
+        part.batches.add(name)
         part.guards[role_key(team)] = self.context.held_roles[team]
-        part.guards[page_key(name)] = page.mod_revision
+        part.guards[batch_key(name)] = batch.mod_revision
         for row in dirty:
             if not self._fits(found, part):
                 break
             if not self._busy(found, row.job):
                 self._add_row(part, rows, row.job)
-        if rows == page.rows:
+        if rows == batch.rows:
             found.sent += part.sent  # nothing of it has to be written
             return
         value = [row.to_value() for row in rows.values()]
         size = value_bytes(value)
         if size > self.buffer.limit():
-            self._postpone(page_key(name), size, part.sent)
+            self._postpone(batch_key(name), size, part.sent)
             return
         if found.writes and (
             found.bytes + size > constants.TRANSACTION_BYTES
             or len(found.writes) >= self.most_writes
         ):
             return
-        part.writes.append((page_key(name), value, None))
+        part.writes.append((batch_key(name), value, None))
         part.bytes = size
         found.take(part)
 
@@ -298,23 +300,23 @@
         """Whether the guard of one more row may go along."""
         return len(found.guards.keys() | part.guards.keys()) < self.most_guards
 
-    def _add_row(self, part: Transaction, rows: dict[str, PageRow], job: Job) -> None:
+    def _add_row(self, part: Transaction, rows: dict[str, BatchRow], job: Job) -> None:
         """Bring one job's row up to date."""
-        chunk = self.buffer.work[job.id][ONLY_CHUNK]
-        if chunk.binds_more_than(job.chunks.get(ONLY_CHUNK)):
+        block = self.buffer.work[job.id][ONLY_BLOCK]
+        if block.adds_bindings_to(job.blocks.get(ONLY_BLOCK)):
             part.guards[job_key(job.id)] = job.mod_revision
-        if self._over(job, chunk, finishing=False):
+        if self._over(job, block, finishing=False):
             rows.pop(job.id, None)
         else:
-            rows[job.id] = PageRow(job.id, job.tasks, chunk.to_value(self.buffer.form()))
-        part.sent.append(SentChunk(job.id, ONLY_CHUNK))
+            rows[job.id] = BatchRow(job.id, job.tasks, block.to_value(self.buffer.form()))
+        part.sent.append(SentBlock(job.id, ONLY_BLOCK))
         part.jobs.add(job.id)
 
     # --- outcome ---
 
     def _send(self, transaction: Transaction) -> None:
         self.writing |= transaction.jobs
-        self.writing_pages |= transaction.pages
+        self.writing_batches |= transaction.batches
         self.in_flight += 1
         self.context.call(
             lambda status, result: self._written(transaction, status, result),
@@ -326,16 +328,16 @@
 
     def _written(self, transaction: Transaction, status: int, result: Any) -> None:
         self.writing -= transaction.jobs
-        self.writing_pages -= transaction.pages
+        self.writing_batches -= transaction.batches
         self.in_flight -= 1
         if status == 200:
             self._take_over(transaction, result[0])
             return
         # Not written, or not known to be: the same again, guarded by the newest stamps. A late
         # twin then fails, since each successful write moves the stamps that guard it.
-        for chunk in transaction.sent:
-            if chunk.number in self.buffer.work.get(chunk.job_id, ()):
-                self.buffer.dirty.setdefault((chunk.job_id, chunk.number), 0.0)
+        for block in transaction.sent:
+            if block.number in self.buffer.work.get(block.job_id, ()):
+                self.buffer.dirty.setdefault((block.job_id, block.number), 0.0)
         self.write_after = self.context.now + constants.BACKOFF_FIRST_S
         if status == 400:
             # Certainly not written, and never will be as it is: the limits have fallen.
@@ -352,11 +354,11 @@
         for key, *rest in transaction.writes:
             self.context.replica.apply(key, rest[0] if rest else None, revision)
         for job_id in transaction.finishing:
-            self.buffer.finish.pop(job_id, None)
+            self.buffer.finished_jobs.pop(job_id, None)
             event("job_done", job=job_id)
-        for chunk in transaction.sent:
-            if chunk not in self.buffer.dirty:
-                self.buffer.settled(chunk.job_id, chunk.number)
+        for block in transaction.sent:
+            if block not in self.buffer.dirty:
+                self.buffer.settled(block.job_id, block.number)
 
     def _reread(self, keys: Iterable[str]) -> None:
         for key in keys:
--- a/oakmux/core/state/records.py
+++ b/oakmux/core/state/records.py
@@ -22,7 +22,7 @@
 # with compact chunks and jobs that wait on others; 3, with pages.
 FORMAT = 3
 FORMAT_COMPACT = 2
-FORMAT_PAGES = 3
+FORMAT_BATCHES = 3
 
 
 class Binding(NamedTuple):
@@ -36,10 +36,10 @@
     stop: bool = False
 
 
-class Chunk:
+class TaskBlock:
     """A run of a job's tasks: bindings, completed tasks, highest attempt used."""
 
-    __slots__ = ("mod_revision", "last", "done", "bound", "compact", "page")
+    __slots__ = ("mod_revision", "last", "done", "bound", "compact", "batch")
 
     def __init__(
         self,
@@ -55,15 +55,15 @@
         self.bound = bound if bound is not None else {}
         self.compact = compact
         # The page that holds it; None if it has a record of its own.
-        self.page: str | None = None
+        self.batch: str | None = None
 
-    def copy(self) -> "Chunk":
+    def copy(self) -> "TaskBlock":
         """Return a copy that can be worked on."""
-        made = Chunk(self.mod_revision, self.last, self.done, dict(self.bound), self.compact)
-        made.page = self.page
+        made = TaskBlock(self.mod_revision, self.last, self.done, dict(self.bound), self.compact)
+        made.batch = self.batch
         return made
 
-    def binds_more_than(self, old: "Chunk | None") -> bool:
+    def adds_bindings_to(self, old: "TaskBlock | None") -> bool:
         """Whether it has a binding that an older state of it lacks."""
         before = old.bound if old is not None else {}
         return any(
@@ -94,7 +94,7 @@
         return [self.last, f"{self.done:x}", [list(head) for head in heads], list(groups.values())]
 
 
-def chunk_from(value: Any, mod_revision: int) -> Chunk:
+def parse_block(value: Any, mod_revision: int) -> TaskBlock:
     """Read a chunk's value, of either format."""
     last, done, *rest = value
     bound: dict[int, Binding] = {}
@@ -106,7 +106,7 @@
             agent_epoch, term, zone, stop = heads[head]
             for i, attempt in zip(pairs[::2], pairs[1::2], strict=True):
                 bound[i] = Binding(attempt, machine, agent_epoch, term, zone, bool(stop))
-    return Chunk(mod_revision, last, int(done, 16), bound, len(rest) > 1)
+    return TaskBlock(mod_revision, last, int(done, 16), bound, len(rest) > 1)
 
 
 def value_bytes(value: Any) -> int:
@@ -128,15 +128,15 @@
         "state",
         "mod_revision",
         "spec",
-        "chunks",
+        "blocks",
         "order",
         "tasks",
         "service",
-        "unmet",
+        "unmet_dependencies",
         "since",
         "priority",
-        "due",
-        "takes",
+        "due_ms",
+        "resources",
     )
 
     def __init__(
@@ -154,38 +154,38 @@
         self.state = state
         self.mod_revision = mod_revision
         self.spec: JobSpec | None = None
-        self.chunks: dict[int, Chunk] = {}
+        self.blocks: dict[int, TaskBlock] = {}
         self.order = order
         self.tasks = tasks
         self.service = spec is not None and spec.kind == "service"
-        self.takes = (0.0, 0.0, 0.0)
-        self.describe(spec)
+        self.resources = (0.0, 0.0, 0.0)
+        self.set_spec(spec)
         # The jobs that it needs and that are not done; it may not start before there are none.
-        self.unmet: set[str] = set()
+        self.unmet_dependencies: set[str] = set()
         # Since when it could start (ms): its age among others.
         self.since = order
         # The highest priority of those that need it, itself included, and the time (ms) by which
         # it must end for the most pressing deadline among them.
         self.priority = 0 if spec is None else spec.priority
-        self.due = math.inf
+        self.due_ms = math.inf
 
-    def describe(self, spec: JobSpec | None) -> None:
+    def set_spec(self, spec: JobSpec | None) -> None:
         """Take the description. What a task takes (CPUs, GPUs, GB) outlives it: a job that is
         over may still have bindings, also such as we hear of later, and they count (R quota)."""
         self.spec = spec
         if spec is not None:
-            self.takes = (spec.cpus, spec.gpus, spec.memory_gb)
+            self.resources = (spec.cpus, spec.gpus, spec.memory_gb)
 
     @property
     def ready(self) -> bool:
         """Whether all jobs that it needs are done (R too_early). A job that is done stays so:
         records that are behind can only err on the safe side."""
-        return not self.unmet
+        return not self.unmet_dependencies
 
     @property
-    def latest(self) -> float:
+    def latest_start_ms(self) -> float:
         """The time (ms) by which it must start, by its owner's estimate."""
-        return self.due - (0.0 if self.spec is None else self.spec.estimate_s * 1000)
+        return self.due_ms - (0.0 if self.spec is None else self.spec.estimate_s * 1000)
 
     @property
     def final(self) -> bool:
@@ -195,24 +195,24 @@
     @property
     def begun(self) -> bool:
         """Whether a task is bound or done."""
-        return any(chunk.bound or chunk.done for chunk in self.chunks.values())
+        return any(block.bound or block.done for block in self.blocks.values())
 
     def bindings(self) -> list[Binding]:
         """Return all that the records say is bound."""
-        return [b for chunk in self.chunks.values() for b in chunk.bound.values()]
+        return [b for block in self.blocks.values() for b in block.bound.values()]
 
     def done_count(self) -> int:
         """Count completed tasks."""
         if self.state == "done":
             return self.tasks
-        return sum(chunk.done.bit_count() for chunk in self.chunks.values())
+        return sum(block.done.bit_count() for block in self.blocks.values())
 
     def unbound(self) -> int:
         """Count tasks that are neither done nor bound."""
         return (
             self.tasks
             - self.done_count()
-            - sum(len(chunk.bound) for chunk in self.chunks.values())
+            - sum(len(block.bound) for block in self.blocks.values())
         )
 
 
@@ -227,7 +227,7 @@
     return [state, team, row if spec.waits_on else row[:-1], order, tasks]
 
 
-def chunk_tasks(value_kb: float) -> int:
+def tasks_per_block(value_kb: float) -> int:
     """Return how many tasks share a record, so that it keeps within the value limit."""
     return max(1, min(constants.CHUNK_TASKS, int(value_kb * 1024 / constants.BINDING_BYTES)))
 
@@ -237,7 +237,7 @@
     return f"{PREFIX}j/{job_id}"
 
 
-def chunk_key(job_id: str, number: int) -> str:
+def block_key(job_id: str, number: int) -> str:
     """Return the key of a chunk's record."""
     return f"{PREFIX}t/{job_id}/{number}"
 
@@ -247,12 +247,12 @@
     return f"{PREFIX}own/{role}"
 
 
-def node_key(label: str) -> str:
+def controller_key(label: str) -> str:
     """Return the key that stands while a controller lives."""
     return f"{PREFIX}n/{label}"
 
 
-def gone_key(machine: str) -> str:
+def termination_key(machine: str) -> str:
     """Return the key that says a machine is certainly gone."""
     return f"{PREFIX}gone/{machine}"
 
--- a/oakmux/core/state/write_buffer.py
+++ b/oakmux/core/state/write_buffer.py
@@ -4,22 +4,22 @@
 from typing import NamedTuple
 
 from oakmux import constants
-from oakmux.core import teams
 from oakmux.core.context import Context
-from oakmux.core.jobs import (
+from oakmux.core.scheduling import quotas
+from oakmux.core.scheduling.pending_job import PendingJob
+from oakmux.core.scheduling.queue_order import is_starving
+from oakmux.core.state.batch_allocator import BatchAllocator
+from oakmux.core.state.binding_batches import shares_batch
+from oakmux.core.state.records import (
+    FORMAT_BATCHES,
     FORMAT_COMPACT,
-    FORMAT_PAGES,
     Binding,
-    Chunk,
     Job,
-    chunk_tasks,
+    TaskBlock,
+    tasks_per_block,
     value_bytes,
     value_limit,
 )
-from oakmux.core.owner.allocation import PageAllocator
-from oakmux.core.owner.state import Open
-from oakmux.core.pages import shares_page
-from oakmux.core.spread.order import elder
 from oakmux.wire import JobSpec
 
 
@@ -40,27 +40,27 @@
 
     def __init__(self, context: Context) -> None:
         self.context = context
-        self.work: dict[str, dict[int, Chunk]] = {}
+        self.work: dict[str, dict[int, TaskBlock]] = {}
         self.dirty: dict[tuple[str, int], float] = {}
-        self.finish: dict[str, None] = {}
+        self.finished_jobs: dict[str, None] = {}
         # Whether a transaction was refused for its size.
         self.refused = False
         self.limit_claims: dict[str, LimitClaim] = {}
         limits = context.facts.state.least
         self.least_bytes = value_limit(limits)
         share = limits.write_rps / context.settings.size
-        self.own_chunk = chunk_tasks(context.facts.state.value_kb)
+        self.configured_tasks_per_record = tasks_per_block(context.facts.state.value_kb)
         self.coalesce_s = min(
             max(constants.COALESCE_S, constants.COALESCE_CHANGES / share),
             constants.COALESCE_MOST_S,
         )
-        self.pages = PageAllocator(context, self.least_bytes)
+        self.batches = BatchAllocator(context, self.least_bytes)
 
     @property
-    def per_chunk(self) -> int:
+    def tasks_per_record(self) -> int:
         """How many tasks share a record. The mapping never moves with the limits: a task that is
         bound would look unbound (R ran_twice). Once the format is recorded, it stands there."""
-        return self.context.replica.per_chunk or self.own_chunk
+        return self.context.replica.tasks_per_record or self.configured_tasks_per_record
 
     def limit(self) -> int:
         """Bytes that a value may take when it is written. What earlier versions left larger may
@@ -76,21 +76,21 @@
     def holds(self, job: Job, number: int, offers: list[tuple]) -> bool:
         """Whether a chunk's record can hold bindings to what is offered as well. The coming limit
         counts at any time: once the limits fell, bindings that can't be written would never go."""
-        chunk = self.chunk(job, number)
-        if chunk.page is not None:
+        block = self.block(job, number)
+        if block.batch is not None:
             return True  # its page has room for all of the job's bindings
-        if (len(chunk.bound) + len(offers)) * constants.BINDING_BYTES <= self.least_bytes:
+        if (len(block.bound) + len(offers)) * constants.BINDING_BYTES <= self.least_bytes:
             return True
-        trial = chunk.copy()
+        trial = block.copy()
         trial.last = self.next_attempt(job)
-        first = (number + 1) * self.per_chunk  # no task's number there is longer
+        first = (number + 1) * self.tasks_per_record  # no task's number there is longer
         for index, (_, name, _, agent_epoch, term, _, zone) in enumerate(offers, first):
             trial.bound[index] = Binding(trial.last, name, agent_epoch, term, zone)
         return value_bytes(trial.to_value(self.form())) <= self.least_bytes
 
     def next_attempt(self, job: Job) -> int:
         """Return an attempt number that no task of the job has used."""
-        return 1 + max((c.last for c in self.chunks(job)), default=0)
+        return 1 + max((c.last for c in self.blocks(job)), default=0)
 
     def switched(self) -> None:
         """A new format holds: write anew what earlier versions left larger than the limits."""
@@ -100,12 +100,12 @@
 
     def shrink(self, job: Job) -> None:
         """See that chunks of format 1 keep within the limits to come."""
-        for number, chunk in job.chunks.items():
+        for number, block in job.blocks.items():
             if (
-                not chunk.compact
+                not block.compact
                 and number not in self.work.get(job.id, ())
-                and len(chunk.bound) * constants.BINDING_BYTES > self.least_bytes
-                and value_bytes(chunk.to_value(1)) > self.least_bytes
+                and len(block.bound) * constants.BINDING_BYTES > self.least_bytes
+                and value_bytes(block.to_value(1)) > self.least_bytes
             ):
                 self.edit(job, number)
 
@@ -113,26 +113,26 @@
         """Whether the job's team is ours."""
         return job.team in self.context.held_roles
 
-    def chunk(self, job: Job, number: int) -> Chunk:
+    def block(self, job: Job, number: int) -> TaskBlock:
         """Return a chunk as it will be written, or an empty one; only to be read."""
-        return self.work.get(job.id, {}).get(number) or job.chunks.get(number) or Chunk()
+        return self.work.get(job.id, {}).get(number) or job.blocks.get(number) or TaskBlock()
 
-    def edit(self, job: Job, number: int, due: float = 0.0) -> Chunk:
+    def edit(self, job: Job, number: int, due: float = 0.0) -> TaskBlock:
         """Return a working copy to change; it is written once `due`, the earliest first."""
         mine = self.work.setdefault(job.id, {})
-        chunk = mine.get(number)
-        if chunk is None:
-            old = job.chunks.get(number)
-            chunk = mine[number] = old.copy() if old is not None else self._new_chunk(job)
+        block = mine.get(number)
+        if block is None:
+            old = job.blocks.get(number)
+            block = mine[number] = old.copy() if old is not None else self._new_chunk(job)
         self.dirty[(job.id, number)] = min(due, self.dirty.get((job.id, number), math.inf))
-        return chunk
+        return block
 
-    def _new_chunk(self, job: Job) -> Chunk:
+    def _new_chunk(self, job: Job) -> TaskBlock:
         """Return an empty chunk, in a page if the job is small."""
-        chunk = Chunk()
-        if self.form() >= FORMAT_PAGES and shares_page(job.tasks, self.per_chunk):
-            chunk.page = self.pages.choose(job.team, job.id, job.tasks)
-        return chunk
+        block = TaskBlock()
+        if self.form() >= FORMAT_BATCHES and shares_batch(job.tasks, self.tasks_per_record):
+            block.batch = self.batches.choose(job.team, job.id, job.tasks)
+        return block
 
     def settled(self, job_id: str, number: int) -> None:
         """Let go of a working copy: the records say the same."""
@@ -140,42 +140,45 @@
         mine.pop(number, None)
         if not mine:
             self.work.pop(job_id, None)
-            self.pages.release(job_id)
+            self.batches.release(job_id)
 
-    def chunks(self, job: Job) -> list[Chunk]:
+    def blocks(self, job: Job) -> list[TaskBlock]:
         """Return all chunks of a job as they will be written."""
         mine = self.work.get(job.id)
         if not mine:
-            return list(job.chunks.values())
-        return list({**job.chunks, **mine}.values())
+            return list(job.blocks.values())
+        return list({**job.blocks, **mine}.values())
 
     def bindings(self, job: Job) -> list[Binding]:
         """Return all bindings of a job as they will be written."""
-        return [b for chunk in self.chunks(job) for b in chunk.bound.values()]
+        return [b for block in self.blocks(job) for b in block.bound.values()]
 
     def unstarted(self, job: Job) -> int:
         """Count the tasks that are neither done nor bound."""
         if job.spec is None or job.final:
             return 0
-        left, size = job.spec.tasks, self.per_chunk
-        for chunk in self.chunks(job):  # hundreds, of a huge array: most are over or not begun
-            left -= chunk.done.bit_count()
-            if chunk.bound:
-                left -= sum(1 for i in chunk.bound if not chunk.done >> (i % size) & 1)
+        left, size = job.spec.tasks, self.tasks_per_record
+        for block in self.blocks(job):  # hundreds, of a huge array: most are over or not begun
+            left -= block.done.bit_count()
+            if block.bound:
+                left -= sum(1 for i in block.bound if not block.done >> (i % size) & 1)
         return left
 
-    def next_unstarted(self, job: Job, state: Open, offer: tuple) -> int | None:
+    def next_unstarted(self, job: Job, state: PendingJob, offer: tuple) -> int | None:
         """Return the number of a task that may be bound to an offer, or None."""
         assert job.spec is not None
-        for start in (state.cursor, 0):
+        for start in (state.next_task, 0):
             index = start
             while index < job.spec.tasks:
-                chunk = self.chunk(job, index // self.per_chunk)
-                if index not in chunk.bound and not chunk.done >> (index % self.per_chunk) & 1:
-                    if not self.holds(job, index // self.per_chunk, [offer]):
-                        index = (index // self.per_chunk + 1) * self.per_chunk
+                block = self.block(job, index // self.tasks_per_record)
+                if (
+                    index not in block.bound
+                    and not block.done >> (index % self.tasks_per_record) & 1
+                ):
+                    if not self.holds(job, index // self.tasks_per_record, [offer]):
+                        index = (index // self.tasks_per_record + 1) * self.tasks_per_record
                         continue  # wait until others of its record have ended
-                    state.cursor = index + 1
+                    state.next_task = index + 1
                     return index
                 index += 1
         return None
@@ -183,18 +186,18 @@
     def team_use(self, team: str) -> tuple[float, float]:
         """Return what a team of ours uses: all that is bound and not proven gone. The records'
         count is corrected by the working copies, which are few."""
-        cpus, gpus = teams.usage(self.context).get(team, (0.0, 0.0))
+        cpus, gpus = quotas.usage(self.context).get(team, (0.0, 0.0))
         for job_id, mine in self.work.items():
             job = self.context.replica.jobs[job_id]
             if job.team == team:
-                more = sum(len(chunk.bound) for chunk in mine.values()) - sum(
-                    len(job.chunks[n].bound) for n in mine if n in job.chunks
+                more = sum(len(block.bound) for block in mine.values()) - sum(
+                    len(job.blocks[n].bound) for n in mine if n in job.blocks
                 )
-                cpus += more * job.takes[0]
-                gpus += more * job.takes[1]
+                cpus += more * job.resources[0]
+                gpus += more * job.resources[1]
         return cpus, gpus
 
-    def beyond_limit(self, job: Job, spec: JobSpec, tasks: int = 1) -> bool:
+    def exceeds_limit(self, job: Job, spec: JobSpec, tasks: int = 1) -> bool:
         """Whether that many more tasks of a job would break its team's limit, with what is kept
         for jobs of higher priority that wait for it."""
         limits = self.context.teams.get(job.team)
@@ -211,7 +214,7 @@
             ):
                 cpus += claim.cpus
                 gpus += claim.gpus
-        return teams.beyond_limit(
+        return quotas.exceeds_limit(
             self.context, job.team, cpus + tasks * spec.cpus, gpus + tasks * spec.gpus
         )
 
@@ -226,16 +229,16 @@
         now = self.context.now
         least = spec.tasks if spec.kind == "gang" else 1
         use = cpus, gpus = self.team_use(job.team)
-        first = elder(self.context, job)
+        first = is_starving(self.context, job)
         old = first or (
             spec.kind == "gang"
             and (self.context.wall_clock_ms - job.since > 1000 * constants.OPENING_AFTER_S)
         )
-        for priority, lower in self.context.replica.used_ending.get(job.team, {}).items():
+        for priority, lower in self.context.replica.preemptible_usage.get(job.team, {}).items():
             if priority < job.priority or (priority == job.priority and old):
                 cpus -= lower[0]
                 gpus -= lower[1]
-        if (first or (cpus, gpus) != use) and not teams.beyond_limit(
+        if (first or (cpus, gpus) != use) and not quotas.exceeds_limit(
             self.context, job.team, cpus + least * spec.cpus, gpus + least * spec.gpus
         ):
             tasks = max(
@@ -243,7 +246,7 @@
                 min(
                     wanted,
                     constants.MAX_RESERVATIONS_PER_JOB,
-                    teams.tasks_left(self.context, job.team, spec, {job.team: (cpus, gpus)}),
+                    quotas.tasks_left(self.context, job.team, spec, {job.team: (cpus, gpus)}),
                 ),
             )
             self.limit_claims[job.id] = LimitClaim(
@@ -261,4 +264,4 @@
         for job_id in [j for j in self.work if jobs[j].team not in held]:
             for number in self.work.pop(job_id):
                 self.dirty.pop((job_id, number), None)
-            self.pages.release(job_id)
+            self.batches.release(job_id)
--- a/oakmux/schedules/clock.py
+++ b/oakmux/schedules/clock.py
@@ -16,7 +16,7 @@
 
 from oakmux import constants
 from oakmux.core.context import Context, event
-from oakmux.core.jobs import job_key, job_value, role_key
+from oakmux.core.state.records import job_key, job_value, role_key
 from oakmux.schedules import policy, records, templates
 from oakmux.schedules.records import Entry, Slot, Store
 from oakmux.schedules.turns import Turn, mark_at, turns
--- a/oakmux/schedules/dav/serve.py
+++ b/oakmux/schedules/dav/serve.py
@@ -14,12 +14,12 @@
 from urllib.parse import quote, unquote
 
 from oakmux import constants, settings, wire
-from oakmux.net.http import Request, ServerProtocol
 from oakmux.schedules import calendars
 from oakmux.schedules.dav import xml
 from oakmux.schedules.dav.protocol import DavProtocol, DavRequest
 from oakmux.schedules.dav.tokens import Tokens, credentials
 from oakmux.schedules.dav.xml import CAL, CS, DAV, Multistatus, Prop, element, href
+from oakmux.transport.http import Request, ServerProtocol
 
 log = logging.getLogger("oakmux.dav")
 
--- a/oakmux/schedules/desk.py
+++ b/oakmux/schedules/desk.py
@@ -14,7 +14,7 @@
 
 from oakmux import constants
 from oakmux.core.context import Context, event
-from oakmux.core.jobs import value_bytes, value_limit
+from oakmux.core.state.records import value_bytes, value_limit
 from oakmux.schedules import templates, zones
 from oakmux.schedules.clock import Daytime
 from oakmux.schedules.records import (
@@ -45,7 +45,7 @@
 Change = tuple[dict[str, int], list[tuple], int, dict]
 
 
-class Desk:
+class JobApi:
     """Serves one controller's requests about schedules."""
 
     def __init__(self, context: Context, store: Store, daytime: Daytime) -> None:
@@ -83,7 +83,7 @@
         serve = self.operations.get(operation)
         if serve is None or not isinstance(args, dict):
             self._error(rid, Refused(404, "unknown operation"))
-        elif not context.replica.loaded or context.replica.foreign:
+        elif not context.replica.loaded or context.replica.unknown_format:
             self._error(rid, Refused(503, "starting"))
         elif context.now - context.store_seen_at > constants.STATE_STALE_S:
             self._error(rid, Refused(503, "no current records"))
--- a/oakmux/schedules/part.py
+++ b/oakmux/schedules/part.py
@@ -4,7 +4,7 @@
 
 from oakmux.core.context import Context
 from oakmux.schedules.clock import CLOCK, Clock, Daytime
-from oakmux.schedules.desk import Desk
+from oakmux.schedules.desk import JobApi
 from oakmux.schedules.records import KIND, RESERVED, Store
 
 
@@ -15,9 +15,9 @@
         self.store = Store()
         self.daytime = Daytime(context)
         self.clock = Clock(context, self.store, self.daytime)
-        self.desk = Desk(context, self.store, self.daytime)
+        self.desk = JobApi(context, self.store, self.daytime)
         self.context = context
-        context.replica.guests[KIND] = self.store
+        context.replica.namespaces[KIND] = self.store
         context.extra_roles.append(CLOCK)
         context.reserved = RESERVED
         self.commands: dict[str, Callable[..., None]] = {
--- a/oakmux/schedules/plugin.py
+++ b/oakmux/schedules/plugin.py
@@ -10,11 +10,11 @@
 
 from oakmux import constants, settings, wire
 from oakmux.core.context import Context
-from oakmux.core.controller import Part
-from oakmux.net.http import Request
+from oakmux.core.controller import SlotOffer
 from oakmux.schedules import zones
 from oakmux.schedules.dav import tokens
 from oakmux.schedules.part import Schedules
+from oakmux.transport.http import Request
 
 PATH = "/oakmux/schedules/"
 SECTIONS = {
@@ -34,7 +34,7 @@
 class Plugin:
     """Schedules, outside the core."""
 
-    parts: Sequence[Callable[[Context], Part]] = (Schedules,)
+    parts: Sequence[Callable[[Context], SlotOffer]] = (Schedules,)
 
     def __init__(self, caldav: CalDav | None) -> None:
         self.caldav = caldav
--- a/oakmux/schedules/records.py
+++ b/oakmux/schedules/records.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from oakmux import constants
-from oakmux.core.jobs import PREFIX
+from oakmux.core.state.records import PREFIX
 from oakmux.schedules.turns import Rule
 from oakmux.wire import JobSpec
 
--- a/oakmux/schedules/replay/model.py
+++ b/oakmux/schedules/replay/model.py
@@ -16,7 +16,7 @@
 
 from oakmux import constants
 from oakmux.core.context import Context
-from oakmux.core.jobs import PREFIX, job_value, role_key
+from oakmux.core.state.records import PREFIX, job_value, role_key
 from oakmux.schedules import records
 from oakmux.schedules.clock import CLOCK
 from oakmux.schedules.part import Schedules
@@ -27,7 +27,7 @@
     Settings,
     StateLimits,
     Team,
-    Workers,
+    WorkerClient,
 )
 from oakmux.wire import MachineType
 
@@ -52,7 +52,7 @@
         Facts(
             ["a"],
             [Team(TEAM)],
-            Workers(1, 10, 10, 10, 30),
+            WorkerClient(1, 10, 10, 10, 30),
             StateLimits(700, 250, 8, 12),
             CloudLimits(5, 5),
             3,
--- a/oakmux/schedules/templates.py
+++ b/oakmux/schedules/templates.py
@@ -6,9 +6,9 @@
 import msgspec
 
 from oakmux import constants, wire
-from oakmux.core import teams
 from oakmux.core.context import Context
-from oakmux.core.jobs import FORMAT_COMPACT, job_key, job_value, value_bytes, value_limit
+from oakmux.core.scheduling import quotas
+from oakmux.core.state.records import FORMAT_COMPACT, job_key, job_value, value_bytes, value_limit
 from oakmux.schedules.records import NAME, Entry, Step, Template, job_id, value_of
 from oakmux.wire import JobSpec
 
@@ -69,7 +69,7 @@
         most = max(1, (limits.txn_ops - 1) // 2)
         raise BadTemplate(f"{len(template.steps)} jobs: a turn can make {most} here")
     for step in template.steps:
-        why = teams.never_fits(context, step.spec)
+        why = quotas.infeasible_reason(context, step.spec)
         if why is not None:
             raise BadTemplate(f"{step.name}: {why}")
         waits = tuple("job-" + "9" * 18 for _ in step.needs)
@@ -94,7 +94,7 @@
     if template is None:
         return "no template"
     for step in template.steps:
-        why = teams.never_fits(context, step.spec) if context.types else None
+        why = quotas.infeasible_reason(context, step.spec) if context.types else None
         if why is not None:
             return why
     return None
--- a/oakmux/service.py
+++ b/oakmux/service.py
@@ -14,13 +14,13 @@
 
 from oakmux import constants, settings
 from oakmux.core.context import Context
-from oakmux.core.controller import Controller, Part
-from oakmux.net.cloud import Cloud
-from oakmux.net.http import Request, ServerProtocol
-from oakmux.net.peers import Peer
-from oakmux.net.state import State
-from oakmux.net.users import Front
-from oakmux.net.workers import Workers
+from oakmux.core.controller import Controller, SlotOffer
+from oakmux.transport.cloud_client import CloudClient
+from oakmux.transport.http import Request, ServerProtocol
+from oakmux.transport.peer_client import PeerClient
+from oakmux.transport.request_router import RequestRouter
+from oakmux.transport.store_client import StoreClient
+from oakmux.transport.worker_client import WorkerClient
 
 log = logging.getLogger("oakmux")
 
@@ -30,7 +30,7 @@
 class Plugin(Protocol):
     """A subsystem that is switched on, outside the core."""
 
-    parts: Sequence[Callable[[Context], Part]]
+    parts: Sequence[Callable[[Context], SlotOffer]]
 
     def paths(self, offer: Callable[[tuple], bool]) -> dict[str, Callable[[Request, str], None]]:
         """Return who serves further paths of the public address, by how they begin."""
@@ -56,15 +56,15 @@
         self.commands: list[tuple] = []
         self.scheduled = False
         self.tasks: set[asyncio.Task] = set()
-        self.front = Front(self.offer)
+        self.front = RequestRouter(self.offer)
         for plugin in plugins:
             self.front.more.update(plugin.paths(self.offer))
-        self.state = State(conf, self.put)
-        self.cloud = Cloud(conf, self.put)
-        self.workers = Workers(self.put)
+        self.state = StoreClient(conf, self.put)
+        self.cloud = CloudClient(conf, self.put)
+        self.workers = WorkerClient(self.put)
         cancellations = self.core.agents.cancellations
         self.peers = {
-            m.label: Peer(
+            m.label: PeerClient(
                 conf.label, m.label, m.peer_addr, self.put, lambda: cancellations.revision
             )
             for m in conf.members
--- a/oakmux/settings.py
+++ b/oakmux/settings.py
@@ -36,7 +36,7 @@
     share: float | None = None
 
 
-class Workers(msgspec.Struct, frozen=True):
+class WorkerClient(msgspec.Struct, frozen=True):
     """Times of the workers, in seconds."""
 
     report_s: float
@@ -95,7 +95,7 @@
 
     zones: list[str]
     teams: list[Team]
-    workers: Workers
+    workers: WorkerClient
     state: StateLimits
     cloud: CloudLimits
     size: int = 1
--- a/oakmux/transport/__init__.py
+++ b/oakmux/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets and timers round the core."""
+"""Sockets and timers round the core: one module for each counterpart."""
--- a/oakmux/transport/cloud_client.py
+++ b/oakmux/transport/cloud_client.py
@@ -7,21 +7,21 @@
 from urllib.parse import quote
 
 from oakmux import constants, wire
-from oakmux.net.http import Client, NoAnswer, NotSent
-from oakmux.net.pace import Bucket, pause
 from oakmux.settings import Settings
+from oakmux.transport.http import Client, NoResponse, RequestNotSent
+from oakmux.transport.rate_limit import TokenBucket, pause
 
 log = logging.getLogger("oakmux.cloud")
 
 
-class Cloud:
+class CloudClient:
     """Carries out the core's calls one after another as the rate allows."""
 
     def __init__(self, settings: Settings, put: Callable[[tuple], None]) -> None:
         self.addr = settings.external.cloud
         self.put = put
         # One controller holds the fleet; the others only read the catalogue now and then.
-        self.bucket = Bucket(
+        self.bucket = TokenBucket(
             settings.facts.cloud.rps * constants.CLOUD_SHARE, constants.CLOUD_BURST_S
         )
         self.turn = asyncio.Lock()
@@ -43,9 +43,9 @@
         """Make one call and hand its outcome to the core."""
         try:
             status, result = await getattr(self, f"_{kind}")(*args)
-        except NotSent:
+        except RequestNotSent:
             status, result = 503, None
-        except (NoAnswer, wire.Malformed) as error:
+        except (NoResponse, wire.Malformed) as error:
             log.info("event=cloud_no_answer kind=%s why=%s", kind, error)
             status, result = 0, None
         except Exception:
@@ -93,7 +93,7 @@
                     tries = 0
                     await asyncio.sleep(constants.CATALOGUE_S)
                     continue
-            except (NotSent, NoAnswer, wire.Malformed) as error:
+            except (RequestNotSent, NoResponse, wire.Malformed) as error:
                 log.info("event=catalogue_failed why=%s", error)
             except Exception:
                 log.exception("event=catalogue_failed")
--- a/oakmux/transport/http.py
+++ b/oakmux/transport/http.py
@@ -26,11 +26,11 @@
 }
 
 
-class NotSent(Exception):
+class RequestNotSent(Exception):
     """The request was certainly not sent: no connection came about."""
 
 
-class NoAnswer(Exception):
+class NoResponse(Exception):
     """The request may have been or may yet be carried out."""
 
 
@@ -187,7 +187,7 @@
 
     def _fail(self, why: str) -> None:
         if self.waiter is not None and not self.waiter.done():
-            self.waiter.set_exception(NoAnswer(why))
+            self.waiter.set_exception(NoResponse(why))
 
     def data_received(self, data: bytes) -> None:
         """Feed the parser."""
@@ -236,7 +236,7 @@
             async with asyncio.timeout(constants.CONNECT_TIMEOUT_S):
                 _, proto = await loop.create_connection(lambda: ClientProtocol(limit), host, port)
         except (OSError, TimeoutError) as error:
-            raise NotSent(str(error) or "timeout") from None
+            raise RequestNotSent(str(error) or "timeout") from None
         return proto
 
     async def request(
@@ -269,7 +269,7 @@
                 kept = proto.usable
                 return result
             except TimeoutError:
-                raise NoAnswer("timeout") from None
+                raise NoResponse("timeout") from None
             finally:
                 if kept and len(pool) < constants.POOL_PER_ADDR:
                     pool.append(proto)
--- a/oakmux/transport/peer_client.py
+++ b/oakmux/transport/peer_client.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from oakmux import constants, wire
-from oakmux.net.http import Client, NoAnswer, NotSent
-from oakmux.net.pace import pause
+from oakmux.transport.http import Client, NoResponse, RequestNotSent
+from oakmux.transport.rate_limit import pause
 
 log = logging.getLogger("oakmux.peers")
 
@@ -50,7 +50,7 @@
         raise wire.Malformed(str(error)) from None
 
 
-class Peer:
+class PeerClient:
     """The way to one peer; what is lost of the machines' news is sent anew."""
 
     def __init__(
@@ -97,7 +97,7 @@
             try:
                 await self._send(batch)
                 tries = 0
-            except (NotSent, NoAnswer, wire.Malformed) as error:
+            except (RequestNotSent, NoResponse, wire.Malformed) as error:
                 log.debug("event=peer_failed peer=%s why=%s", self.peer, error)
                 names = sorted({m[2] for m in batch + self.outbox if m[0] == "view"})
                 self.outbox = []
@@ -127,7 +127,7 @@
             self.addr, "POST", PATH, body, constants.PEER_TIMEOUT_S, constants.PEER_BODY
         )
         if status != 200:
-            raise NoAnswer(f"status {status}")
+            raise NoResponse(f"status {status}")
         try:
             word = msgspec.convert(wire.decode(answer), Answer)
         except msgspec.ValidationError as error:
--- a/oakmux/transport/rate_limit.py
+++ b/oakmux/transport/rate_limit.py
@@ -6,7 +6,7 @@
 from oakmux import constants
 
 
-class Bucket:
+class TokenBucket:
     """Tokens that refill at a rate, up to `seconds` worth of it."""
 
     def __init__(self, rate: float, seconds: float = 1.0) -> None:
@@ -27,7 +27,7 @@
         self.level -= cost
 
 
-class Ahead:
+class BurstAllowance:
     """How far users' changes may go ahead of a controller's share of the rate.
 
     All controllers going ahead at once would break the limit that the share keeps: at a cold
--- a/oakmux/transport/request_router.py
+++ b/oakmux/transport/request_router.py
@@ -4,15 +4,15 @@
 from collections.abc import Callable
 
 from oakmux import constants, wire
-from oakmux.net import peers
-from oakmux.net.http import Request
+from oakmux.transport import peer_client
+from oakmux.transport.http import Request
 
 log = logging.getLogger("oakmux.users")
 
 PATH_STATUS = "/oakmux/status"
 
 
-class Front:
+class RequestRouter:
     """Turns requests into commands of the core and its answers into responses."""
 
     def __init__(self, put: Callable[[tuple], bool]) -> None:
@@ -110,14 +110,14 @@
 
     def internal(self, request: Request) -> None:
         """Serve the address for peers."""
-        if request.path != peers.PATH:
+        if request.path != peer_client.PATH:
             self.refuse(request, 404, "unknown path")
             return
         if request.method != "POST":
             self.refuse(request, 405, "wrong method")
             return
         try:
-            batch = peers.parse_batch(request.body)
+            batch = peer_client.parse_batch(request.body)
         except wire.Malformed as error:
             self.refuse(request, 400, str(error))
             return
--- a/oakmux/transport/store_client.py
+++ b/oakmux/transport/store_client.py
@@ -8,10 +8,10 @@
 from urllib.parse import quote
 
 from oakmux import constants, wire
-from oakmux.core.jobs import PREFIX, value_bytes
-from oakmux.net.http import Client, NoAnswer, NotSent
-from oakmux.net.pace import Ahead, Bucket, pause
+from oakmux.core.state.records import PREFIX, value_bytes
 from oakmux.settings import Settings
+from oakmux.transport.http import Client, NoResponse, RequestNotSent
+from oakmux.transport.rate_limit import BurstAllowance, TokenBucket, pause
 
 log = logging.getLogger("oakmux.state")
 
@@ -24,7 +24,7 @@
         self.woken = asyncio.Event()
 
 
-class State:
+class StoreClient:
     """Carries out the core's operations within our share of the limits."""
 
     def __init__(self, settings: Settings, put: Callable[[tuple], None]) -> None:
@@ -33,9 +33,9 @@
         # Of the present and the coming limits the smaller: they change without notice.
         limits = settings.facts.state.least
         share = constants.LIMIT_SHARE / settings.size
-        self.requests = Bucket(limits.rps * share)
-        self.changes = Bucket(limits.write_rps * share)
-        self.ahead = Ahead(self.changes.rate)
+        self.requests = TokenBucket(limits.rps * share)
+        self.changes = TokenBucket(limits.write_rps * share)
+        self.ahead = BurstAllowance(self.changes.rate)
         self.client = Client(constants.STATE_CONNECTIONS)
         self.reads = Line()
         self.writes = Line()
@@ -142,9 +142,9 @@
         kind, number, *args = op
         try:
             status, result = await getattr(self, f"_{kind}")(*args)
-        except NotSent:
+        except RequestNotSent:
             status, result = 503, None
-        except (NoAnswer, wire.Malformed) as error:
+        except (NoResponse, wire.Malformed) as error:
             log.info("event=state_no_answer kind=%s why=%s", kind, error)
             status, result = 0, None
         except Exception:
@@ -246,7 +246,7 @@
                 if status == 410:
                     revision = None
                     continue
-            except (NotSent, NoAnswer, wire.Malformed) as error:
+            except (RequestNotSent, NoResponse, wire.Malformed) as error:
                 log.debug("event=watch_failed why=%s", error)
             except Exception:
                 log.exception("event=watch_failed")
@@ -264,7 +264,7 @@
                 path += f"&since={quote(since)}"
             status, answer = await self._paced(path, 2 * constants.STATE_TIMEOUT_S)
             if status != 200:
-                raise NoAnswer(f"status {status}")
+                raise NoResponse(f"status {status}")
             items, more, revision = wire.parse_rows(answer)
             rows += items
             first = revision if first is None else first
--- a/oakmux/transport/worker_client.py
+++ b/oakmux/transport/worker_client.py
@@ -4,12 +4,12 @@
 from collections.abc import Callable
 
 from oakmux import constants, wire
-from oakmux.net.http import Client, NoAnswer, NotSent
+from oakmux.transport.http import Client, NoResponse, RequestNotSent
 
 log = logging.getLogger("oakmux.workers")
 
 
-class Workers:
+class WorkerClient:
     """Sends orders and hands the workers' answers to the core."""
 
     def __init__(self, put: Callable[[tuple], None]) -> None:
@@ -29,9 +29,12 @@
             if status in (200, 409):
                 heartbeat = wire.parse_heartbeat(wire.decode(answer))
                 outcome = "ok" if status == 200 else "refused"
-        except (NotSent, ValueError):  # ValueError: the worker gave no address to connect to
+        except (
+            RequestNotSent,
+            ValueError,
+        ):  # ValueError: the worker gave no address to connect to
             outcome = "unsent"
-        except (NoAnswer, wire.Malformed) as error:
+        except (NoResponse, wire.Malformed) as error:
             log.info("event=orders_lost addr=%s why=%s", addr, error)
         except Exception:
             log.exception("event=orders_failed addr=%s", addr)
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -14,8 +14,8 @@
 from oakmux import constants
 from oakmux.core.agents.capacity import count_free_resources, is_schedulable
 from oakmux.core.controller import Controller
-from oakmux.core.index import Index
-from oakmux.core.jobs import value_bytes, value_limit
+from oakmux.core.scheduling.machine_index import MachineIndex
+from oakmux.core.state.records import value_bytes, value_limit
 from oakmux.settings import (
     CloudLimits,
     ComingLimits,
@@ -26,7 +26,7 @@
     Spread,
     StateLimits,
     Team,
-    Workers,
+    WorkerClient,
 )
 from oakmux.wire import Heartbeat, JobSpec, MachineType
 
@@ -53,7 +53,7 @@
         Facts(
             ZONES,
             list(teams),
-            Workers(REPORT_S, LEASE_S, GANG_WAIT_S, 3.0, CANCEL_S),
+            WorkerClient(REPORT_S, LEASE_S, GANG_WAIT_S, 3.0, CANCEL_S),
             StateLimits(1000, 1000, 8, 12, coming or ComingLimits()),
             CloudLimits(5, 2),
             count,
@@ -1162,8 +1162,8 @@
 def make_old(core: Controller) -> None:
     """Let a controller behave as the first version does where records are concerned: it neither
     says what it can read nor takes note of the format."""
-    core.membership._version = lambda: None  # type: ignore[method-assign]
-    core.owner.buffer.least_bytes = value_limit(core.context.facts.state)
+    core.leadership._negotiate_format = lambda: None  # type: ignore[method-assign]
+    core.scheduler.buffer.least_bytes = value_limit(core.context.facts.state)
     replica, apply = core.context.replica, core.context.replica.apply
 
     def old_apply(key: str, value: Any, mod_revision: int) -> None:
@@ -1176,39 +1176,41 @@
 def check_counts(core: Controller) -> None:
     """Compare what a controller keeps up to date with a full count."""
     context, replica = core.context, core.context.replica
-    for name, free in replica.rooms.items():
+    for name, free in replica.free_resources.items():
         assert free == pytest.approx(count_free_resources(context, context.machines[name])), name
     check_index(core)
     used: dict[str, float] = {}
     mine: dict[str, float] = {}
     ending: dict[str, float] = {}
     for job in replica.jobs.values():
-        bound = job.takes[1] * len(job.bindings())
+        bound = job.resources[1] * len(job.bindings())
         used[job.team] = used.get(job.team, 0.0) + bound
         ending[job.team] = ending.get(job.team, 0.0) + (0.0 if job.service else bound)
-        mine[job.team] = mine.get(job.team, 0.0) + job.takes[1] * len(
-            core.owner.buffer.bindings(job)
+        mine[job.team] = mine.get(job.team, 0.0) + job.resources[1] * len(
+            core.scheduler.buffer.bindings(job)
         )
     for team in context.teams:
-        assert replica.used.get(team, (0, 0))[1] == pytest.approx(used.get(team, 0)), team
-        assert sum(at[1] for at in replica.used_ending.get(team, {}).values()) == pytest.approx(
-            ending.get(team, 0)
-        ), team
+        assert replica.team_usage.get(team, (0, 0))[1] == pytest.approx(used.get(team, 0)), team
+        assert sum(
+            at[1] for at in replica.preemptible_usage.get(team, {}).values()
+        ) == pytest.approx(ending.get(team, 0)), team
         if team in context.held_roles:
-            assert core.owner.buffer.team_use(team)[1] == pytest.approx(mine.get(team, 0)), team
+            assert core.scheduler.buffer.team_use(team)[1] == pytest.approx(mine.get(team, 0)), (
+                team
+            )
 
 
 def check_index(core: Controller) -> None:
     """Compare where the index has each machine with what an index made anew says."""
-    context, index = core.context, core.owner.index
+    context, index = core.context, core.scheduler.index
     index.refresh()
-    fresh = Index(context)
-    context.replica.stale.update(context.machines)
+    fresh = MachineIndex(context)
+    context.replica.stale_machines.update(context.machines)
     unresponsive = set(context.unresponsive)
     fresh.refresh()
     context.unresponsive = unresponsive
 
-    def named(index: Index, sets: dict) -> dict:
+    def named(index: MachineIndex, sets: dict) -> dict:
         return {key: {index.machines[n].name for n in ids} for key, ids in sets.items() if ids}
 
     quiet = {n for n, m in context.machines.items() if not is_schedulable(context, m)}
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -13,10 +13,10 @@
 from typing import Any
 
 from oakmux import wire
-from oakmux.net.http import Request, ServerProtocol
-from oakmux.net.users import Front
 from oakmux.schedules import plugin
 from oakmux.schedules.dav import tokens
+from oakmux.transport.http import Request, ServerProtocol
+from oakmux.transport.request_router import RequestRouter
 from tests.timed import Timed
 
 DATA = Path(__file__).parent / "data"
@@ -68,7 +68,7 @@
 
     dav, public = free_port(), free_port()
     ini, made = write_settings(Path(folder), dav, ["red", "blue"])
-    front = Front(offer)
+    front = RequestRouter(offer)
     extra = plugin.load(ini)
     front.more.update(extra.paths(offer))
     live: set[ServerProtocol] = set()
--- a/tests/recorded.py
+++ b/tests/recorded.py
@@ -19,32 +19,32 @@
 
 from oakmux import settings, wire
 from oakmux.core.controller import Controller
-from oakmux.core.jobs import (
+from oakmux.core.state.binding_batches import BatchRow, batch_key
+from oakmux.core.state.records import (
     FORMAT_KEY,
     TERM_KEY,
     TYPES_KEY,
     Binding,
-    Chunk,
-    chunk_key,
-    gone_key,
+    TaskBlock,
+    block_key,
+    controller_key,
     job_key,
     job_value,
-    node_key,
     role_key,
+    termination_key,
     version_key,
 )
-from oakmux.core.pages import PageRow, page_key
-from oakmux.core.replica import Replica
-from oakmux.net.cloud import Cloud
-from oakmux.net.http import Client, ClientProtocol, ServerProtocol
-from oakmux.net.peers import Peer
-from oakmux.net.state import State
-from oakmux.net.users import Front
-from oakmux.net.workers import Workers
+from oakmux.core.state.replica import Replica
 from oakmux.schedules import records
 from oakmux.schedules.turns import Rule
 from oakmux.service import Service
 from oakmux.settings import Spread
+from oakmux.transport.cloud_client import CloudClient
+from oakmux.transport.http import Client, ClientProtocol, ServerProtocol
+from oakmux.transport.peer_client import PeerClient
+from oakmux.transport.request_router import RequestRouter
+from oakmux.transport.store_client import StoreClient
+from oakmux.transport.worker_client import WorkerClient
 from oakmux.wire import JobSpec
 from tests.fakes import TYPE, Sim, settings_for, spec
 
@@ -226,13 +226,13 @@
 
 def stored() -> dict[str, list]:
     """Return [key, value] of each kind of record and each form of it."""
-    chunk = Chunk(STAMP, 2**40, 0b1010011000, bindings())
-    small = Chunk(STAMP, 1, 0, {0: Binding(1, "m3", 1, 2, "c")})
-    done = Chunk(STAMP, 2, 2**64 - 1, {})
+    block = TaskBlock(STAMP, 2**40, 0b1010011000, bindings())
+    small = TaskBlock(STAMP, 1, 0, {0: Binding(1, "m3", 1, 2, "c")})
+    done = TaskBlock(STAMP, 2, 2**64 - 1, {})
     made: dict[str, list] = {
-        f"chunk/{name}/format-{form}": [chunk_key("job-5", 3), value.to_value(form)]
+        f"chunk/{name}/format-{form}": [block_key("job-5", 3), value.to_value(form)]
         for form in (1, 2, 3)
-        for name, value in (("full", chunk), ("small", small), ("done", done))
+        for name, value in (("full", block), ("small", small), ("done", done))
     }
     for state in ("queued", "running", "done", "cancelled"):
         for name, job in (("full", FULL), ("plain", PLAIN)):
@@ -240,15 +240,15 @@
             made[f"job/{name}/{state}"] = [job_key("job-5"), value]
         made[f"job/bare/{state}"] = [job_key("job-6"), job_value(state, "red", None, 1, 100_000)]
     rows = [
-        PageRow(job_id, tasks, value.to_value(3)).to_value()
-        for job_id, tasks, value in (("job-5", 10, chunk), ("job-6", 1, small), ("job-9", 2, done))
+        BatchRow(job_id, tasks, value.to_value(3)).to_value()
+        for job_id, tasks, value in (("job-5", 10, block), ("job-6", 1, small), ("job-9", 2, done))
     ]
-    made["page/rows"] = [page_key("red/4"), rows]
-    made["page/empty"] = [page_key("red/5"), []]
+    made["page/rows"] = [batch_key("red/4"), rows]
+    made["page/empty"] = [batch_key("red/5"), []]
     made["role/team"] = [role_key("red"), ["h1", 41]]
     made["role/fleet"] = [role_key("#fleet"), ["h2", 42]]
-    made["node"] = [node_key("h1"), 41]
-    made["gone"] = [gone_key("n-000231"), True]
+    made["node"] = [controller_key("h1"), 41]
+    made["gone"] = [termination_key("n-000231"), True]
     made["term"] = [TERM_KEY, 42]
     made["types"] = [TYPES_KEY, msgspec.to_builtins([TYPE, *wire.parse_catalogue(CATALOGUE)])]
     made["version"] = [version_key("h1"), 3]
@@ -307,12 +307,12 @@
     """Return what the replica and the schedules' copy hold after one record."""
     key, value = wire.decode(data)
     replica, store = Replica(), records.Store()
-    replica.guests[records.KIND] = store
+    replica.namespaces[records.KIND] = store
     replica.apply(key, value, STAMP)
-    chunks = [
-        [job_id, number, *plain_chunk(chunk)]
-        for job_id, found in replica.loose.items()
-        for number, chunk in found.items()
+    blocks = [
+        [job_id, number, *plain_chunk(block)]
+        for job_id, found in replica.orphan_blocks.items()
+        for number, block in found.items()
     ]
     jobs = [
         [
@@ -325,23 +325,43 @@
             job.tasks,
             job.service,
         ]
-        + [job.unmet, job.since, job.priority, job.due, job.takes, job.final]
+        + [job.unmet_dependencies, job.since, job.priority, job.due_ms, job.resources, job.final]
         for job in replica.jobs.values()
     ]
     pages = [
-        [name, page.mod_revision, list(page.rows.values())] for name, page in replica.pages.items()
+        [name, page.mod_revision, list(page.rows.values())]
+        for name, page in replica.batches.items()
     ]
     return plain(
-        [jobs, chunks, pages, replica.roles, replica.nodes, replica.gone, replica.term]
-        + [replica.types, replica.versions, [replica.format, replica.per_chunk], replica.bad]
-        + [replica.cancels, store.entries, store.templates, store.calendars, store.shards]
+        [
+            jobs,
+            blocks,
+            pages,
+            replica.roles,
+            replica.live_controllers,
+            replica.terminated_machines,
+            replica.term,
+        ]
+        + [
+            replica.types,
+            replica.versions,
+            [replica.format, replica.tasks_per_record],
+            replica.unreadable,
+        ]
+        + [
+            replica.cancellations_by_revision,
+            store.entries,
+            store.templates,
+            store.calendars,
+            store.shards,
+        ]
         + [store.parts, store.stamps]
     )
 
 
-def plain_chunk(chunk: Chunk) -> list:
+def plain_chunk(block: TaskBlock) -> list:
     """Return all that a chunk holds."""
-    return [chunk.mod_revision, chunk.last, chunk.done, chunk.bound, chunk.compact, chunk.page]
+    return [block.mod_revision, block.last, block.done, block.bound, block.compact, block.batch]
 
 
 # --- whole runs -------------------------------------------------------------------------------
@@ -524,7 +544,7 @@
 def asked(data: bytes, internal: bool = False) -> tuple[list[tuple], list[bytes]]:
     """Return the commands that a request becomes, and what is answered at once."""
     commands: list[tuple] = []
-    front = Front(lambda command: commands.append(command) is None)
+    front = RequestRouter(lambda command: commands.append(command) is None)
     line = Line([])
     server = ServerProtocol(front.internal if internal else front.public, set(), 1)
     server.connection_made(line)
@@ -624,7 +644,7 @@
     made = {}
     for name, (status, answer) in given.items():
         commands: list[Any] = []
-        front = Front(lambda command, commands=commands: commands.append(command) is None)
+        front = RequestRouter(lambda command, commands=commands: commands.append(command) is None)
         line = Line([])
         server = ServerProtocol(front.public, set(), 1)
         server.connection_made(line)
@@ -665,22 +685,22 @@
 Call = Callable[[Client, Put], Coroutine]
 
 
-def on_state(make: Callable[[State], Coroutine]) -> Call:
+def on_state(make: Callable[[StoreClient], Coroutine]) -> Call:
     """Return a call of the state service."""
 
     def call(client: Client, put: Put) -> Coroutine:
-        state = State(settings_for("h0"), put)
+        state = StoreClient(settings_for("h0"), put)
         state.client = client
         return make(state)
 
     return call
 
 
-def on_cloud(make: Callable[[Cloud], Coroutine]) -> Call:
+def on_cloud(make: Callable[[CloudClient], Coroutine]) -> Call:
     """Return a call of the cloud."""
 
     def call(client: Client, put: Put) -> Coroutine:
-        cloud = Cloud(settings_for("h0"), put)
+        cloud = CloudClient(settings_for("h0"), put)
         cloud.client = client
         return make(cloud)
 
@@ -689,14 +709,14 @@
 
 def on_worker(client: Client, put: Put) -> Coroutine:
     """Send one command of each kind to a worker."""
-    workers = Workers(put)
+    workers = WorkerClient(put)
     workers.client = client
     return workers.orders(5, "10.1.0.232:9000", 41, 3, orders())
 
 
 def on_peer(client: Client, put: Put) -> Coroutine:
     """Send one message of each kind to a peer."""
-    peer = Peer("h0", "h1", "10.0.0.2:81", put, lambda: 433)
+    peer = PeerClient("h0", "h1", "10.0.0.2:81", put, lambda: 433)
     peer.client = client
     return peer._send([tuple(message) for message in messages("m0", "h0")])
 
@@ -847,13 +867,13 @@
         [name, [[r.job_id, r.count] for r in one.queue.values()], one.offers, one.stops]
         for name, one in core.agents.workers.tracked.items()
     ]
-    offers = [[job_id, state.offers] for job_id, state in core.owner.binder.open.items()]
+    offers = [[job_id, state.offers] for job_id, state in core.scheduler.binder.open.items()]
     return plain(
         [
             machines,
             context.draining,
             context.terminated,
-            context.openings.by_job,
+            context.backfill.by_job,
             kept,
             sorted(offers),
         ]
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from oakmux.core.jobs import Job
+from oakmux.core.state.records import Job
 from oakmux.settings import ComingLimits
 from tests.fakes import CANCEL_S, Sim, spec
 
@@ -82,9 +82,9 @@
     sim.run(12)
     for core in sim.cores.values():
         job = core.context.replica.jobs["job-2"]
-        assert not job.ready and not job.chunks and "job-2" not in core.owner.open
+        assert not job.ready and not job.blocks and "job-2" not in core.scheduler.open
         assert not any("job-2" in kept.queue for kept in core.agents.workers.tracked.values())
-        assert core.context.replica.used.get("red", (0, 0))[1] == 0
+        assert core.context.replica.team_usage.get("red", (0, 0))[1] == 0
 
 
 @pytest.mark.parametrize("cancelled", [1, 2])
@@ -254,12 +254,12 @@
     jobs = sim.cores["h0"].context.replica.jobs
     order = jobs["job-3"].order
     assert [jobs[f"job-{n}"].priority for n in (1, 2, 3)] == [2, 2, 2]
-    assert [jobs[f"job-{n}"].due - order for n in (1, 2, 3)] == [75e3, 95e3, 100e3]
-    assert jobs["job-1"].latest - order == 25e3
+    assert [jobs[f"job-{n}"].due_ms - order for n in (1, 2, 3)] == [75e3, 95e3, 100e3]
+    assert jobs["job-1"].latest_start_ms - order == 25e3
     sim.cancel("job-3")
     sim.run(1)
     assert [jobs[f"job-{n}"].priority for n in (1, 2)] == [1, 1]
-    assert jobs["job-1"].due == float("inf")
+    assert jobs["job-1"].due_ms == float("inf")
 
 
 def test_tasks_without_gpus_leave_machines_with_free_gpus_alone():
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -6,8 +6,8 @@
 
 from oakmux import constants
 from oakmux.core.context import Context, Machine
-from oakmux.core.jobs import Binding, Chunk, chunk_key, job_key, job_value
-from oakmux.core.owner.claims import RoomClaims
+from oakmux.core.scheduling.capacity_claims import CapacityClaims
+from oakmux.core.state.records import Binding, TaskBlock, block_key, job_key, job_value
 from oakmux.wire import Heartbeat
 from tests.fakes import TYPE, settings_for, spec
 from tools.capacity.cell import Cell, cpu_job
@@ -15,14 +15,14 @@
 WHOLE = (TYPE.cpus, TYPE.gpus, TYPE.memory_gb)
 
 
-def claimed() -> tuple[Context, RoomClaims, Machine]:
+def claimed() -> tuple[Context, CapacityClaims, Machine]:
     """Return claims of one job, for two tasks on two machines, and the first machine."""
     context = Context(settings_for("h0"), random.Random(1), 0)
     for name in ("m1", "m2"):
         heartbeat = Heartbeat(name, name, "big", "a", False, 1, 1, 1, None, {})
         context.machines[name] = Machine(heartbeat, 0.0)
     context.replica.apply(job_key("job-1"), job_value("queued", "red", spec(), 0, 2), 1)
-    claims = RoomClaims(context)
+    claims = CapacityClaims(context)
     claims.ask("job-1", spec(cpus=3.0), {"m1": 2, "m2": 2}, 2)
     return context, claims, context.machines["m1"]
 
@@ -41,8 +41,8 @@
     if end == "time":
         context.now += constants.RESAMPLE_S
     else:
-        chunk = Chunk(last=1, bound={0: Binding(1, "m1", 1, 1, "a")})
-        context.replica.apply(chunk_key("job-1", 0), chunk.to_value(2), 2)
+        block = TaskBlock(last=1, bound={0: Binding(1, "m1", 1, 1, "a")})
+        context.replica.apply(block_key("job-1", 0), block.to_value(2), 2)
     assert claims.left("job-2", machine, WHOLE) == WHOLE
     assert not claims.by_machine["m1"]
 
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -11,13 +11,20 @@
 
 from oakmux import constants, settings, wire
 from oakmux.cli import main
-from oakmux.core.jobs import Binding, Chunk, chunk_from, chunk_key, chunk_tasks, job_key
-from oakmux.core.replica import Replica
-from oakmux.net.http import ServerProtocol
-from oakmux.net.pace import Bucket
-from oakmux.net.peers import Peer
-from oakmux.net.state import State
-from oakmux.net.users import Front
+from oakmux.core.state.records import (
+    Binding,
+    TaskBlock,
+    block_key,
+    job_key,
+    parse_block,
+    tasks_per_block,
+)
+from oakmux.core.state.replica import Replica
+from oakmux.transport.http import ServerProtocol
+from oakmux.transport.peer_client import PeerClient
+from oakmux.transport.rate_limit import TokenBucket
+from oakmux.transport.request_router import RequestRouter
+from oakmux.transport.store_client import StoreClient
 from tests.fakes import settings_for
 
 GOOD = {
@@ -163,7 +170,7 @@
 def talk(data: bytes):
     """Send bytes to the front and return (response, commands, whether it was closed)."""
     commands = []
-    front = Front(lambda command: not commands.append(command))
+    front = RequestRouter(lambda command: not commands.append(command))
     proto = ServerProtocol(front.public, set(), 10)
     transport = FakeTransport()
     proto.connection_made(transport)
@@ -306,27 +313,27 @@
 
 def test_records_survive_their_encoding_and_keep_the_value_limit():
     zone = "z" * 40
-    per = chunk_tasks(8.0)
+    per = tasks_per_block(8.0)
     bound = {
         i: Binding(2**40, f"n-{2**40}", 2**20, 2**40, zone) for i in range(100_000 - per, 100_000)
     }
-    chunk = Chunk(9, 7, (1 << 63) | 5, bound)
-    value = wire.decode(wire.encode(chunk.to_value(1)))
-    again = chunk_from(value, 9)
-    assert (again.last, again.done, again.bound) == (chunk.last, chunk.done, chunk.bound)
+    block = TaskBlock(9, 7, (1 << 63) | 5, bound)
+    value = wire.decode(wire.encode(block.to_value(1)))
+    again = parse_block(value, 9)
+    assert (again.last, again.done, again.bound) == (block.last, block.done, block.bound)
     assert len(json.dumps(value)) <= 8 * 1024
 
 
 def test_replica_drops_older_news():
     replica = Replica()
-    bound = Chunk(0, 1, 0, {0: Binding(1, "m", 1, 1, "a")}).to_value(1)
+    bound = TaskBlock(0, 1, 0, {0: Binding(1, "m", 1, 1, "a")}).to_value(1)
     replica.apply(job_key("job-1"), ["queued", "red", None, 1, 2], 5)
-    replica.apply(chunk_key("job-1", 0), bound, 6)
-    replica.apply(chunk_key("job-1", 0), Chunk(0, 1, 0, {}).to_value(1), 4)
+    replica.apply(block_key("job-1", 0), bound, 6)
+    replica.apply(block_key("job-1", 0), TaskBlock(0, 1, 0, {}).to_value(1), 4)
     assert replica.by_machine == {"m": {("job-1", 0): Binding(1, "m", 1, 1, "a")}}
-    replica.apply(chunk_key("job-1", 0), None, 8)
+    replica.apply(block_key("job-1", 0), None, 8)
     # A late answer must not bring a deleted chunk back.
-    replica.apply(chunk_key("job-1", 0), bound, 7)
+    replica.apply(block_key("job-1", 0), bound, 7)
     assert replica.by_machine == {}
     replica.apply(job_key("job-1"), ["done", "red", None, 1, 2], 9)
     replica.apply(job_key("job-1"), ["queued", "red", None, 1, 2], 5)
@@ -334,7 +341,7 @@
 
 
 def test_bucket_keeps_the_rate():
-    bucket, now, sent = Bucket(10.0), 0.0, 0
+    bucket, now, sent = TokenBucket(10.0), 0.0, 0
     while now < 10.0:
         if bucket.wait(now, 1) <= 0:
             bucket.take(1)
@@ -366,7 +373,7 @@
 
     async def run():
         sent, put = [], []
-        state = State(settings_for("h0", 3), put.append)
+        state = StoreClient(settings_for("h0", 3), put.append)
 
         async def request(_, method, path, *rest):
             sent.append(path)
@@ -496,7 +503,7 @@
 
     async def story() -> None:
         loop = asyncio.get_running_loop()
-        peer = Peer("h0", "h1", "10.0.0.2:81", lambda command: None, lambda: 7)
+        peer = PeerClient("h0", "h1", "10.0.0.2:81", lambda command: None, lambda: 7)
 
         async def request(addr, method, path, body, timeout, most):
             sent.append((loop.time() - start, [m[0] for m in wire.decode(body)[2]]))
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -5,11 +5,11 @@
 import pytest
 
 from oakmux.core.context import Context
-from oakmux.core.jobs import Binding, Chunk, Job
-from oakmux.core.owner.write_buffer import WriteBuffer
-from oakmux.core.spread import order
-from oakmux.core.spread.lines import Lines
-from oakmux.core.spread.openings import Openings
+from oakmux.core.scheduling import queue_order
+from oakmux.core.scheduling.backfill_reservations import BackfillReservations
+from oakmux.core.scheduling.pending_queues import PendingQueues
+from oakmux.core.state.records import Binding, Job, TaskBlock
+from oakmux.core.state.write_buffer import WriteBuffer
 from tests.fakes import LEASE_S, TYPE, Sim, settings_for, spec
 from tests.test_oncall import up
 
@@ -96,24 +96,26 @@
     sim.run(15)
     assert len(sim.live()) == 8
     sim.submit("job-9", spec("gang", 2, "blue", lane="press", priority=2))
-    owner = next(core for core in sim.cores.values() if "blue" in core.context.held_roles).owner
+    owner = next(
+        core for core in sim.cores.values() if "blue" in core.context.held_roles
+    ).scheduler
     sim.run(2)
-    until = owner.open["job-9"].gather_until
+    until = owner.open["job-9"].hold_until
     sim.run(8)
-    assert owner.open["job-9"].gather_until == until > sim.now  # it has not begun anew
+    assert owner.open["job-9"].hold_until == until > sim.now  # it has not begun anew
     sim.run(7)
     assert sim.begun_at("job-9") is not None
 
 
 def test_without_elders_the_largest_may_wait_for_ever(monkeypatch):
     for module in (
-        "core.spread.order",
+        "core.scheduling.queue_order",
         "core.agents.reservation_queue",
-        "core.spread.lines",
-        "core.owner.write_buffer",
-        "core.owner.gangs",
+        "core.scheduling.pending_queues",
+        "core.state.write_buffer",
+        "core.scheduling.gangs",
     ):
-        monkeypatch.setattr(f"oakmux.{module}.elder", lambda context, job: False)
+        monkeypatch.setattr(f"oakmux.{module}.is_starving", lambda context, job: False)
     with pytest.raises(AssertionError):
         for count in (3, 7):
             test_the_largest_begin_in_a_flood_of_smaller_ones_while_machines_and_controllers_fail(
@@ -127,9 +129,9 @@
     sim.run(10)
     core = sim.cores["h0"]
     job = core.context.replica.jobs["job-1"]
-    assert not order.elder(core.context, job)
-    job.since -= 1000 * order.elder_s(job)
-    assert order.elder(core.context, job) == (not job.begun)
+    assert not queue_order.is_starving(core.context, job)
+    job.since -= 1000 * queue_order.starvation_s(job)
+    assert queue_order.is_starving(core.context, job) == (not job.begun)
 
 
 def waiting(**jobs: tuple[float, dict]) -> tuple[Context, dict[str, Job]]:
@@ -156,40 +158,40 @@
 def test_a_large_array_comes_first_in_its_line_once_it_is_an_elder():
     context, jobs = waiting(big=(100.0, dict(tasks=5000)), small=(90.0, dict(tasks=1)))
     context.now = 20.0
-    lines = Lines(context)
+    queues = PendingQueues(context)
     for job in jobs.values():
-        shape = lines.put(job, job.spec)
-    assert lines.head(shape)[-1] == "small"  # it counts as younger by its size
+        shape = queues.put(job, job.spec)
+    assert queues.head(shape)[-1] == "small"  # it counts as younger by its size
     context.now = 100.0
-    lines.grow_old()
-    assert lines.head(shape)[-1] == "big"
+    queues.promote_starving()
+    assert queues.head(shape)[-1] == "big"
 
 
 def test_an_elder_is_owed_a_share_whatever_its_classs_aims_are():
     context, jobs = waiting(old=(97.0, {}), young=(50.0, {}))
     context.start_objectives["l"] = [400.0]
-    assert order.aged(context, jobs["old"], jobs["old"].spec)
-    assert not order.aged(context, jobs["young"], jobs["young"].spec)
+    assert queue_order.is_aged(context, jobs["old"], jobs["old"].spec)
+    assert not queue_order.is_aged(context, jobs["young"], jobs["young"].spec)
 
 
 def test_an_elder_gang_keeps_its_part_of_the_limit_while_it_gathers():
     context, jobs = waiting(gang=(70.0, dict(kind="gang", tasks=8)), young=(10.0, {}))
     buffer = WriteBuffer(context)
-    assert not buffer.beyond_limit(jobs["young"], jobs["young"].spec)
+    assert not buffer.exceeds_limit(jobs["young"], jobs["young"].spec)
     buffer.claim_limit(jobs["gang"], jobs["gang"].spec, 8)  # nothing of the team runs
-    assert buffer.beyond_limit(jobs["young"], jobs["young"].spec)
-    assert not buffer.beyond_limit(jobs["gang"], jobs["gang"].spec, 8)
+    assert buffer.exceeds_limit(jobs["young"], jobs["young"].spec)
+    assert not buffer.exceeds_limit(jobs["gang"], jobs["gang"].spec, 8)
 
 
 def test_what_is_older_but_has_begun_lets_an_elder_begin():
     context, jobs = waiting(
         gang=(70.0, dict(kind="gang", tasks=8)), older=(80.0, dict(tasks=40, estimate_s=60.0))
     )
-    openings = Openings(context)
+    openings = BackfillReservations(context)
     openings.take("gang", 1, jobs["gang"].since, ["m1"], 10.0)
-    assert not openings.bars("m1", jobs["older"], jobs["older"].spec)
-    jobs["older"].chunks[0] = Chunk(1, 1, 0, {0: Binding(1, "m2", 1, 1, "a")})
-    assert openings.bars("m1", jobs["older"], jobs["older"].spec)
+    assert not openings.blocks_job("m1", jobs["older"], jobs["older"].spec)
+    jobs["older"].blocks[0] = TaskBlock(1, 1, 0, {0: Binding(1, "m2", 1, 1, "a")})
+    assert openings.blocks_job("m1", jobs["older"], jobs["older"].spec)
 
 
 def test_the_check_of_a_day_tells_what_was_not_served():
@@ -212,8 +214,8 @@
     sim.submit("job-2", spec("array", 2, "blue"))
     sim.run(20)
     for core in sim.cores.values():  # each answers, but never for this one
-        query = core.desk.query
+        query = core.jobs_api.query
         core.handlers["query"] = lambda rid, job_id, query=query, core=core: (
-            core.desk.unavailable(rid, "busy") if job_id == "job-2" else query(rid, job_id)
+            core.jobs_api.unavailable(rid, "busy") if job_id == "job-2" else query(rid, job_id)
         )
     assert sim.unresponsive() == {"job-2"}
