--- a/tests/test_index.py
+++ b/tests/test_index.py
@@ -15,8 +15,8 @@
 )
 from oakmux.core.agents.heartbeats import apply_heartbeat
 from oakmux.core.context import Context
-from oakmux.core.index import Index, class_of, may_fit
-from oakmux.core.jobs import chunk_key, job_key, job_value
+from oakmux.core.scheduling.machine_index import MachineIndex, capacity_class, may_fit
+from oakmux.core.state.records import block_key, job_key, job_value
 from oakmux.wire import Heartbeat
 from tests.fakes import TYPE, ZONES, settings_for, spec
 
@@ -63,7 +63,7 @@
         self.context = Context(settings_for("h0"), random.Random(1), 0)
         self.context.types = {TYPE.name: TYPE}
         self.context.types_changed()
-        self.index = Index(self.context)
+        self.index = MachineIndex(self.context)
         self.mod_revision = 0
         self.sequence = 0
         for job_id, job in JOBS.items():
@@ -99,10 +99,10 @@
         )
 
     def bind(self, job_id, index, name):
-        self.write(chunk_key(job_id, 0), [1, "0", [[index, 1, name, 1, 1, "a", False]]])
+        self.write(block_key(job_id, 0), [1, "0", [[index, 1, name, 1, 1, "a", False]]])
 
     def unbind(self, job_id):
-        self.write(chunk_key(job_id, 0), [1, "0", []])
+        self.write(block_key(job_id, 0), [1, "0", []])
 
     def drain(self, name):
         self.context.drain(name)
@@ -138,7 +138,7 @@
         assert len(where) <= 1
         if is_schedulable(context, machine):
             assert where == [
-                class_of(
+                capacity_class(
                     TYPE,
                     machine.zone,
                     machine.spot,
@@ -196,7 +196,7 @@
     job = spec(cpus=need, gpus=need_gpus, memory_gb=need_memory)
     free = (cpus, float(gpus), memory)
     if fits_resources(free, job):
-        assert may_fit(job, TYPE, class_of(TYPE, "a", False, free, True))
+        assert may_fit(job, TYPE, capacity_class(TYPE, "a", False, free, True))
 
 
 def test_a_machine_that_fell_silent_leaves_when_it_is_drawn_and_comes_back_when_heard():
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -6,8 +6,8 @@
 import pytest
 
 from oakmux import constants
-from oakmux.core.jobs import job_key, job_value
-from oakmux.core.replica import Replica
+from oakmux.core.state.records import job_key, job_value
+from oakmux.core.state.replica import Replica
 from tests.fakes import CANCEL_S, LEASE_S, REPORT_S, FakeWorker, Sim, spec
 from tests.test_oncall import Blink, busy, deliver, up
 
@@ -678,7 +678,7 @@
     sim.run(20 + constants.GONE_KEEP_S)
     assert len(sim.start_log) == before  # no role, machine or task was lost by it
     gone = [key for key in sim.state.rows if key.startswith("ox/gone/")]
-    assert not gone and sorted(sim.cores["h0"].context.replica.nodes) == sim.labels
+    assert not gone and sorted(sim.cores["h0"].context.replica.live_controllers) == sim.labels
     well(sim, 80)
 
 
--- a/tests/test_meetings_later.py
+++ b/tests/test_meetings_later.py
@@ -9,16 +9,16 @@
 from oakmux import constants
 from oakmux.core.agents import reachability
 from oakmux.core.context import Context, Machine
-from oakmux.core.jobs import (
+from oakmux.core.state.records import (
     Binding,
-    Chunk,
-    chunk_from,
-    chunk_key,
+    TaskBlock,
+    block_key,
     job_key,
     job_value,
+    parse_block,
     role_key,
 )
-from oakmux.core.replica import Replica
+from oakmux.core.state.replica import Replica
 from oakmux.settings import Team
 from oakmux.wire import Heartbeat
 from tests.fakes import CANCEL_S, LEASE_S, PLACED, TYPE, Sim, settings_for, spec
@@ -109,16 +109,16 @@
 @pytest.mark.parametrize("order", [1, -1])
 def test_what_is_bound_of_a_job_that_is_over_counts_whichever_record_came_first(order):
     replica = Replica()
-    bound = Chunk(0, 1, 0, {0: Binding(1, "m", 1, 1, "a"), 1: Binding(1, "m", 1, 1, "a")})
+    bound = TaskBlock(0, 1, 0, {0: Binding(1, "m", 1, 1, "a"), 1: Binding(1, "m", 1, 1, "a")})
     rows = [
         (job_key("job-1"), job_value("cancelled", "red", spec(cpus=2.0), 0, 2), 5),
-        (chunk_key("job-1", 0), bound.to_value(2), 4),
+        (block_key("job-1", 0), bound.to_value(2), 4),
     ]
     replica.load(rows[::order], 5)
-    assert replica.used == {"red": (4.0, 2.0)}
-    assert replica.used_ending["red"][1] == (4.0, 2.0)
-    replica.apply(chunk_key("job-1", 0), None, 6)
-    assert replica.used["red"] == (0.0, 0.0)
+    assert replica.team_usage == {"red": (4.0, 2.0)}
+    assert replica.preemptible_usage["red"][1] == (4.0, 2.0)
+    replica.apply(block_key("job-1", 0), None, 6)
+    assert replica.team_usage["red"] == (0.0, 0.0)
 
 
 # --- machines that a peer misjudges ---
@@ -196,20 +196,20 @@
     sim.run(10)
     owner = holder(sim, "red")
     core, other = sim.cores[owner], next(la for la in sim.labels if la != owner)
-    core.owner.writer.write_after = sim.now + 1000.0
+    core.scheduler.writer.write_after = sim.now + 1000.0
     sim.submit("job-1", spec("array", 1, estimate_s=300.0))
-    while not core.owner.buffer.work.get("job-1"):
+    while not core.scheduler.buffer.work.get("job-1"):
         sim.run(0.2)
     sim.stuck = {owner}
-    [binding] = core.owner.buffer.work["job-1"][0].bound.values()
+    [binding] = core.scheduler.buffer.work["job-1"][0].bound.values()
     theirs = binding._replace(attempt=5, agent_epoch=binding.agent_epoch + 1)
-    chunk = Chunk(0, 5, 0, {0: theirs})
+    block = TaskBlock(0, 5, 0, {0: theirs})
     state = sim.state
     mine, _, lease = state.rows[role_key("red")]
     for key, value in (
         (role_key("red"), None),
         (role_key("red"), [other, 1]),
-        (chunk_key("job-1", 0), chunk.to_value(2)),
+        (block_key("job-1", 0), block.to_value(2)),
         (role_key("red"), None),
         (role_key("red"), mine),
     ):
@@ -220,10 +220,10 @@
             state.put(key, value, lease)
     sim.stuck = set()
     sim.run(0.1)
-    core.owner.writer.write_after = 0.0
+    core.scheduler.writer.write_after = 0.0
     sim.run(2)
     assert not [row for row in sim.start_log if row[1] == "job-1/0"]
-    assert chunk_from(*state.rows[chunk_key("job-1", 0)][:2]).bound == {0: theirs}
+    assert parse_block(*state.rows[block_key("job-1", 0)][:2]).bound == {0: theirs}
 
 
 # --- a start of which our records never heard ---
@@ -402,7 +402,7 @@
     owner = holder(sim, "red")
     if how == "yield":
         core = sim.cores[owner]
-        core.membership._yield({"red": owner, "blue": owner, "#fleet": owner}, sorted(sim.labels))
+        core.leadership._yield({"red": owner, "blue": owner, "#fleet": owner}, sorted(sim.labels))
         sim.step(owner, [])
     elif how == "expiry":
         sim.state.refused = {owner}
--- a/tests/test_oncall.py
+++ b/tests/test_oncall.py
@@ -8,9 +8,9 @@
 from oakmux import constants
 from oakmux.core.agents import reachability
 from oakmux.core.context import Context, Machine
-from oakmux.core.failing import Failures
-from oakmux.core.jobs import node_key
-from oakmux.core.membership import FLEET
+from oakmux.core.leadership.leadership import FLEET
+from oakmux.core.scheduling.failure_attribution import FailureAttribution
+from oakmux.core.state.records import controller_key
 from oakmux.wire import Heartbeat
 from tests.fakes import CANCEL_S, LEASE_S, REPORT_S, Sim, settings_for, spec
 from tests.test_stories import asked, quiet
@@ -70,8 +70,10 @@
 
 def test_without_that_evidence_machines_that_do_not_hear_are_kept(monkeypatch):
     monkeypatch.setattr("oakmux.core.agents.capacity.is_reachable", lambda machine: True)
-    monkeypatch.setattr("oakmux.core.fleet.returns.unreachable_s", lambda context, machine: 0.0)
-    monkeypatch.setattr("oakmux.core.fleet.returns.is_reachable", lambda machine: True)
+    monkeypatch.setattr(
+        "oakmux.core.autoscaling.scale_in.unreachable_s", lambda context, machine: 0.0
+    )
+    monkeypatch.setattr("oakmux.core.autoscaling.scale_in.is_reachable", lambda machine: True)
     with pytest.raises(AssertionError):
         test_work_of_a_machine_that_does_not_hear_goes_on_elsewhere()
 
@@ -288,19 +290,23 @@
             sim.run(14)
             held = sorted(r for core in sim.cores.values() for r in core.context.held_roles)
             assert held == ["#fleet", "blue", "red"], (at, who, served)
-            assert sorted(sim.cores["h0"].context.replica.nodes) == sim.labels, (at, who, served)
+            assert sorted(sim.cores["h0"].context.replica.live_controllers) == sim.labels, (
+                at,
+                who,
+                served,
+            )
 
 
 def test_a_late_write_of_the_process_before_does_not_take_a_controller_off_the_list():
     sim = quiet()
     core = sim.cores["h1"]
-    old = (node_key("h1"), core.context.incarnation, core.membership.lease)
+    old = (controller_key("h1"), core.context.incarnation, core.leadership.lease)
     sim.crash("h1", 0.1)
     sim.run(1.5)
     assert sim.state.serve("h1", "txn", [], [old], -1)[0] == 200  # held up on its way till now
     sim.run(constants.NODE_LEASE_S + 6)
-    assert "h1" in sim.cores["h0"].context.replica.nodes
-    assert sim.state.rows[node_key("h1")][0] == sim.cores["h1"].context.incarnation
+    assert "h1" in sim.cores["h0"].context.replica.live_controllers
+    assert sim.state.rows[controller_key("h1")][0] == sim.cores["h1"].context.incarnation
 
 
 @pytest.mark.parametrize("count", [3, 7])
@@ -434,7 +440,7 @@
 
 
 def test_without_that_comparison_jobs_with_mistakes_brand_machines(monkeypatch, caplog):
-    monkeypatch.setattr(Failures, "blames", lambda self, job_id, machine: True)
+    monkeypatch.setattr(FailureAttribution, "blames", lambda self, job_id, machine: True)
     with pytest.raises(AssertionError):
         test_jobs_that_fail_everywhere_brand_no_machine_and_keep_nothing_from_others(caplog)
 
@@ -540,9 +546,9 @@
     sim.capacity = 40
     sim.run(5)
     core = next(core for core in sim.cores.values() if FLEET in core.context.held_roles)
-    demand = core.fleet.demand
+    demand = core.autoscaler.scale_out
     bad = ("big", "a", True)
-    core.fleet.lists.never_up = [(sim.now, bad)] * constants.BOOT_TROUBLE
+    core.autoscaler.inventory.failed_boots = [(sim.now, bad)] * constants.BOOT_TROUBLE
     sim.submit("job-1", spec("array", 9, "blue", spot=True, cpus=8.0, gpus=0.0))
     sim.run(8)
     assert bad in demand.troubled
--- a/tests/test_opening.py
+++ b/tests/test_opening.py
@@ -8,9 +8,9 @@
 
 from oakmux import constants
 from oakmux.core.context import Context
-from oakmux.core.jobs import Job
-from oakmux.core.spread.opening import Held, Site, choose, fits, parts
-from oakmux.core.spread.openings import Openings
+from oakmux.core.scheduling.backfill_plan import BackfillCandidate, Held, choose, fits, parts
+from oakmux.core.scheduling.backfill_reservations import BackfillReservations
+from oakmux.core.state.records import Job
 from oakmux.settings import Spread
 from tests.fakes import Sim, settings_for, spec
 from tests.test_stories import quiet
@@ -18,7 +18,7 @@
 NEED = (2.0, 2.0, 8.0)
 
 
-def fragmented(dice: random.Random) -> tuple[list[Site], int]:
+def fragmented(dice: random.Random) -> tuple[list[BackfillCandidate], int]:
     """Return a small fleet with work of all kinds scattered over it, and a gang's size."""
     sites = []
     for number in range(dice.randint(3, 9)):
@@ -32,12 +32,14 @@
             ready = dice.choice([0.0, 0.0, round(dice.uniform(1, 100)), math.inf])
             held.append(Held(takes, ready, round(dice.uniform(1, 60)) if not ready else 0.0))
         sites.append(
-            Site(f"m{number}", dice.choice("ab"), (free[0], free[1], free[2]), tuple(held))
+            BackfillCandidate(
+                f"m{number}", dice.choice("ab"), (free[0], free[1], free[2]), tuple(held)
+            )
         )
     return sites, dice.randint(1, 6)
 
 
-def best(sites: list[Site], tasks: int, by: float) -> float | None:
+def best(sites: list[BackfillCandidate], tasks: int, by: float) -> float | None:
     """Return the least work lost so that a gang has room in these by a time, or None."""
     model = highspy.Highs()
     model.setOptionValue("output_flag", False)
@@ -48,7 +50,7 @@
         for kind in range(3):
             model.addConstr(
                 NEED[kind] * count
-                <= site.free[kind] + sum(held.takes[kind] * var for var, held in ended)
+                <= site.free[kind] + sum(held.resources[kind] * var for var, held in ended)
             )
         placed.append(count)
         cost += [held.lost_s * var for var, held in ended]
@@ -59,7 +61,7 @@
     return model.getInfo().objective_function_value
 
 
-def soonest(sites: list[Site], tasks: int) -> tuple[float, float] | None:
+def soonest(sites: list[BackfillCandidate], tasks: int) -> tuple[float, float] | None:
     """Return when a gang can have room in these at the earliest, and at what loss."""
     for by in sorted({0.0, *(h.ready_s for s in sites for h in s.held if h.ready_s < math.inf)}):
         lost = best(sites, tasks, by)
@@ -87,7 +89,7 @@
             if site.name in opening.machines:
                 assert site.zone == opening.zone
                 free_resources = [
-                    have + sum(h.takes[k] for h in site.held if h.ready_s <= opening.ready_s)
+                    have + sum(h.resources[k] for h in site.held if h.ready_s <= opening.ready_s)
                     for k, have in enumerate(site.free)
                 ]
                 assert fits(NEED, tuple(free_resources)) >= opening.machines[site.name]
@@ -101,7 +103,7 @@
 
 def test_what_a_larger_task_makes_needless_is_spared():
     small, large = (Held((gpus, gpus, 4.0), 0.0, 5.0 * gpus) for gpus in (1.0, 2.0))
-    [part] = parts(NEED, Site("m", "a", (0.0, 0.0, 8.0), (small, large)), 1)
+    [part] = parts(NEED, BackfillCandidate("m", "a", (0.0, 0.0, 8.0), (small, large)), 1)
     assert part.lost_s == large.lost_s
 
 
@@ -170,7 +172,7 @@
 
 def test_only_what_gives_way_goes_to_machines_that_are_being_opened():
     context = Context(settings_for("h0"), random.Random(1), 0)
-    openings = Openings(context)
+    openings = BackfillReservations(context)
 
     def job(name: str, since: int, **more) -> Job:
         found = Job(name, "red", "queued", 1, spec(**more), 0, 1)
@@ -178,7 +180,7 @@
         return found
 
     def barred(other: Job) -> bool:
-        return openings.bars("m1", other, other.spec)
+        return openings.blocks_job("m1", other, other.spec)
 
     openings.take("job-2", 2, 50.0, ["m1", "m2"], 30.0)
     older, younger = (
@@ -198,7 +200,7 @@
         False,
         True,
     ]
-    assert not openings.bars("m3", younger, younger.spec)
+    assert not openings.blocks_job("m3", younger, younger.spec)
     openings.take("job-1", 2, 40.0, ["m1"], 30.0)  # the older has what both name
     assert openings.by_machine == {"m1": "job-1", "m2": "job-2"}
     openings.take("job-1", 2, 40.0, [], 0.0)
@@ -211,7 +213,7 @@
 def test_the_oldest_gang_may_have_machines_that_younger_ones_wait_for():
     # Two younger gangs had named 72 machines; for the oldest, 36 others were ready in 260 s.
     context = Context(settings_for("h0"), random.Random(1), 0)
-    openings = Openings(context)
+    openings = BackfillReservations(context)
     jobs = {}
     for name, since, priority in (
         ("job-1", 40, 2),
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -7,18 +7,18 @@
 import pytest
 
 from oakmux import constants
-from oakmux.core.jobs import (
+from oakmux.core.state.binding_batches import BatchRow, batch_key, reserved_bytes
+from oakmux.core.state.records import (
     FORMAT,
     FORMAT_COMPACT,
     FORMAT_KEY,
     Binding,
-    Chunk,
+    TaskBlock,
     job_key,
     job_value,
     value_bytes,
 )
-from oakmux.core.pages import PageRow, page_key, reserved_bytes
-from oakmux.core.replica import Replica
+from oakmux.core.state.replica import Replica
 from tests.fakes import LEASE_S, Sim, spec
 from tests.test_meetings import Twins, kinds, well
 from tools.capacity.cell import Cell, cpu_job
@@ -64,8 +64,8 @@
 
 def row(job_id: str, machine: str = "m1", attempt: int = 1, tasks: int = 1) -> list:
     """Return a page's row with one task bound."""
-    chunk = Chunk(last=attempt, bound={0: Binding(attempt, machine, 1, 1, "a")})
-    return PageRow(job_id, tasks, chunk.to_value(FORMAT)).to_value()
+    block = TaskBlock(last=attempt, bound={0: Binding(attempt, machine, 1, 1, "a")})
+    return BatchRow(job_id, tasks, block.to_value(FORMAT)).to_value()
 
 
 # --- what it is for ---
@@ -100,8 +100,8 @@
     sim.submit("job-99", spec("array", constants.PAGE_TASKS, gpus=0.0, cpus=0.1, memory_gb=0.1))
     sim.submit("job-100", spec("array", constants.PAGE_TASKS + 1, gpus=0.0, cpus=0.1))
     sim.run(15)
-    least = sim.cores["h0"].owner.buffer.least_bytes
-    found = sim.cores["h0"].context.replica.pages
+    least = sim.cores["h0"].scheduler.buffer.least_bytes
+    found = sim.cores["h0"].context.replica.batches
     assert len(found) > 1
     for page in found.values():
         assert page.reserved == sum(reserved_bytes(row.tasks) for row in page.rows.values())
@@ -118,8 +118,8 @@
             index: Binding(250 + index, f"n-{123000 + index:06d}", 31, 4100 + index, "tembalang")
             for index in range(tasks)
         }
-        chunk = Chunk(0, 314, 2**tasks - 1, bound)
-        found = PageRow("job-" + "9" * 18, tasks, chunk.to_value(FORMAT)).to_value()
+        block = TaskBlock(0, 314, 2**tasks - 1, bound)
+        found = BatchRow("job-" + "9" * 18, tasks, block.to_value(FORMAT)).to_value()
         assert value_bytes(found) + 1 <= reserved_bytes(tasks)
 
 
@@ -127,13 +127,13 @@
     sim = Sim(1)
     sim.coming = None
     sim.run(12)
-    buffer = sim.cores[owner(sim, "red")].owner.buffer
-    assert reserved_bytes(constants.PAGE_TASKS) <= buffer.pages.limit
-    first = buffer.pages.choose("red", "job-1", constants.PAGE_TASKS)
-    others = {buffer.pages.choose("red", f"job-{n}", constants.PAGE_TASKS) for n in range(2, 6)}
+    buffer = sim.cores[owner(sim, "red")].scheduler.buffer
+    assert reserved_bytes(constants.PAGE_TASKS) <= buffer.batches.limit
+    first = buffer.batches.choose("red", "job-1", constants.PAGE_TASKS)
+    others = {buffer.batches.choose("red", f"job-{n}", constants.PAGE_TASKS) for n in range(2, 6)}
     assert first == "red/0" and len(others) > 1
-    buffer.pages.release("job-1")
-    assert buffer.pages.choose("red", "job-9", 1) == "red/0"
+    buffer.batches.release("job-1")
+    assert buffer.batches.choose("red", "job-9", 1) == "red/0"
 
 
 # --- what a reader makes of pages ---
@@ -143,34 +143,34 @@
     replica = Replica()
     for number, name in enumerate(("job-1", "job-2"), 1):
         replica.apply(job_key(name), job_value("queued", "red", spec(), 0, 1), number)
-    key = page_key("red/0")
+    key = batch_key("red/0")
     replica.apply(key, [row("job-1"), row("job-2", "m2")], 10)
     assert {name: list(bound) for name, bound in replica.by_machine.items()} == {
         "m1": [("job-1", 0)],
         "m2": [("job-2", 0)],
     }
-    kept = replica.jobs["job-2"].chunks[0]
+    kept = replica.jobs["job-2"].blocks[0]
     replica.changed_jobs.clear()
     replica.apply(key, [row("job-1", "m3", 2), row("job-2", "m2")], 12)
-    assert replica.changed_jobs == {"job-1"} and replica.jobs["job-2"].chunks[0] is kept
+    assert replica.changed_jobs == {"job-1"} and replica.jobs["job-2"].blocks[0] is kept
     replica.apply(key, [row("job-1"), row("job-2", "m9")], 11)  # older: it changes nothing
-    assert list(replica.by_machine) == ["m2", "m3"] and replica.pages["red/0"].mod_revision == 12
+    assert list(replica.by_machine) == ["m2", "m3"] and replica.batches["red/0"].mod_revision == 12
     replica.apply(key, [row("job-2", "m2")], 13)
-    assert not replica.jobs["job-1"].chunks and list(replica.by_machine) == ["m2"]
-    replica.apply(page_key("red/7"), None, 13)  # read, and not there
-    assert "red/7" not in replica.pages
+    assert not replica.jobs["job-1"].blocks and list(replica.by_machine) == ["m2"]
+    replica.apply(batch_key("red/7"), None, 13)  # read, and not there
+    assert "red/7" not in replica.batches
     replica.apply(key, [row("job-1"), ["torn"]], 14)  # all of it or nothing
-    assert replica.pages["red/0"].mod_revision == 13 and list(replica.by_machine) == ["m2"]
+    assert replica.batches["red/0"].mod_revision == 13 and list(replica.by_machine) == ["m2"]
 
 
 def test_a_page_counts_before_the_record_of_its_job_is_known():
     replica = Replica()
-    replica.apply(page_key("red/0"), [row("job-1")], 5)
+    replica.apply(batch_key("red/0"), [row("job-1")], 5)
     assert list(replica.by_machine) == ["m1"]
     replica.apply(job_key("job-1"), job_value("queued", "red", spec(gpus=2.0), 0, 1), 4)
-    assert replica.used["red"] == (1.0, 2.0)
+    assert replica.team_usage["red"] == (1.0, 2.0)
     replica.load([(job_key("job-1"), job_value("queued", "red", spec(gpus=2.0), 0, 1), 4)], 9)
-    assert replica.used["red"] == (0.0, 0.0) and not replica.by_machine
+    assert replica.team_usage["red"] == (0.0, 0.0) and not replica.by_machine
 
 
 # --- rules: one binder, durable before it is told, cancellation or binding ---
@@ -419,7 +419,9 @@
         transaction(effect)
 
     monkeypatch.setattr(cell, "_transaction", noted)
-    monkeypatch.setattr(cell.core.fleet, "tick", lambda: None)  # it would return idle machines
+    monkeypatch.setattr(
+        cell.core.autoscaler, "tick", lambda: None
+    )  # it would return idle machines
     cell.run(5.0)
     cell.submit(cpu_job("team-0", 1600, 60.0, "gang"))
     cell.run(5.0)
--- a/tests/test_schedules.py
+++ b/tests/test_schedules.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from oakmux.core.jobs import job_key, job_value
+from oakmux.core.state.records import job_key, job_value
 from oakmux.schedules import records, zones
 from tests.fakes import spec
 from tests.timed import JOB, SKEW_MS, Timed, seconds, settled
@@ -225,7 +225,7 @@
         sim.crash(sim.holder())
         sim.run(35)
     assert len(sim.made) == 18 and len({job for _, job in sim.made}) == 18
-    assert max(sim.late()) < 8.0
+    assert max(sim.misses_objective()) < 8.0
     assert min(Counter(names(sim)).values()) == 6
 
 
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -8,11 +8,11 @@
 
 from oakmux import constants
 from oakmux.core.context import Context
-from oakmux.core.jobs import Job
 from oakmux.core.scheduling.minimum_share import MinimumShare
-from oakmux.core.spread.lines import Lines
-from oakmux.core.spread.order import turn_ms
-from oakmux.core.spread.waiting import Waiting
+from oakmux.core.scheduling.pending_queues import PendingQueues
+from oakmux.core.scheduling.queue_order import effective_submission_ms
+from oakmux.core.scheduling.sampling_schedule import SamplingSchedule
+from oakmux.core.state.records import Job
 from tests.fakes import TYPE, Sim, settings_for, spec
 from tests.test_stories import quiet
 
@@ -28,21 +28,30 @@
 def test_a_line_holds_its_jobs_by_what_has_to_start_first_then_age(moves):
     context = Context(settings_for("h0"), random.Random(1), 0)
     context.types = {"big": TYPE}
-    lines, expected = Lines(context), {}
+    queues, expected = PendingQueues(context), {}
     for number, priority, cpus, move in moves:
         name = f"job-{number}"
         if move == 0:
-            lines.drop(name)
+            queues.drop(name)
             expected.pop(name, None)
             continue
         job = Job(name, "red", "queued", 1, spec(cpus=cpus, priority=priority), 0, 1)
-        job.since, job.due = move * 10, 100.0 - move
-        shape = lines.put(job, job.spec)
-        expected[name] = (shape, (True, job.latest, False, turn_ms(context, job, job.spec), name))
+        job.since, job.due_ms = move * 10, 100.0 - move
+        shape = queues.put(job, job.spec)
+        expected[name] = (
+            shape,
+            (
+                True,
+                job.latest_start_ms,
+                False,
+                effective_submission_ms(context, job, job.spec),
+                name,
+            ),
+        )
     by_line = {}
     for shape, place in expected.values():
         by_line.setdefault(shape, []).append(place)
-    assert {shape: list(line) for shape, line in lines.lines.items()} == {
+    assert {shape: list(line) for shape, line in queues.by_shape.items()} == {
         shape: sorted(places) for shape, places in by_line.items()
     }
 
@@ -51,8 +60,8 @@
     """Return the jobs that are sampled from now on, in all controllers."""
     found: list[str] = []
     for core in sim.cores.values():
-        real = core.owner.sampler._sample_job
-        core.owner.sampler._sample_job = lambda job, spec, state, real=real: (
+        real = core.scheduler.sampler._sample_job
+        core.scheduler.sampler._sample_job = lambda job, spec, state, real=real: (
             found.append(job.id),
             real(job, spec, state),
         )
@@ -116,11 +125,14 @@
     assert max(late) <= 12  # ten at a time, and offers cross one another
 
 
-@pytest.mark.parametrize("guard", ["open_fitting", "use_fell", "none"])
+@pytest.mark.parametrize("guard", ["reopen_fitting", "reopen_limited", "none"])
 def test_a_line_is_opened_again_whichever_sign_of_room_is_missed(monkeypatch, guard):
     # The safety net: news that a keeper lost must not keep a line shut for ever.
     if guard != "none":
-        monkeypatch.setattr(f"oakmux.core.spread.waiting.Waiting.{guard}", lambda self, what: None)
+        monkeypatch.setattr(
+            f"oakmux.core.scheduling.sampling_schedule.SamplingSchedule.{guard}",
+            lambda self, what: None,
+        )
     sim = quiet()
     sim.submit("job-0", spec("array", 10, "blue", estimate_s=15.0))
     for number in range(1, 31):
@@ -229,17 +241,17 @@
     context = Context(settings_for("h0"), random.Random(1), 0)
     context.finish_objectives["l"] = 60.0
     context.types = {"big": TYPE}
-    lines = Lines(context)
+    queues = PendingQueues(context)
     for number, (since, tasks) in enumerate([(0, 2), (30_000, 2), (30_000, 6), (31_000, 1)]):
         job = Job(f"job-{number}", "red", "queued", 1, spec(tasks=tasks), since, tasks)
         context.replica.jobs[job.id] = job
-        shape = lines.put(job, job.spec)
-    assert lines.head(shape)[-1] == "job-0"
+        shape = queues.put(job, job.spec)
+    assert queues.head(shape)[-1] == "job-0"
     context.now = 56.0  # it needs five seconds more, and its time is over
     order = []
-    while (head := lines.head(shape)) is not None:
+    while (head := queues.head(shape)) is not None:
         order.append(head[-1])
-        lines.drop(head[-1])
+        queues.drop(head[-1])
     assert order[-1] == "job-0" and order.index("job-1") < order.index("job-2")
 
 
@@ -248,10 +260,10 @@
     context = Context(settings_for("h0"), random.Random(1), 0)
     context.finish_objectives["l"] = 60.0
     context.types = {"big": TYPE}
-    waiting = Waiting(context, {})
+    waiting = SamplingSchedule(context, {})
     job = Job("job-1", "red", "queued", 1, spec(), 0, 1)
     context.replica.jobs[job.id] = job
-    waiting.lines.put(job, job.spec)
+    waiting.queues.put(job, job.spec)
     context.now = 100.0
     assert [turn[-2] for turn in waiting.turns()] == ["job-1"]
 
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -6,8 +6,8 @@
 
 from oakmux import constants
 from oakmux.core.agents import termination
-from oakmux.core.jobs import Binding, Job
-from oakmux.core.owner.places import fetch_s, preference
+from oakmux.core.scheduling.placement import fetch_s, preference
+from oakmux.core.state.records import Binding, Job
 from oakmux.settings import Team
 from tests.fakes import CANCEL_S, LEASE_S, REPORT_S, TEAMS, Sim, spec
 
@@ -416,7 +416,7 @@
             context, machine, task, binding, {k: v for k, v in shown.items() if v[0] != "starting"}
         )
 
-    monkeypatch.setattr("oakmux.core.owner.binding.gone", hasty)
+    monkeypatch.setattr("oakmux.core.scheduling.binding.gone", hasty)
     with pytest.raises(AssertionError, match="ran_twice|quota|wrong_place"):
         for seed in range(1, 12):
             troubled(seed)
@@ -456,7 +456,7 @@
     sim.submit("job-3", spec("array", 1, "blue", estimate_s=400.0, zone="c"))
     sim.run(15)
     for core in sim.cores.values():  # no more machines, so that only preemption helps
-        core.fleet.demand._rent = lambda *a: None
+        core.autoscaler.scale_out._rent = lambda *a: None
     sim.submit("job-4", spec("service", 2, "blue", spread=True, priority=3))
     sim.run(15)
     zones = {w.zone for w, task, _ in sim.live() if task.startswith("job-4/")}
@@ -535,7 +535,7 @@
     sim.submit("job-1", spec("array", 8, "red", estimate_s=300.0, zone="a"))
     sim.run(20)
     for core in sim.cores.values():  # no more machines, so that only preemption helps
-        core.fleet.demand._rent = lambda *a: None
+        core.autoscaler.scale_out._rent = lambda *a: None
     sim.submit(
         "job-2", spec("gang", 2, "blue", one_zone=True, priority=2, gpus=2.0, estimate_s=300.0)
     )
@@ -553,7 +553,7 @@
     sim.run(5)
     holder = next(name for _, task, _, name in sim.start_log if task == "job-2/0")
     for core in sim.cores.values():
-        core.fleet.demand._rent = lambda *a: None  # the other machine has to do
+        core.autoscaler.scale_out._rent = lambda *a: None  # the other machine has to do
     sim.cuts |= {frozenset((label, holder)) for label in sim.labels}
     sim.run(8)  # a report that was on its way when the cut began may come late
     sim.submit("job-3", spec("array", 1, "red", image="rare", estimate_s=60.0))
@@ -570,8 +570,8 @@
     worker.node = (sim.labels.index(owner) + 1) % 3  # another controller keeps the machine
     sim.run(2)
     for core in sim.cores.values():
-        core.fleet.demand._rent = lambda *a: None  # one machine has to do
-    sim.cores[owner].owner.writer.flush = lambda: None
+        core.autoscaler.scale_out._rent = lambda *a: None  # one machine has to do
+    sim.cores[owner].scheduler.writer.flush = lambda: None
     sim.submit("job-2", spec("array", 1, "red", gpus=4.0, estimate_s=60.0))
     sim.run(0.5)
     sim.crash(owner, 30.0)
@@ -638,9 +638,13 @@
     )
     sim.run(20)
     [(worker, _, _)] = sim.live()
-    fleet = next(core.fleet for core in sim.cores.values() if "#fleet" in core.context.held_roles)
+    fleet = next(
+        core.autoscaler for core in sim.cores.values() if "#fleet" in core.context.held_roles
+    )
     lists_s = constants.ABSENT_LAGS * 2.0
-    assert sim.now - fleet.lists.known_since[worker.name] > lists_s  # any list may prove it now
+    assert (
+        sim.now - fleet.inventory.known_since[worker.name] > lists_s
+    )  # any list may prove it now
     sim.kill(worker.name)
     killed = sim.now
     while any(worker.name in core.context.replica.by_machine for core in sim.cores.values()):
@@ -657,7 +661,7 @@
     sim.submit("job-2", spec("service", 5, "blue", zone="b"))
     sim.run(20)
     for core in sim.cores.values():
-        core.fleet.demand._rent = lambda *a: None
+        core.autoscaler.scale_out._rent = lambda *a: None
     before = sim.start_log[:]
     sim.submit("job-3", spec("gang", 2, "blue", one_zone=True, priority=2, gpus=3.0))
     sim.run(20)
@@ -670,15 +674,15 @@
     sim = quiet()
     sim.submit("job-1", spec("array", 1, "red", estimate_s=3.0))
     sim.run(12)
-    writes = {label: core.owner.writer.flush for label, core in sim.cores.items()}
+    writes = {label: core.scheduler.writer.flush for label, core in sim.cores.items()}
     for core in sim.cores.values():
-        core.fleet.demand._rent = lambda *a: None  # one machine has to do
-        core.owner.writer.flush = lambda: None
+        core.autoscaler.scale_out._rent = lambda *a: None  # one machine has to do
+        core.scheduler.writer.flush = lambda: None
     sim.submit("job-2", spec("array", 1, "red", gpus=4.0, estimate_s=60.0))
     sim.submit("job-3", spec("array", 1, "blue", gpus=4.0, estimate_s=60.0))
     sim.run(5)
     for label, core in sim.cores.items():
-        core.owner.writer.flush = writes[label]
+        core.scheduler.writer.flush = writes[label]
     sim.run(1)
     assert [len(rows) for rows in sim.cores["h0"].context.replica.by_machine.values()] == [1]
 
@@ -692,10 +696,10 @@
     sim.run(10)
     core = next(c for c in sim.cores.values() if "red" in c.context.held_roles)
     sampled = []
-    real = core.owner.sampler._sample_job
-    core.owner.sampler._sample_job = lambda *a: sampled.append(a) or real(*a)
+    real = core.scheduler.sampler._sample_job
+    core.scheduler.sampler._sample_job = lambda *a: sampled.append(a) or real(*a)
     core.step(sim.now + 0.2, [])
-    assert len(core.owner.open) > 900
+    assert len(core.scheduler.open) > 900
     assert len(sampled) <= 40
     assert all(
         len(k.queue) <= 64 for c in sim.cores.values() for k in c.agents.workers.tracked.values()
@@ -717,7 +721,7 @@
         raise KeyError("fault")
 
     for core in sim.cores.values():
-        core.fleet.tick = fail
+        core.autoscaler.tick = fail
     answers = []
     sim.command("h0", ("query", lambda s, a: answers.append(s), "job-1"))
     sim.run(2)
@@ -734,7 +738,7 @@
     sim.run(14)
     assert len(sim.live()) == 12
     for core in sim.cores.values():
-        core.fleet.demand._rent = lambda *a: None
+        core.autoscaler.scale_out._rent = lambda *a: None
     for job_id in ("job-3", "job-4"):
         sim.submit(job_id, spec("gang", 2, "blue", cpus=3.0, priority=2))
         sim.run(0.3)
@@ -750,15 +754,15 @@
     sim.run(8)
     core = next(c for c in sim.cores.values() if "blue" in c.context.held_roles)
     for other in sim.cores.values():
-        other.fleet.demand._rent = lambda *a: None
+        other.autoscaler.scale_out._rent = lambda *a: None
     sim.submit("job-2", spec("gang", 6, "blue", cpus=3.0))
     sim.run(1)
-    state, name = core.owner.open["job-2"], next(iter(core.context.machines))
-    core.owner.gangs.end(core.context.replica.jobs["job-2"], state)
-    state.quiet_until = sim.now + 5
+    state, name = core.scheduler.open["job-2"], next(iter(core.context.machines))
+    core.scheduler.gangs.end(core.context.replica.jobs["job-2"], state)
+    state.backoff_until = sim.now + 5
     agent_epoch = core.context.machines[name].agent_epoch
     core.context.now = sim.now
-    core.owner.binder.offer(name, "job-2", 7, agent_epoch, 1, "h9")
+    core.scheduler.binder.offer(name, "job-2", 7, agent_epoch, 1, "h9")
     assert ("send", "h9", ("decline", name, 7)) in core.context.effects
 
 
@@ -845,7 +849,7 @@
     sim.run(115)
     holders = {w.name for w, task, _ in sim.live() if task.startswith("job-1/")}
     for core in sim.cores.values():
-        core.fleet.demand._rent = lambda *a: None
+        core.autoscaler.scale_out._rent = lambda *a: None
     sim.submit("job-3", spec("gang", 2, "blue", image="x", image_gb=90.0, priority=2))
     sim.run(5)
     assert {w.name for w, task, _ in sim.live() if task.startswith("job-3/")} == holders
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -10,21 +10,21 @@
 
 from oakmux import wire
 from oakmux.core.controller import Controller
-from oakmux.core.jobs import (
+from oakmux.core.state.records import (
     FORMAT,
     FORMAT_KEY,
     Binding,
-    Chunk,
-    chunk_from,
-    chunk_key,
+    TaskBlock,
+    block_key,
     job_key,
     job_value,
+    parse_block,
     value_bytes,
     version_key,
 )
-from oakmux.core.replica import Replica
-from oakmux.net.peers import parse_batch
+from oakmux.core.state.replica import Replica
 from oakmux.settings import ComingLimits
+from oakmux.transport.peer_client import parse_batch
 from tests.fakes import TYPE, Sim, settings_for, spec
 
 FIRST = json.loads((Path(__file__).parent / "data" / "first_version.json").read_text())
@@ -69,7 +69,7 @@
 
 def test_records_of_the_first_version_are_read_and_written_alike():
     replica = first_replica()
-    assert replica.format == 1 and replica.per_chunk is None and not replica.bad
+    assert replica.format == 1 and replica.tasks_per_record is None and not replica.unreadable
     states = {job_id: job.state for job_id, job in replica.jobs.items()}
     assert states == {
         "job-1": "queued",
@@ -82,11 +82,11 @@
         written = job_value(job.state, job.team, job.spec, job.order, job.tasks)
         assert written == FIRST["rows"][job_key(job.id)][0]
         assert job.ready
-        for number, chunk in job.chunks.items():
-            assert chunk.to_value(1) == FIRST["rows"][chunk_key(job.id, number)][0]
-            again = chunk_from(chunk.to_value(2), chunk.mod_revision)
-            assert (again.bound, again.done, again.last) == (chunk.bound, chunk.done, chunk.last)
-    assert len(replica.jobs["job-2"].chunks[0].bound) == 30
+        for number, block in job.blocks.items():
+            assert block.to_value(1) == FIRST["rows"][block_key(job.id, number)][0]
+            again = parse_block(block.to_value(2), block.mod_revision)
+            assert (again.bound, again.done, again.last) == (block.bound, block.done, block.last)
+    assert len(replica.jobs["job-2"].blocks[0].bound) == 30
 
 
 def test_messages_of_the_first_version_are_understood_and_ours_have_their_form(caplog):
@@ -250,7 +250,7 @@
     sim.run(12)
     sim.submit("job-1", small(64, estimate_s=500.0))
     sim.run(8)
-    key = chunk_key("job-1", 0)
+    key = block_key("job-1", 0)
     assert value_bytes(sim.state.rows[key][0]) > 1.2 * 1024
     upgrade(sim, *ALL)
     sim.run(4)
@@ -306,7 +306,7 @@
         )
         for i in range(64)
     }
-    assert value_bytes(Chunk(0, 314, 2**64 - 1, bound).to_value(2)) <= 2048
+    assert value_bytes(TaskBlock(0, 314, 2**64 - 1, bound).to_value(2)) <= 2048
 
 
 def test_the_mapping_of_tasks_to_records_does_not_move_with_the_limits():
@@ -314,14 +314,14 @@
     sim = Sim(1, coming=COMING)
     sim.run(12)
     core = sim.cores["h0"]
-    assert core.owner.buffer.per_chunk == 64
+    assert core.scheduler.buffer.tasks_per_record == 64
     page = settings_for("h0")
     limits = msgspec.structs.replace(page.facts.state, value_kb=2.0)  # the new limits, one day
     facts = msgspec.structs.replace(page.facts, state=limits)
     later = Controller(msgspec.structs.replace(page, facts=facts), random.Random(1), 0)
-    assert later.owner.buffer.per_chunk == 18
+    assert later.scheduler.buffer.tasks_per_record == 18
     later.step(0.0, [("snapshot", [(FORMAT_KEY, [2, 64], 3)], 3, 0.0)])
-    assert later.owner.buffer.per_chunk == 64
+    assert later.scheduler.buffer.tasks_per_record == 64
 
 
 def test_records_of_a_later_version_are_one_line_in_the_log_and_nothing_is_served(caplog):
--- a/tools/capacity/cell.py
+++ b/tools/capacity/cell.py
@@ -12,7 +12,7 @@
 
 from oakmux import wire
 from oakmux.core.controller import Controller
-from oakmux.core.jobs import PREFIX
+from oakmux.core.state.records import PREFIX
 from oakmux.settings import (
     CloudLimits,
     External,
@@ -21,7 +21,7 @@
     Settings,
     StateLimits,
     Team,
-    Workers,
+    WorkerClient,
 )
 from oakmux.wire import Heartbeat, JobSpec, MachineType
 
@@ -53,7 +53,7 @@
     facts = Facts(
         zone_names(zones),
         [Team(name, cpus=UNLIMITED) for name in team_names(teams)],
-        Workers(REPORT_S, 15.0, 30.0, 8.0, 35.0),
+        WorkerClient(REPORT_S, 15.0, 30.0, 8.0, 35.0),
         StateLimits(UNLIMITED, UNLIMITED, 8, 48),
         CloudLimits(5, 5),
         controllers,
--- a/tools/capacity/measurements.py
+++ b/tools/capacity/measurements.py
@@ -16,8 +16,15 @@
 
 from oakmux import wire
 from oakmux.core.controller import Controller
-from oakmux.core.jobs import Binding, Chunk, chunk_key, job_key, job_value, value_bytes
-from oakmux.net.http import render
+from oakmux.core.state.records import (
+    Binding,
+    TaskBlock,
+    block_key,
+    job_key,
+    job_value,
+    value_bytes,
+)
+from oakmux.transport.http import render
 from oakmux.wire import JobSpec
 from tools import cost
 from tools.capacity.cell import Cell, cell_settings, cpu_job, steady, team_names, zone_names
@@ -434,7 +441,7 @@
             (job_key(job_id), job_value("queued", "team-0", spec, number, 10), 2 * number + 1)
         )
         rows.append(
-            (chunk_key(job_id, 0), Chunk(last=10, bound=bound).to_value(2), 2 * number + 2)
+            (block_key(job_id, 0), TaskBlock(last=10, bound=bound).to_value(2), 2 * number + 2)
         )
     return rows
 
--- a/tools/cost.py
+++ b/tools/cost.py
@@ -17,8 +17,8 @@
 from hdrh.histogram import HdrHistogram
 
 from oakmux.core.controller import Controller
-from oakmux.core.jobs import Binding, Chunk, chunk_key, job_key, job_value
-from oakmux.core.membership import FLEET
+from oakmux.core.leadership.leadership import FLEET
+from oakmux.core.state.records import Binding, TaskBlock, block_key, job_key, job_value
 from oakmux.settings import (
     CloudLimits,
     External,
@@ -27,7 +27,7 @@
     Settings,
     StateLimits,
     Team,
-    Workers,
+    WorkerClient,
 )
 from oakmux.wire import Heartbeat, JobSpec, MachineType
 
@@ -80,7 +80,7 @@
             Facts(
                 ZONES,
                 [Team("red", gpus=1e6), Team("blue", gpus=1e6)],
-                Workers(REPORT_S, 15.0, 30.0, 8.0, 35.0),
+                WorkerClient(REPORT_S, 15.0, 30.0, 8.0, 35.0),
                 StateLimits(1e6, 1e6, 8, 48),
                 CloudLimits(5, 5),
                 2,
@@ -205,8 +205,8 @@
             )
             job_id = f"job-9{number:06}"
             rows.append((job_key(job_id), job_value("queued", "red", spec, 0, 1), self.revision))
-            chunk = Chunk(last=1, bound={0: Binding(1, name, 1, 1, ZONES[number % 3])})
-            rows.append((chunk_key(job_id, 0), chunk.to_value(2), self.revision))
+            block = TaskBlock(last=1, bound={0: Binding(1, name, 1, 1, ZONES[number % 3])})
+            rows.append((block_key(job_id, 0), block.to_value(2), self.revision))
         self.step([("watch", rows, self.revision, self.now)])
 
     def submit(self, jobs: int) -> None:
@@ -238,7 +238,7 @@
     """Ticks with jobs waiting and idle machines at a peer: what sampling costs."""
     bench = Bench(machines, False, seed)
     bench.submit(jobs)
-    bench.core.fleet.tick = lambda: None  # type: ignore[method-assign]
+    bench.core.autoscaler.tick = lambda: None  # type: ignore[method-assign]
     return measure(bench.tick, ticks)
 
 
@@ -255,7 +255,7 @@
 def quiet(machines: int, ticks: int, seed: int) -> HdrHistogram:
     """Ticks with nothing to do."""
     bench = Bench(machines, False, seed)
-    bench.core.fleet.tick = lambda: None  # type: ignore[method-assign]
+    bench.core.autoscaler.tick = lambda: None  # type: ignore[method-assign]
     return measure(bench.tick, ticks)
 
 
@@ -272,7 +272,7 @@
         for machine in bench.core.context.machines.values():
             machine.last_heartbeat_at = bench.now
         start = time.process_time()
-        bench.core.fleet.tick()
+        bench.core.autoscaler.tick()
         bench.core.context.effects.clear()
         return time.process_time() - start
 
@@ -289,14 +289,14 @@
         spec = job_spec(rng, number) if state == "queued" else None
         rows.append((job_key(job_id), job_value(state, "red", spec, number, 35), number + 1))
         if spec is not None:
-            chunk = Chunk(
+            block = TaskBlock(
                 last=35,
                 bound={
                     index: Binding(index + 1, f"n-{rng.randrange(600):06}", 1, 1, "a")
                     for index in range(35)
                 },
             )
-            rows.append((chunk_key(job_id, 0), chunk.to_value(2), number + 1))
+            rows.append((block_key(job_id, 0), block.to_value(2), number + 1))
     bench = Bench(0, False, seed)
     before = resident_mb()
     spent = bench.step([("snapshot", rows, records + 1, bench.now)])
--- a/tools/scale/cloud.py
+++ b/tools/scale/cloud.py
@@ -8,8 +8,8 @@
 from urllib.parse import parse_qs, urlsplit
 
 from oakmux import wire
-from oakmux.net.http import Client, NoAnswer, NotSent, Request
-from oakmux.net.pace import Bucket
+from oakmux.transport.http import Client, NoResponse, Request, RequestNotSent
+from oakmux.transport.rate_limit import TokenBucket
 from tools.scale.config import RunConfig
 from tools.scale.gangs import GangEvent, GangHub
 from tools.scale.hollow import worker_address
@@ -51,7 +51,7 @@
         return "running" if self.up is not None and self.up <= at else "booting"
 
 
-class Cloud:
+class CloudClient:
     """All machines."""
 
     def __init__(self, plan: Plan) -> None:
@@ -62,7 +62,7 @@
         self.boxes: dict[str, Box] = {}
         self.hires: dict[str, list[str]] = {}
         self.numbers = [0] * len(plan.hollow)
-        self.requests = Bucket(self.config.service.cloud_rps, BURST_S)
+        self.requests = TokenBucket(self.config.service.cloud_rps, BURST_S)
         self.counts: Counter[str] = Counter()
         self.client = Client(4 * len(plan.hollow))
         self.hub = GangHub(len(plan.hollow))
@@ -166,7 +166,7 @@
             await self.client.request(
                 self.plan.hollow[process], "POST", "/machines", wire.encode(order), HOLLOW_S
             )
-        except (NotSent, NoAnswer) as error:
+        except (RequestNotSent, NoResponse) as error:
             self.counts[f"hollow process {process}: {error}"] += 1
 
     async def _remove(self, boxes: list[Box]) -> None:
@@ -235,4 +235,4 @@
 
 async def main(plan: Plan, ended: asyncio.Event) -> None:
     """Run the cloud."""
-    await Cloud(plan).run(ended)
+    await CloudClient(plan).run(ended)
--- a/tools/scale/hollow.py
+++ b/tools/scale/hollow.py
@@ -8,7 +8,7 @@
 from hdrh.histogram import HdrHistogram
 
 from oakmux import settings, wire
-from oakmux.net.http import Client, NoAnswer, NotSent, Request
+from oakmux.transport.http import Client, NoResponse, Request, RequestNotSent
 from tools.scale.gangs import GangEvent, GangOrder
 from tools.scale.histograms import new_histogram, record_s
 from tools.scale.plan import Plan
@@ -38,19 +38,19 @@
         self.node = process.rng.randrange(len(process.nodes))
         self.wake = asyncio.Event()
         self.last = -1e9
-        self.due = self.loop.time() + process.rng.uniform(0.0, 0.5)
+        self.due_ms = self.loop.time() + process.rng.uniform(0.0, 0.5)
         self.gone = False
         self.token_told = -1e9
 
     def changed(self) -> None:
         """Report sooner: something changed."""
-        self.due = min(self.due, max(self.loop.time(), self.last + CHANGE_S))
+        self.due_ms = min(self.due_ms, max(self.loop.time(), self.last + CHANGE_S))
         self.wake.set()
 
     async def run(self) -> None:
         """Report until the machine is gone."""
         while not self.gone:
-            wait = self.due - self.loop.time()
+            wait = self.due_ms - self.loop.time()
             if wait <= 0:
                 await self.report()
                 continue
@@ -69,7 +69,7 @@
         self.last = sent
         body = wire.encode(worker.report())
         process.counts["report_bytes"] += len(body)
-        self.due = sent + process.plan.config.times.report_s * process.rng.uniform(0.75, 1.25)
+        self.due_ms = sent + process.plan.config.times.report_s * process.rng.uniform(0.75, 1.25)
         status = 0
         value: dict[str, Any] = {}
         try:
@@ -78,7 +78,7 @@
             )
             process.counts["answer_bytes"] += len(data)
             value = wire.decode(data) if data else {}
-        except (NotSent, NoAnswer, wire.Malformed):
+        except (RequestNotSent, NoResponse, wire.Malformed):
             process.counts["reports_unanswered"] += 1
         if self.gone:
             return
@@ -98,11 +98,11 @@
                 self.changed()
         elif status == 421 and value.get("boss", "") in process.labels:
             self.node = process.labels[value["boss"]]
-            self.due = now + process.rng.uniform(0.0, 0.5)
+            self.due_ms = now + process.rng.uniform(0.0, 0.5)
         else:
             process.counts[f"reports_{status}"] += 1
             self.node = (self.node + 1) % len(process.nodes)
-            self.due = now + NEXT_NODE_S
+            self.due_ms = now + NEXT_NODE_S
 
 
 class HollowProcess:
@@ -254,7 +254,7 @@
                 _, data = await self.hub.request(
                     self.plan.cloud, "POST", "/gangs", body, ANSWER_S, 4 * 1024 * 1024
                 )
-            except (NotSent, NoAnswer):
+            except (RequestNotSent, NoResponse):
                 self.gang_events = events + self.gang_events
                 continue
             for row in wire.decode(data)["orders"]:
--- a/tools/scale/ledger.py
+++ b/tools/scale/ledger.py
@@ -70,7 +70,7 @@
         self.used = [0.0] * config.sizes.teams
         self.cancelled: dict[str, float] = {}
         # Cancelled jobs whose time is over, to be looked at: (when, job).
-        self.due: list[tuple[float, str]] = []
+        self.due_ms: list[tuple[float, str]] = []
         self.done_tasks: dict[str, set[str]] = {}
         self.asked: dict[str, float] = {}
         self.begun: dict[str, list[float]] = {}
@@ -171,7 +171,7 @@
     def _cancelled(self, event: Event) -> None:
         self.told[event.name] = "cancelled"
         self.cancelled[event.name] = event.at
-        heapq.heappush(self.due, (event.at + self.config.times.cancel_s, event.name))
+        heapq.heappush(self.due_ms, (event.at + self.config.times.cancel_s, event.name))
 
     def _done(self, event: Event) -> None:
         self.told[event.name] = "done"
@@ -190,8 +190,8 @@
 
     def _look_at_cancelled(self, now: float) -> None:
         """Look at what is on machines of jobs whose time after the cancellation is over."""
-        while self.due and self.due[0][0] + ORDER_S < now:
-            at, job_id = heapq.heappop(self.due)
+        while self.due_ms and self.due_ms[0][0] + ORDER_S < now:
+            at, job_id = heapq.heappop(self.due_ms)
             for name in sorted(self.by_job.get(job_id, ())):
                 self._breach("ran_cancelled", at, f"{name} is on {self.placed[name].machine}")
 
--- a/tools/scale/runner.py
+++ b/tools/scale/runner.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from oakmux import wire
-from oakmux.net.http import Client, NoAnswer, NotSent
+from oakmux.transport.http import Client, NoResponse, RequestNotSent
 from tools.scale.config import RunConfig, Trouble
 from tools.scale.plan import Plan, make_plan
 from tools.scale.processes import (
@@ -120,7 +120,7 @@
     async def _healthy(self, address: str) -> bool:
         try:
             status, _ = await self.client.request(address, "GET", wire.PATH_HEALTH, b"", 1.0)
-        except (NotSent, NoAnswer):
+        except (RequestNotSent, NoResponse):
             return False
         return status == 200
 
@@ -228,7 +228,7 @@
         body = wire.encode(msgspec.to_builtins(trouble))
         try:
             await self.client.request(address, "POST", path, body, CONTROL_S)
-        except (NotSent, NoAnswer) as error:
+        except (RequestNotSent, NoResponse) as error:
             self.say(f"trouble {trouble.kind} not brought about: {error}")
 
 
--- a/tools/scale/serving.py
+++ b/tools/scale/serving.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from oakmux import settings, wire
-from oakmux.net.http import Request, ServerProtocol
+from oakmux.transport.http import Request, ServerProtocol
 
 # Bytes of a body that a stand-in takes; connections that one listener takes.
 MOST_BYTES = 4 * 1024 * 1024
--- a/tools/scale/state_service.py
+++ b/tools/scale/state_service.py
@@ -6,7 +6,7 @@
 from urllib.parse import parse_qs, unquote, urlsplit
 
 from oakmux import wire
-from oakmux.net.http import Request
+from oakmux.transport.http import Request
 from tools.scale.plan import Plan
 from tools.scale.serving import answer, listen, write_summary
 from tools.scale.store import Refused, Store, watch_body
--- a/tools/scale/store.py
+++ b/tools/scale/store.py
@@ -8,7 +8,7 @@
 import msgspec
 from sortedcontainers import SortedDict
 
-from oakmux.net.pace import Bucket
+from oakmux.transport.rate_limit import TokenBucket
 from tools.scale.config import Service
 
 # Changes that a watch can go back (PROTOCOL: the service keeps the last 10,000).
@@ -62,8 +62,8 @@
         self.next_lease = 0
         # (revision, key, encoded event), the oldest first.
         self.log: deque[tuple[int, str, bytes]] = deque()
-        self.requests = Bucket(limits.rps)
-        self.changes = Bucket(limits.write_rps)
+        self.requests = TokenBucket(limits.rps)
+        self.changes = TokenBucket(limits.write_rps)
         self.counts: Counter[str] = Counter()
         self.largest_value = 0
 
--- a/tools/scale/users.py
+++ b/tools/scale/users.py
@@ -7,7 +7,7 @@
 from typing import Any, NamedTuple
 
 from oakmux import wire
-from oakmux.net.http import Client, NoAnswer, NotSent
+from oakmux.transport.http import Client, NoResponse, RequestNotSent
 from tools.scale.config import RunConfig
 from tools.scale.histograms import new_histogram, record_s
 from tools.scale.jobs import Job, Kind, submission
@@ -121,7 +121,7 @@
     async def _probe(self, node: str) -> None:
         try:
             status, _ = await self.client.request(node, "GET", wire.PATH_HEALTH, b"", 1.0)
-        except (NotSent, NoAnswer):
+        except (RequestNotSent, NoResponse):
             status = 0
         self.failed[node] = 0 if status == 200 else self.failed.get(node, 0) + 1
 
@@ -265,7 +265,7 @@
                 self.balancer.choose(), method, path, body, timeout
             )
             value = wire.decode(data) if data else {}
-        except (NotSent, NoAnswer, wire.Malformed):
+        except (RequestNotSent, NoResponse, wire.Malformed):
             status, value = 0, {}
         self.counts[f"{name} {status}"] += 1
         if status in final:
