--- a/oakmux/core/agents/termination.py
+++ b/oakmux/core/agents/termination.py
@@ -1,29 +1,57 @@
-"""The proof that a bound task is gone, the only ground on which a binding ends (R ran_twice)."""
+"""Termination proofs: the only ground on which a binding ends (R ran_twice)."""
+
+from collections.abc import Mapping
+from typing import NamedTuple
 
 from oakmux.core.context import Context, Machine, Task
 from oakmux.core.state.records import Binding
+from oakmux.task_status import EXITED, LOST, REFUSED
+
+
+class Termination(NamedTuple):
+    """How a bound task ended."""
+
+    reason: str
+    """`done`, `lost`, `refused`, or another reason reported by the worker."""
+    saved: bool
+    """Whether the task saved a checkpoint when it was stopped."""
 
 
-def gone(
+_LOST = Termination(LOST, False)
+_REFUSED = Termination(REFUSED, False)
+
+
+def prove_termination(
     context: Context,
     machine: Machine | None,
     task: Task,
     binding: Binding,
-    visible_tasks: dict[Task, tuple[str, str, bool]],
-) -> tuple[str, bool] | None:
-    """Return (why, saved) if a bound task is proven gone from its machine, else None."""
+    visible_tasks: Mapping[Task, tuple[str, str, bool]],
+) -> Termination | None:
+    """Return how a bound task ended, or None unless it certainly does not run and never will.
+
+    Silence proves nothing: the machine may be cut off, or the start command still on its way.
+
+    Args:
+        context: the controller's shared state.
+        machine: the bound machine as last reported, or None if no report is known.
+        task: the task and the attempt that is bound.
+        binding: the binding in question.
+        visible_tasks: the status of the machine's tasks, unresolved start commands included.
+    """
     if binding.machine in context.replica.terminated_machines:
-        return "lost", False
+        return _LOST
     if machine is None or machine.agent_epoch < binding.agent_epoch:
         return None
     if machine.agent_epoch > binding.agent_epoch:
-        return "lost", False
-    state = visible_tasks.get(task)
-    if state is None:
-        # No start under an older term can be carried out once the worker has a newer token.
-        return ("lost", False) if machine.fencing_token > binding.term else None
-    if state[0] == "exited":
-        return state[1], state[2]
-    if state[0] == "refused" and machine.manager_term == binding.term:
-        return "refused", False
+        return _LOST  # the worker killed all tasks of the earlier epoch
+    status = visible_tasks.get(task)
+    if status is None:
+        # The worker refuses a start command under a term below its fencing token.
+        return _LOST if machine.fencing_token > binding.term else None
+    state, reason, saved = status
+    if state == EXITED:
+        return Termination(reason, saved)
+    if state == REFUSED and machine.manager_term == binding.term:
+        return _REFUSED
     return None
--- a/oakmux/core/scheduling/binding.py
+++ b/oakmux/core/scheduling/binding.py
@@ -5,7 +5,7 @@
 from oakmux import constants
 from oakmux.core.agents.capacity import free_resources, is_schedulable
 from oakmux.core.agents.manager import AgentManager
-from oakmux.core.agents.termination import gone
+from oakmux.core.agents.termination import Termination, prove_termination
 from oakmux.core.context import Context, Machine, event
 from oakmux.core.scheduling.gangs import stop_rest
 from oakmux.core.scheduling.pending_job import PendingJob
@@ -205,9 +205,9 @@
             if current is None or current.attempt != binding.attempt:
                 continue
             task = (f"{job_id}/{index}", binding.attempt)
-            proof = gone(context, machine, task, binding, visible_tasks)
-            if proof is not None:
-                self._unbind(job, index, current, *proof)
+            termination = prove_termination(context, machine, task, binding, visible_tasks)
+            if termination is not None:
+                self._unbind(job, index, current, termination)
             elif (
                 machine is not None
                 and machine.notice_at is not None
@@ -219,8 +219,9 @@
                 # The cloud takes this machine: the gang saves while all its tasks still can.
                 stop_rest(self.buffer, job, job.spec, binding.attempt)
 
-    def _unbind(self, job: Job, index: int, binding: Binding, why: str, saved: bool) -> None:
+    def _unbind(self, job: Job, index: int, binding: Binding, termination: Termination) -> None:
         context = self.context
+        why, saved = termination
         number, bit = divmod(index, self.buffer.tasks_per_record)
         # Starts go first; the ends of an array's tasks wait a little for one another, and so do
         # all of a page's: that a job is done is written at once, its row may go later.
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -403,7 +403,7 @@
 
 def test_the_random_story_can_fail(monkeypatch):
     # Without the proof, a task that a report does not list yet is started a second time.
-    real = termination.gone
+    real = termination.prove_termination
 
     def hasty(context, machine, task, binding, shown):
         if (
@@ -411,12 +411,12 @@
             and machine.agent_epoch == binding.agent_epoch
             and task not in shown
         ):
-            return "lost", False
+            return termination.Termination("lost", False)
         return real(
             context, machine, task, binding, {k: v for k, v in shown.items() if v[0] != "starting"}
         )
 
-    monkeypatch.setattr("oakmux.core.scheduling.binding.gone", hasty)
+    monkeypatch.setattr("oakmux.core.scheduling.binding.prove_termination", hasty)
     with pytest.raises(AssertionError, match="ran_twice|quota|wrong_place"):
         for seed in range(1, 12):
             troubled(seed)
