--- a/oakmux/core/autoscaling/autoscaler.py
+++ b/oakmux/core/autoscaling/autoscaler.py
@@ -1,4 +1,4 @@
-"""The fleet: what to rent, what to return, which machines are certainly gone."""
+"""The autoscaler: what to rent, what to return, and which machines are terminated."""
 
 from oakmux import constants
 from oakmux.core.agents.cancellation_log import CancellationLog
@@ -10,7 +10,7 @@
 
 
 class Autoscaler:
-    """Rents and returns, while we hold the fleet role."""
+    """Scales the fleet out and in while this controller holds the fleet role."""
 
     def __init__(self, context: Context, cancellations: CancellationLog) -> None:
         self.context = context
@@ -21,26 +21,26 @@
         self.next_pass = 0.0
 
     def on_role_acquired(self) -> None:
-        """Begin to hold the role."""
+        """Start afresh when the fleet role is acquired."""
         self.inventory.on_role_acquired()
         self.scale_out.on_role_acquired()
 
     def changed(self, job_id: str) -> None:
-        """The records of a job changed."""
+        """Update the demand after the records of a job changed."""
         if FLEET in self.context.held_roles:
             self.scale_out.changed(job_id)
 
     def tick(self) -> None:
-        """Do what is due."""
+        """Request the cloud's list and make a pass over the fleet when these are due."""
         context = self.context
         if FLEET not in context.held_roles or not context.types:
             return
-        self.inventory.ask()
+        self.inventory.request_list()
         if context.now >= self.next_pass and self.cancellations.store_fresh():
             self.next_pass = context.now + constants.FLEET_PASS_S
-            self.inventory.records()
+            self.inventory.write_records()
             slots = self.scale_out.plan()
             if not self.scale_out.unplaced:
-                self.scale_in.consolidate(slots)
-            self.scale_in.idle(slots)
-            self.scale_in.return_unhealthy()
+                self.scale_in.consolidation.run(slots)
+            self.scale_in.return_idle(slots)
+            self.scale_in.unhealthy.run()
--- /dev/null
+++ b/oakmux/core/autoscaling/demand_placement.py
@@ -0,0 +1,129 @@
+"""Placing pending tasks on expected capacity, and choosing what to rent for the others."""
+
+from collections import Counter
+
+from oakmux.core.agents.capacity import fits_resources, subtract
+from oakmux.core.autoscaling.expected_capacity import ExpectedCapacity
+from oakmux.core.autoscaling.rental_requests import RentalRequests
+from oakmux.core.autoscaling.slot_pool import UNNAMED, Slot, SlotPool, empty_slot
+from oakmux.core.context import Context
+from oakmux.core.instances import InstanceKind
+from oakmux.core.scheduling.placement import zone_allowed
+from oakmux.wire import JobSpec
+
+
+class _TaskGroup:
+    """Tasks of one job that are placed together, and the slots found for them so far."""
+
+    __slots__ = ("spec", "wanted", "zones", "slots")
+
+    def __init__(self, spec: JobSpec, wanted: int, zones: list[str]) -> None:
+        self.spec = spec
+        self.wanted = wanted
+        # Zones of the job's bindings and of the slots found.
+        self.zones = list(zones)
+        self.slots: list[Slot] = []
+
+    def fill(self, slot: Slot) -> bool:
+        """Put as many tasks into a slot as fit; return whether all have one."""
+        spec = self.spec
+        while (
+            len(self.slots) < self.wanted
+            and fits_resources(slot.free, spec)
+            and zone_allowed(spec, self.zones, slot.kind.zone)
+        ):
+            slot.free = subtract(slot.free, spec)
+            self.zones.append(slot.kind.zone)
+            self.slots.append(slot)
+        return len(self.slots) >= self.wanted
+
+
+class DemandPlacement:
+    """One pass: hypothetical placements on `slots`, which grow by those that are to be rented."""
+
+    def __init__(
+        self, context: Context, expected: ExpectedCapacity, rentals: RentalRequests
+    ) -> None:
+        self.context = context
+        self.rentals = rentals
+        self.slots = expected.slots()
+        self.troubled = expected.troubled
+        self.pool = SlotPool(context, self.slots)
+        # How many instances of each kind are to be rented.
+        self.to_rent: dict[InstanceKind, int] = {}
+        self.machines_by_zone = Counter(slot.kind.zone for slot in self.slots)
+
+    def place(self, spec: JobSpec, zones: list[str], wanted: int) -> list[Slot]:
+        """Return a slot for each task that fits somewhere; `zones` are those of the bindings.
+
+        Expected capacity is used first, then instances to be rented.
+        """
+        group = _TaskGroup(spec, wanted, zones)
+        allowed = self.context.facts.zones if spec.zone is None else [spec.zone]
+        ranked = self.pool.ranked_classes(
+            spec, [zone for zone in allowed if zone_allowed(spec, group.zones, zone)]
+        )
+        if spec.one_zone and not group.zones:
+            tasks_by_zone = Counter[str]()
+            for capacity in ranked:
+                tasks_by_zone[capacity.zone] += self.pool.estimate_tasks(spec, capacity)
+            allowed = [self._best_single_zone(group, allowed, tasks_by_zone)]
+            ranked = [capacity for capacity in ranked if capacity.zone in allowed]
+        for capacity in ranked:
+            if self.pool.fill_class(capacity, group.fill):
+                break
+        self._rent_missing(group, allowed)
+        return group.slots
+
+    def _best_single_zone(
+        self, group: _TaskGroup, allowed: list[str], tasks_by_zone: Counter[str]
+    ) -> str:
+        """Return the zone for all tasks: where they fit now, or where instances can be rented."""
+        return max(
+            allowed,
+            key=lambda zone: (
+                tasks_by_zone[zone] >= group.wanted,
+                self._cheapest(group, [zone]) is not None,
+                tasks_by_zone[zone],
+            ),
+        )
+
+    def _rent_missing(self, group: _TaskGroup, allowed: list[str]) -> None:
+        while len(group.slots) < group.wanted:
+            kind = self._cheapest(group, allowed)
+            if kind is None:
+                return
+            self.to_rent[kind] = self.to_rent.get(kind, 0) + 1
+            self.machines_by_zone[kind.zone] += 1
+            slot = empty_slot(UNNAMED, kind, self.context.types[kind.type])
+            self.slots.append(slot)
+            group.fill(slot)
+            self.pool.add(slot)
+
+    def _cheapest(self, group: _TaskGroup, allowed: list[str]) -> InstanceKind | None:
+        """Return the cheapest kind to rent for one task, in the zone with the fewest machines.
+
+        Kinds with boot trouble come last, those that the cloud ran out of not at all.
+        """
+        context, spec = self.context, group.spec
+        best = None
+        for machine_type in context.types.values():
+            if not context.fits_type(spec, machine_type.name):
+                continue
+            for zone in machine_type.zones:
+                if zone not in allowed or not zone_allowed(spec, group.zones, zone):
+                    continue
+                for spot in (True, False) if spec.spot else (False,):
+                    kind = InstanceKind(machine_type.name, zone, spot)
+                    if not self.rentals.has_capacity(kind):
+                        continue
+                    candidate = (
+                        kind in self.troubled,
+                        machine_type.spot_price if spot else machine_type.price,
+                        self.machines_by_zone[zone],
+                        context.rng.random(),
+                        kind,
+                    )
+                    if best is None or candidate < best:
+                        best = candidate
+        return None if best is None else best[-1]
--- /dev/null
+++ b/oakmux/core/autoscaling/expected_capacity.py
@@ -0,0 +1,96 @@
+"""The capacity that the autoscaler may count on: machines that are up, booting or requested."""
+
+from collections import Counter
+
+from oakmux import constants
+from oakmux.core.agents.capacity import counts_as_capacity, free_resources
+from oakmux.core.autoscaling.instance_inventory import InstanceInventory
+from oakmux.core.autoscaling.rental_requests import RentalRequests
+from oakmux.core.autoscaling.slot_pool import UNNAMED, Slot, empty_slot
+from oakmux.core.context import Context, event
+from oakmux.core.instances import InstanceKind, InstanceState
+
+
+class ExpectedCapacity:
+    """Lists the slots of a pass and notes which kinds of instances boot late or never."""
+
+    def __init__(
+        self, context: Context, inventory: InstanceInventory, rentals: RentalRequests
+    ) -> None:
+        self.context = context
+        self.inventory = inventory
+        self.rentals = rentals
+        # Kinds with boot trouble of late; others are preferred.
+        self.troubled: set[InstanceKind] = set()
+
+    def slots(self) -> list[Slot]:
+        """Return the slots of all machines that are up, booting or requested."""
+        return [*self._running(), *self._booting(), *self._requested()]
+
+    def _running(self) -> list[Slot]:
+        context = self.context
+        lease_s = context.facts.workers.lease_s
+        return [
+            Slot(
+                machine.name,
+                InstanceKind(machine.type, machine.zone, machine.spot),
+                free_resources(context, machine),
+                coming=False,
+            )
+            for machine in context.machines.values()
+            if counts_as_capacity(context, machine)
+            and context.now - machine.last_heartbeat_at < lease_s
+        ]
+
+    def _booting(self) -> list[Slot]:
+        context = self.context
+        slots = []
+        late: Counter[InstanceKind] = Counter()
+        for name, instance in self.inventory.instances.items():
+            machine_type = context.types.get(instance.kind.type)
+            if (
+                name in context.machines
+                or name in self.inventory.returned
+                or machine_type is None
+                or instance.state == InstanceState.FAILED
+            ):
+                continue
+            age_s = context.now - instance.created_at
+            if age_s > constants.BOOT_PATIENCE * machine_type.boot_s:
+                continue
+            if age_s > constants.BOOT_LATE * machine_type.boot_s:
+                # Every second late instance is counted on. With all of them, jobs would wait for
+                # instances that never come up; with none, a slow hour would rent everything twice.
+                late[instance.kind] += 1
+                if late.total() % 2:
+                    continue
+            slots.append(empty_slot(name, instance.kind, machine_type))
+        self._update_troubled(late)
+        return slots
+
+    def _requested(self) -> list[Slot]:
+        return [
+            empty_slot(UNNAMED, request.kind, self.context.types[request.kind.type])
+            for request in self.rentals.pending.values()
+            for _ in range(request.size)
+        ]
+
+    def _update_troubled(self, late: Counter[InstanceKind]) -> None:
+        """Find the kinds with several late or failed boots within BOOT_TROUBLE_S."""
+        inventory, now = self.inventory, self.context.now
+        inventory.failed_boots = [
+            failed
+            for failed in inventory.failed_boots
+            if now - failed.at < constants.BOOT_TROUBLE_S
+        ]
+        late.update(failed.kind for failed in inventory.failed_boots)
+        troubled = {kind for kind, count in late.items() if count >= constants.BOOT_TROUBLE}
+        for kind in troubled - self.troubled:
+            event(
+                "boot_trouble",
+                type=kind.type,
+                zone=kind.zone,
+                spot=int(kind.spot),
+                late=late[kind],
+            )
+        self.troubled = troubled
--- a/oakmux/core/autoscaling/instance_inventory.py
+++ b/oakmux/core/autoscaling/instance_inventory.py
@@ -1,116 +1,157 @@
-"""Which machines there are by the cloud's word, and which are certainly gone."""
+"""Which instances exist according to the cloud, and which machines are certainly terminated."""
 
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
 from oakmux import constants
 from oakmux.core.agents.capacity import heartbeat_timeout_s
 from oakmux.core.context import Context, event
+from oakmux.core.instances import InstanceKind, InstanceState, ListedInstance
 from oakmux.core.state.records import TYPES_KEY, termination_key, value_bytes, value_limit
 
+NEVER = float("-inf")
+StoreWrite = tuple[Any, ...]
+"""(key, value, lease) to put a record, or (key,) to delete it."""
+
+UNKNOWN_KIND = InstanceKind("", "", False)
+"""Kind of a machine that sends heartbeats but that no list has shown."""
+
 
 class Instance:
-    """A machine as the cloud's list or a rental's answer names it."""
+    """An instance that the cloud's list or the answer to a rental has named."""
 
-    __slots__ = ("type", "zone", "spot", "state", "since", "running_since", "absent", "instances")
+    __slots__ = ("kind", "state", "created_at", "running_since", "absent_lists", "listed")
 
-    def __init__(self, type_name: str, zone: str, spot: bool, state: str, since: float) -> None:
-        self.type = type_name
-        self.zone = zone
-        self.spot = spot
+    def __init__(self, kind: InstanceKind, state: str, created_at: float) -> None:
+        self.kind = kind
         self.state = state
-        self.since = since
+        self.created_at = created_at
         self.running_since: float | None = None
-        self.absent = 0
-        self.instances = False
+        # Lists in a row that lacked it, among those that should have shown it.
+        self.absent_lists = 0
+        # Whether any list has shown it.
+        self.listed = False
+
+
+class FailedBoot(NamedTuple):
+    """An instance that was given up because it never came up."""
+
+    at: float
+    kind: InstanceKind
 
 
 class InstanceInventory:
-    """Reads the cloud's list and records which machines are gone."""
+    """Reads the cloud's list and records which machines are terminated."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
-        self.since = 0.0
+        self.role_acquired_at = 0.0
         self.instances: dict[str, Instance] = {}
+        # Machines that are certainly terminated, and when that was found.
         self.returned: dict[str, float] = {}
+        # Machines whose return the cloud has not confirmed yet.
         self.returning: set[str] = set()
-        # When machines were given up that never came up, and which: (type, zone, spot).
-        self.failed_boots: list[tuple[float, tuple[str, str, bool]]] = []
+        self.failed_boots: list[FailedBoot] = []
+        # When a machine was first known; lists requested soon after may not show it yet.
         self.known_since: dict[str, float] = {}
         self.listing = False
         self.next_list = 0.0
-        self.cloud_after = 0.0
-        self.gone_written: dict[str, float] = {}
+        # Calls to the cloud pause until then.
+        self.cloud_retry_at = 0.0
+        # When the termination record of a machine was last written, needed or deleted.
+        self.record_touched_at: dict[str, float] = {}
 
     def on_role_acquired(self) -> None:
-        """Begin to hold the role."""
-        self.since = self.context.now
+        """Start from an empty inventory; what is known to be terminated stays."""
+        self.role_acquired_at = self.context.now
         self.instances.clear()
         self.known_since.clear()
         self.returning.clear()
         self.next_list = 0.0
 
-    def ask(self) -> None:
-        """Read the list when it is due."""
-        context = self.context
-        if not self.listing and context.now >= max(self.next_list, self.cloud_after):
-            self.listing = True
-            self.next_list = (
-                context.now + constants.LIST_EVERY_LAGS * context.facts.cloud.list_lag_s
-            )
-            context.call(lambda s, r, at=context.now: self._list_done(at, s, r), "cloud", "list")
+    def back_off(self) -> None:
+        """Pause calls to the cloud after one that failed."""
+        self.cloud_retry_at = self.context.now + constants.BACKOFF_MOST_S
 
-    def _list_done(self, asked: float, status: int, rows: Any) -> None:
+    def request_list(self) -> None:
+        """Request the cloud's list when it is due."""
+        context = self.context
+        if self.listing or context.now < max(self.next_list, self.cloud_retry_at):
+            return
+        self.listing = True
+        self.next_list = context.now + constants.LIST_EVERY_LAGS * context.facts.cloud.list_lag_s
+        requested_at = context.now
+        context.call(
+            lambda status, rows: self._on_list(requested_at, status, rows), "cloud", "list"
+        )
+
+    def _on_list(self, requested_at: float, status: int, rows: Any) -> None:
         context = self.context
         self.listing = False
         if status != 200:
-            self.cloud_after = context.now + constants.BACKOFF_MOST_S
+            self.back_off()
             return
-        names = set()
-        for name, _, type_name, zone, spot, state, age in rows:
-            names.add(name)
-            if name in self.returned:
-                continue
-            # Known from here on, not from the first list that lacks it: after a takeover of the
-            # fleet, machines that vanished were proven gone 15 s later than they could be.
-            self.known_since.setdefault(name, asked)
-            known = self.instances.get(name)
-            if known is None:
-                known = self.instances[name] = Instance(type_name, zone, spot, state, asked - age)
-            known.state = state
-            known.absent = 0
-            known.instances = True
-            if state == "running" and known.running_since is None:
-                known.running_since = context.now
-            if state == "failed":
-                self.terminate(name, "failed")
-        lag = constants.ABSENT_LAGS * context.facts.cloud.list_lag_s
-        for name in {*self.instances, *context.machines, *context.replica.by_machine} - names:
-            since = self.known_since.setdefault(name, context.now)
-            known = self.instances.get(name)
-            if known is not None and not known.instances:
-                since = max(since, known.since)
-            # Once listed, a machine stays listed until it is gone: for one that was, newer lists
-            # prove it, and the silence of a few reports only guards against our own mistakes.
-            silence = (
-                heartbeat_timeout_s(context)
-                if known is not None and known.instances
-                else context.facts.workers.lease_s
-            )
-            machine = context.machines.get(name)
-            if asked - since < lag or (
-                machine is not None and context.now - machine.last_heartbeat_at < silence
-            ):
-                continue
-            # Lists certainly newer than our knowledge of the machine lack it, repeatedly.
-            known = self.instances.setdefault(name, Instance("", "", False, "running", since))
-            known.absent += 1
-            if known.absent >= constants.ABSENT_LISTS:
-                self.terminate(name, "absent")
+        listed = set()
+        for row in rows:
+            instance = ListedInstance(*row)
+            listed.add(instance.name)
+            if instance.name not in self.returned:
+                self._update_listed(instance, requested_at)
+        known = {*self.instances, *context.machines, *context.replica.by_machine}
+        for name in known - listed:
+            self._check_absent(name, requested_at)
+
+    def _update_listed(self, row: ListedInstance, requested_at: float) -> None:
+        # Known from here on, not from the first list that lacks it: after a takeover of the fleet
+        # role, a machine that vanished would be proven terminated later than it could be.
+        self.known_since.setdefault(row.name, requested_at)
+        instance = self.instances.get(row.name)
+        if instance is None:
+            instance = Instance(row.kind, row.state, requested_at - row.age_s)
+            self.instances[row.name] = instance
+        instance.state = row.state
+        instance.absent_lists = 0
+        instance.listed = True
+        if row.state == InstanceState.RUNNING and instance.running_since is None:
+            instance.running_since = self.context.now
+        if row.state == InstanceState.FAILED:
+            self.terminate(row.name, InstanceState.FAILED)
+
+    def _check_absent(self, name: str, requested_at: float) -> None:
+        """Terminate a machine once ABSENT_LISTS lists that should show it lack it.
+
+        A list counts if it is certainly newer than our knowledge of the machine, and if no
+        heartbeat came lately.
+        """
+        context = self.context
+        since = self.known_since.setdefault(name, context.now)
+        instance = self.instances.get(name)
+        if instance is not None and instance.listed:
+            # An instance once listed stays listed until it is terminated, so newer lists prove it;
+            # the missing heartbeats only guard against mistakes of our own.
+            silence_s = heartbeat_timeout_s(context)
+        else:
+            silence_s = context.facts.workers.lease_s
+            if instance is not None:
+                since = max(since, instance.created_at)
+        if requested_at - since < constants.ABSENT_LAGS * context.facts.cloud.list_lag_s:
+            return
+        machine = context.machines.get(name)
+        if machine is not None and context.now - machine.last_heartbeat_at < silence_s:
+            return
+        instance = self.instances.setdefault(
+            name, Instance(UNKNOWN_KIND, InstanceState.RUNNING, since)
+        )
+        instance.absent_lists += 1
+        if instance.absent_lists >= constants.ABSENT_LISTS:
+            self.terminate(name, "absent")
 
     def terminate(self, name: str, why: str) -> None:
-        """A machine and all on it are certainly gone; its name never comes again."""
+        """Tell all controllers that a machine and its tasks are certainly terminated.
+
+        Names of machines are never used again.
+        """
         context = self.context
         if name not in self.returned:
             event("machine_gone", machine=name, why=why)
@@ -118,54 +159,73 @@
         self.instances.pop(name, None)
         self.known_since.pop(name, None)
         self.returning.discard(name)
-        for label in self.peers():
-            context.emit("send", label, ("gone", [name]))
-        if why == "failed":
-            context.call(lambda s, r: None, "cloud", "return", [name])
+        for controller_id in self.controllers():
+            context.emit("send", controller_id, ("gone", [name]))
+        if why == InstanceState.FAILED:
+            context.call(lambda status, result: None, "cloud", "return", [name])
 
-    def peers(self) -> list[str]:
-        """Return all controllers, ourselves included."""
+    def controllers(self) -> list[str]:
+        """Return the ids of all controllers, our own first."""
         return [self.context.label, *(m.label for m in self.context.settings.members)]
 
-    def records(self) -> None:
-        """Write which machines are gone while bindings refer to them; drop old such records."""
+    def write_records(self) -> None:
+        """Write changed machine types and terminations, and delete terminations not needed."""
+        writes = [*self._changed_types(), *self._missing_terminations()]
+        writes += self._expired_terminations()
+        if writes:
+            writes = writes[: max(1, self.context.facts.state.least.txn_ops // 2)]
+            self.context.call(
+                lambda status, result: self._on_written(writes, status, result),
+                "txn",
+                [],
+                writes,
+                1,
+            )
+        if len(self.returned) > constants.MAX_QUEUE:
+            self._forget_oldest()
+
+    def _changed_types(self) -> list[StoreWrite]:
         context = self.context
-        limits = context.facts.state.least
-        writes: list[tuple] = []
-        if set(context.types) != set(context.replica.types):
-            rows = [list(msgspec.to_builtins(kind)) for kind in context.types.values()]
-            if value_bytes(rows) <= value_limit(limits):
-                writes.append((TYPES_KEY, rows, None))
-        most = max(1, limits.txn_ops // 2)
-        for name in context.replica.by_machine:
+        if set(context.types) == set(context.replica.types):
+            return []
+        rows = [list(msgspec.to_builtins(kind)) for kind in context.types.values()]
+        if value_bytes(rows) > value_limit(context.facts.state.least):
+            return []
+        return [(TYPES_KEY, rows, None)]
+
+    def _missing_terminations(self) -> list[StoreWrite]:
+        """Return the records of terminated machines that bindings still refer to."""
+        now, replica = self.context.now, self.context.replica
+        writes: list[StoreWrite] = []
+        for name in replica.by_machine:
             if (
                 name in self.returned
-                and name not in context.replica.terminated_machines
-                and context.now - self.gone_written.get(name, -1e9) > constants.STATE_TIMEOUT_S
+                and name not in replica.terminated_machines
+                and now - self.record_touched_at.get(name, NEVER) > constants.STATE_TIMEOUT_S
             ):
-                self.gone_written[name] = context.now
+                self.record_touched_at[name] = now
                 writes.append((termination_key(name), True, None))
-        for name in context.replica.terminated_machines:
-            if name in context.replica.by_machine:
-                self.gone_written[name] = context.now
-            elif (
-                context.now - self.gone_written.setdefault(name, context.now)
-                > constants.GONE_KEEP_S
-            ):
-                self.gone_written[name] = context.now
+        return writes
+
+    def _expired_terminations(self) -> list[StoreWrite]:
+        """Return the deletions of records that no binding has needed for GONE_KEEP_S."""
+        now, replica = self.context.now, self.context.replica
+        writes: list[StoreWrite] = []
+        for name in replica.terminated_machines:
+            if name in replica.by_machine:
+                self.record_touched_at[name] = now
+            elif now - self.record_touched_at.setdefault(name, now) > constants.GONE_KEEP_S:
+                self.record_touched_at[name] = now
                 writes.append((termination_key(name),))
-        if writes:
-            writes = writes[:most]
-            context.call(lambda s, r: self._recorded(writes, s, r), "txn", [], writes, 1)
-        if len(self.returned) > constants.MAX_QUEUE:
-            for name in list(self.returned)[: constants.MAX_QUEUE // 2]:
-                if name not in context.replica.by_machine:
-                    del self.returned[name]
-                    self.gone_written.pop(name, None)
+        return writes
+
+    def _forget_oldest(self) -> None:
+        for name in list(self.returned)[: constants.MAX_QUEUE // 2]:
+            if name not in self.context.replica.by_machine:
+                del self.returned[name]
+                self.record_touched_at.pop(name, None)
 
-    def _recorded(self, writes: list[tuple], status: int, result: Any) -> None:
+    def _on_written(self, writes: list[StoreWrite], status: int, result: Any) -> None:
         if status == 200:
-            for write in writes:
-                self.context.replica.apply(
-                    write[0], write[1] if len(write) > 1 else None, result[0]
-                )
+            for key, *value in writes:
+                self.context.replica.apply(key, value[0] if value else None, result[0])
--- /dev/null
+++ b/oakmux/core/autoscaling/rental_requests.py
@@ -0,0 +1,99 @@
+"""Rental requests to the cloud: sending, repeating, and remembering where capacity ran out."""
+
+from typing import Any, NamedTuple
+
+from oakmux import constants
+from oakmux.core.autoscaling.instance_inventory import Instance, InstanceInventory
+from oakmux.core.context import Context, event
+from oakmux.core.instances import InstanceKind, InstanceState
+
+NO_ANSWER = 0
+"""Status of a call to the cloud that got no answer."""
+
+NO_CAPACITY = "no capacity"
+"""Result of a refused rental (status 503) when the cloud has no such instances."""
+
+
+class RentalRequest(NamedTuple):
+    """A request that the cloud has not answered yet."""
+
+    kind: InstanceKind
+    size: int
+
+
+class RentalRequests:
+    """Rents instances. A request's name is its idempotency key: repeating it never rents twice."""
+
+    def __init__(self, context: Context, inventory: InstanceInventory) -> None:
+        self.context = context
+        self.inventory = inventory
+        # Unanswered requests by name.
+        self.pending: dict[str, RentalRequest] = {}
+        # Until when a kind is not asked for because the cloud had none left.
+        self.no_capacity_until: dict[InstanceKind, float] = {}
+        self.last_number = 0
+
+    def on_role_acquired(self) -> None:
+        """Forget requests of an earlier time in the fleet role; the cloud's list shows them."""
+        self.pending.clear()
+
+    def has_capacity(self, kind: InstanceKind) -> bool:
+        """Whether the cloud has not lately run out of a kind."""
+        return self.no_capacity_until.get(kind, 0.0) <= self.context.now
+
+    def rent_all(self, counts: dict[InstanceKind, int]) -> None:
+        """Rent so many instances of each kind, MAX_RENT at most in one request."""
+        for kind, count in counts.items():
+            for start in range(0, count, constants.MAX_RENT):
+                self.rent(kind, min(count - start, constants.MAX_RENT))
+
+    def rent(self, kind: InstanceKind, count: int) -> None:
+        """Send one request, unless calls to the cloud are backing off."""
+        if self.context.now < self.inventory.cloud_retry_at:
+            return
+        self.last_number += 1
+        # The incarnation makes the name unique among all controllers and their restarts.
+        name = f"oakmux-{self.context.incarnation}-{self.last_number}"
+        self.pending[name] = RentalRequest(kind, count)
+        event(
+            "rent",
+            request=name,
+            type=kind.type,
+            zone=kind.zone,
+            spot=int(kind.spot),
+            count=count,
+        )
+        self._send(name, 1)
+
+    def _send(self, name: str, attempt: int) -> None:
+        kind, size = self.pending[name]
+        self.context.call(
+            lambda status, result: self._on_answer(name, attempt, status, result),
+            "cloud",
+            "rent",
+            name,
+            *kind,
+            size,
+        )
+
+    def _on_answer(self, name: str, attempt: int, status: int, result: Any) -> None:
+        request = self.pending.get(name)
+        if request is None:
+            return
+        if status == NO_ANSWER and attempt < constants.RENT_TRIES:
+            self._send(name, attempt + 1)
+            return
+        del self.pending[name]
+        now = self.context.now
+        if status == 200:
+            for machine in result:
+                self.inventory.instances[machine] = Instance(
+                    request.kind, InstanceState.BOOTING, now
+                )
+            if len(result) < request.size:
+                self.no_capacity_until[request.kind] = now + constants.NO_CAPACITY_S
+        elif status == 503 and result == NO_CAPACITY:
+            self.no_capacity_until[request.kind] = now + constants.NO_CAPACITY_S
+        else:
+            self.inventory.back_off()
+        event("rented", request=name, status=status, got=len(result) if status == 200 else 0)
--- /dev/null
+++ b/oakmux/core/autoscaling/slot_pool.py
@@ -0,0 +1,112 @@
+"""Free capacity that the autoscaler plans with: on machines that run, boot or are to be rented."""
+
+from collections.abc import Callable
+
+from oakmux import constants
+from oakmux.core.agents.capacity import Resources, is_full, task_capacity
+from oakmux.core.context import Context
+from oakmux.core.instances import InstanceKind
+from oakmux.core.scheduling.machine_index import CapacityClass, capacity_class, may_fit
+from oakmux.wire import JobSpec, MachineType
+
+UNNAMED = ""
+"""Name of a slot whose instance the cloud has not confirmed yet."""
+
+
+class Slot:
+    """Free resources of one machine that is up, booting, or to be rented."""
+
+    __slots__ = ("name", "kind", "free", "needed", "coming")
+
+    def __init__(
+        self, name: str, kind: InstanceKind, free: Resources, *, coming: bool = True
+    ) -> None:
+        self.name = name
+        self.kind = kind
+        self.free = free
+        # Whether the current pass has placed a task here.
+        self.needed = False
+        self.coming = coming
+
+
+def empty_slot(name: str, kind: InstanceKind, machine_type: MachineType) -> Slot:
+    """Return the slot of an instance that does not run yet."""
+    return Slot(name, kind, (machine_type.cpus, machine_type.gpus, machine_type.memory_gb))
+
+
+class SlotPool:
+    """Slots grouped by capacity class, so that a task finds one without a scan of all."""
+
+    def __init__(self, context: Context, slots: list[Slot]) -> None:
+        self.context = context
+        self.classes: dict[CapacityClass, list[Slot]] = {}
+        for slot in slots:
+            self.add(slot)
+
+    def add(self, slot: Slot) -> None:
+        """Add a slot to the class of its free resources; a full one is left out."""
+        if is_full(self.context, slot.free):
+            return
+        machine_type = self.context.types[slot.kind.type]
+        capacity = capacity_class(
+            machine_type, slot.kind.zone, slot.kind.spot, slot.free, slot.coming
+        )
+        self.classes.setdefault(capacity, []).append(slot)
+
+    def ranked_classes(self, spec: JobSpec, zones: list[str]) -> list[CapacityClass]:
+        """Return the classes in these zones where a task may fit, the best first.
+
+        Jobs with GPUs prefer spot instances if they allow them; jobs without prefer classes with
+        few free GPUs. Then machines that are up come before those that are not, and fuller ones
+        before emptier ones.
+        """
+        ranked = []
+        for capacity in self.classes:
+            machine_type = self.context.types[capacity.type]
+            if (
+                capacity.zone in zones
+                and (spec.spot or not capacity.spot)
+                and may_fit(spec, machine_type, capacity)
+                and self.context.fits_type(spec, capacity.type)
+            ):
+                # Free GPUs, and the CPUs that they need, are left to jobs that need them.
+                ranked.append(
+                    (
+                        spec.spot and not capacity.spot if spec.gpus else capacity.gpus,
+                        capacity.idle,
+                        capacity.gpus,
+                        capacity.level,
+                        capacity,
+                    )
+                )
+        ranked.sort()
+        return [row[-1] for row in ranked]
+
+    def estimate_tasks(self, spec: JobSpec, capacity: CapacityClass) -> int:
+        """Return a lower bound of how many tasks of a job fit into a class."""
+        machine_type = self.context.types[capacity.type]
+        cpus = capacity.cpu_level / constants.ROOM_LEVELS * machine_type.cpus
+        memory_gb = capacity.memory_level / constants.ROOM_LEVELS * machine_type.memory_gb
+        free = (cpus, float(capacity.gpus), memory_gb)
+        return len(self.classes[capacity]) * task_capacity(free, spec)
+
+    def fill_class(self, capacity: CapacityClass, fill: Callable[[Slot], bool]) -> bool:
+        """Pass the slots of a class to `fill` until it returns True; return whether it did.
+
+        Slots that `fill` took resources from move to the class of what is left. The search ends
+        after DRAW_LOOKS slots that nothing was placed on.
+        """
+        slots = self.classes.pop(capacity)
+        unchanged: list[Slot] = []
+        enough = False
+        while slots and not enough and len(unchanged) < constants.DRAW_LOOKS:
+            slot = slots.pop()
+            before = slot.free
+            enough = fill(slot)
+            if slot.free == before:
+                unchanged.append(slot)
+            else:
+                self.add(slot)
+        if slots or unchanged:
+            self.classes.setdefault(capacity, []).extend(slots + unchanged)
+        return enough
--- a/oakmux/core/scheduling/machine_index.py
+++ b/oakmux/core/scheduling/machine_index.py
@@ -15,12 +15,10 @@
 from oakmux import constants
 from oakmux.core.agents.capacity import Resources, free_resources, is_schedulable, task_capacity
 from oakmux.core.context import Context, Machine
+from oakmux.core.instances import InstanceKind
 from oakmux.core.state.records import Job
 from oakmux.wire import JobSpec, MachineType
 
-Kind = tuple[str, str, bool]
-"""What is rented: type, zone, spot."""
-
 
 class CapacityClass(NamedTuple):
     """Machines that are alike for sampling.
@@ -107,7 +105,7 @@
         self.machines: list[Machine | None] = []
         self.spare: list[int] = []
         self.classes: dict[CapacityClass, BitMap] = {}
-        self.kinds: dict[Kind, BitMap] = {}
+        self.kinds: dict[InstanceKind, BitMap] = {}
         self.holders: dict[str, BitMap] = {}
         # Machines with work that may be stopped for others: by its priority, and by its team.
         self.weak: dict[int, BitMap] = {}
@@ -186,7 +184,7 @@
             members = self.classes[place] = BitMap()
             self.orders.clear()
         members.add(number)
-        self.kinds.setdefault(place[:3], BitMap()).add(number)
+        self.kinds.setdefault(InstanceKind(*place[:3]), BitMap()).add(number)
 
     def _take_out(self, number: int, place: CapacityClass) -> None:
         members = self.classes[place]
@@ -194,7 +192,7 @@
         if not members:
             del self.classes[place]
             self.orders.clear()
-        self.kinds[place[:3]].discard(number)
+        self.kinds[InstanceKind(*place[:3])].discard(number)
 
     def _leave(self, number: int) -> None:
         """Take a machine out of all that may be drawn from."""
--- a/tests/test_oncall.py
+++ b/tests/test_oncall.py
@@ -7,7 +7,9 @@
 
 from oakmux import constants
 from oakmux.core.agents import reachability
+from oakmux.core.autoscaling.instance_inventory import FailedBoot
 from oakmux.core.context import Context, Machine
+from oakmux.core.instances import InstanceKind
 from oakmux.core.leadership.leadership import FLEET
 from oakmux.core.scheduling.failure_attribution import FailureAttribution
 from oakmux.core.state.records import controller_key
@@ -71,9 +73,10 @@
 def test_without_that_evidence_machines_that_do_not_hear_are_kept(monkeypatch):
     monkeypatch.setattr("oakmux.core.agents.capacity.is_reachable", lambda machine: True)
     monkeypatch.setattr(
-        "oakmux.core.autoscaling.scale_in.unreachable_s", lambda context, machine: 0.0
+        "oakmux.core.autoscaling.unhealthy_machines.unreachable_s", lambda context, machine: 0.0
     )
-    monkeypatch.setattr("oakmux.core.autoscaling.scale_in.is_reachable", lambda machine: True)
+    for module in ("scale_in", "unhealthy_machines"):
+        monkeypatch.setattr(f"oakmux.core.autoscaling.{module}.is_reachable", lambda machine: True)
     with pytest.raises(AssertionError):
         test_work_of_a_machine_that_does_not_hear_goes_on_elsewhere()
 
@@ -547,12 +550,12 @@
     sim.run(5)
     core = next(core for core in sim.cores.values() if FLEET in core.context.held_roles)
     demand = core.autoscaler.scale_out
-    bad = ("big", "a", True)
-    core.autoscaler.inventory.failed_boots = [(sim.now, bad)] * constants.BOOT_TROUBLE
+    bad = InstanceKind("big", "a", True)
+    core.autoscaler.inventory.failed_boots = [FailedBoot(sim.now, bad)] * constants.BOOT_TROUBLE
     sim.submit("job-1", spec("array", 9, "blue", spot=True, cpus=8.0, gpus=0.0))
     sim.run(8)
-    assert bad in demand.troubled
+    assert bad in demand.expected.troubled
     assert len(sim.workers) >= 9
     assert not any(w.zone == "a" and w.spot for w in sim.workers.values())
     sim.run(constants.BOOT_TROUBLE_S)
-    assert bad not in demand.troubled
+    assert bad not in demand.expected.troubled
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -456,7 +456,7 @@
     sim.submit("job-3", spec("array", 1, "blue", estimate_s=400.0, zone="c"))
     sim.run(15)
     for core in sim.cores.values():  # no more machines, so that only preemption helps
-        core.autoscaler.scale_out._rent = lambda *a: None
+        core.autoscaler.scale_out.rentals.rent = lambda *a: None
     sim.submit("job-4", spec("service", 2, "blue", spread=True, priority=3))
     sim.run(15)
     zones = {w.zone for w, task, _ in sim.live() if task.startswith("job-4/")}
@@ -535,7 +535,7 @@
     sim.submit("job-1", spec("array", 8, "red", estimate_s=300.0, zone="a"))
     sim.run(20)
     for core in sim.cores.values():  # no more machines, so that only preemption helps
-        core.autoscaler.scale_out._rent = lambda *a: None
+        core.autoscaler.scale_out.rentals.rent = lambda *a: None
     sim.submit(
         "job-2", spec("gang", 2, "blue", one_zone=True, priority=2, gpus=2.0, estimate_s=300.0)
     )
@@ -553,7 +553,7 @@
     sim.run(5)
     holder = next(name for _, task, _, name in sim.start_log if task == "job-2/0")
     for core in sim.cores.values():
-        core.autoscaler.scale_out._rent = lambda *a: None  # the other machine has to do
+        core.autoscaler.scale_out.rentals.rent = lambda *a: None  # the other machine has to do
     sim.cuts |= {frozenset((label, holder)) for label in sim.labels}
     sim.run(8)  # a report that was on its way when the cut began may come late
     sim.submit("job-3", spec("array", 1, "red", image="rare", estimate_s=60.0))
@@ -570,7 +570,7 @@
     worker.node = (sim.labels.index(owner) + 1) % 3  # another controller keeps the machine
     sim.run(2)
     for core in sim.cores.values():
-        core.autoscaler.scale_out._rent = lambda *a: None  # one machine has to do
+        core.autoscaler.scale_out.rentals.rent = lambda *a: None  # one machine has to do
     sim.cores[owner].scheduler.writer.flush = lambda: None
     sim.submit("job-2", spec("array", 1, "red", gpus=4.0, estimate_s=60.0))
     sim.run(0.5)
@@ -661,7 +661,7 @@
     sim.submit("job-2", spec("service", 5, "blue", zone="b"))
     sim.run(20)
     for core in sim.cores.values():
-        core.autoscaler.scale_out._rent = lambda *a: None
+        core.autoscaler.scale_out.rentals.rent = lambda *a: None
     before = sim.start_log[:]
     sim.submit("job-3", spec("gang", 2, "blue", one_zone=True, priority=2, gpus=3.0))
     sim.run(20)
@@ -676,7 +676,7 @@
     sim.run(12)
     writes = {label: core.scheduler.writer.flush for label, core in sim.cores.items()}
     for core in sim.cores.values():
-        core.autoscaler.scale_out._rent = lambda *a: None  # one machine has to do
+        core.autoscaler.scale_out.rentals.rent = lambda *a: None  # one machine has to do
         core.scheduler.writer.flush = lambda: None
     sim.submit("job-2", spec("array", 1, "red", gpus=4.0, estimate_s=60.0))
     sim.submit("job-3", spec("array", 1, "blue", gpus=4.0, estimate_s=60.0))
@@ -738,7 +738,7 @@
     sim.run(14)
     assert len(sim.live()) == 12
     for core in sim.cores.values():
-        core.autoscaler.scale_out._rent = lambda *a: None
+        core.autoscaler.scale_out.rentals.rent = lambda *a: None
     for job_id in ("job-3", "job-4"):
         sim.submit(job_id, spec("gang", 2, "blue", cpus=3.0, priority=2))
         sim.run(0.3)
@@ -754,7 +754,7 @@
     sim.run(8)
     core = next(c for c in sim.cores.values() if "blue" in c.context.held_roles)
     for other in sim.cores.values():
-        other.autoscaler.scale_out._rent = lambda *a: None
+        other.autoscaler.scale_out.rentals.rent = lambda *a: None
     sim.submit("job-2", spec("gang", 6, "blue", cpus=3.0))
     sim.run(1)
     state, name = core.scheduler.open["job-2"], next(iter(core.context.machines))
@@ -849,7 +849,7 @@
     sim.run(115)
     holders = {w.name for w, task, _ in sim.live() if task.startswith("job-1/")}
     for core in sim.cores.values():
-        core.autoscaler.scale_out._rent = lambda *a: None
+        core.autoscaler.scale_out.rentals.rent = lambda *a: None
     sim.submit("job-3", spec("gang", 2, "blue", image="x", image_gb=90.0, priority=2))
     sim.run(5)
     assert {w.name for w, task, _ in sim.live() if task.startswith("job-3/")} == holders
