--- a/oakmux/core/agents/reservation_queue.py
+++ b/oakmux/core/agents/reservation_queue.py
@@ -4,17 +4,10 @@
 
 from oakmux import constants
 from oakmux.core.agents.cancellation_log import CancellationLog
-from oakmux.core.agents.capacity import (
-    Resources,
-    fits_resources,
-    free_resources,
-    gang_hold_s,
-    is_full,
-    is_schedulable,
-    subtract,
-)
+from oakmux.core.agents.capacity import free_resources, gang_hold_s, is_full, is_schedulable
 from oakmux.core.agents.tracked_workers import Reservation, TrackedWorker, WorkerTable
 from oakmux.core.context import Context, Machine, Task, event
+from oakmux.core.resources import Resources, fits_resources, subtract
 from oakmux.core.scheduling import quotas
 from oakmux.core.scheduling.minimum_share import MinimumShare
 from oakmux.core.scheduling.queue_order import (
--- a/oakmux/core/autoscaling/consolidation.py
+++ b/oakmux/core/autoscaling/consolidation.py
@@ -3,9 +3,9 @@
 from typing import NamedTuple
 
 from oakmux import constants
-from oakmux.core.agents.capacity import fits_resources, subtract
 from oakmux.core.autoscaling.slot_pool import Slot
 from oakmux.core.context import Context, Machine, Task, event
+from oakmux.core.resources import Resources, fits_resources, subtract
 from oakmux.core.scheduling.placement import zone_allowed
 from oakmux.core.state.records import Binding, Job
 from oakmux.wire import JobSpec
@@ -85,8 +85,9 @@
     def _free_share(self, slot: Slot) -> float:
         """Return the free share of a machine's GPUs, or of its CPUs if it has no GPUs."""
         machine_type = self.context.types[slot.kind.type]
-        cpus, gpus, _ = slot.free
-        return gpus / machine_type.gpus if machine_type.gpus else cpus / machine_type.cpus
+        if machine_type.gpus:
+            return slot.free.gpus / machine_type.gpus
+        return slot.free.cpus / machine_type.cpus
 
     def _movable_tasks(self, machine: Machine, targets: list[Slot]) -> list[Task] | None:
         """Return the tasks of a machine, or None unless all of them can be moved now."""
@@ -125,7 +126,7 @@
         spec: JobSpec,
         binding: Binding,
         targets: list[Slot],
-        free: dict[str, tuple[float, float, float]],
+        free: dict[str, Resources],
         zones: list[str],
     ) -> Slot | None:
         """Return a machine in use that holds the image and has capacity for the task."""
--- a/oakmux/core/autoscaling/demand_placement.py
+++ b/oakmux/core/autoscaling/demand_placement.py
@@ -2,12 +2,12 @@
 
 from collections import Counter
 
-from oakmux.core.agents.capacity import fits_resources, subtract
 from oakmux.core.autoscaling.expected_capacity import ExpectedCapacity
 from oakmux.core.autoscaling.rental_requests import RentalRequests
 from oakmux.core.autoscaling.slot_pool import UNNAMED, Slot, SlotPool, empty_slot
 from oakmux.core.context import Context
 from oakmux.core.instances import InstanceKind
+from oakmux.core.resources import fits_resources, subtract
 from oakmux.core.scheduling.placement import zone_allowed
 from oakmux.wire import JobSpec
 
--- a/oakmux/core/autoscaling/slot_pool.py
+++ b/oakmux/core/autoscaling/slot_pool.py
@@ -3,9 +3,10 @@
 from collections.abc import Callable
 
 from oakmux import constants
-from oakmux.core.agents.capacity import Resources, is_full, task_capacity
+from oakmux.core.agents.capacity import is_full
 from oakmux.core.context import Context
 from oakmux.core.instances import InstanceKind
+from oakmux.core.resources import Resources, task_capacity
 from oakmux.core.scheduling.machine_index import CapacityClass, capacity_class, may_fit
 from oakmux.wire import JobSpec, MachineType
 
@@ -31,7 +32,8 @@
 
 def empty_slot(name: str, kind: InstanceKind, machine_type: MachineType) -> Slot:
     """Return the slot of an instance that does not run yet."""
-    return Slot(name, kind, (machine_type.cpus, machine_type.gpus, machine_type.memory_gb))
+    free = Resources(machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
+    return Slot(name, kind, free)
 
 
 class SlotPool:
@@ -87,7 +89,7 @@
         machine_type = self.context.types[capacity.type]
         cpus = capacity.cpu_level / constants.ROOM_LEVELS * machine_type.cpus
         memory_gb = capacity.memory_level / constants.ROOM_LEVELS * machine_type.memory_gb
-        free = (cpus, float(capacity.gpus), memory_gb)
+        free = Resources(cpus, float(capacity.gpus), memory_gb)
         return len(self.classes[capacity]) * task_capacity(free, spec)
 
     def fill_class(self, capacity: CapacityClass, fill: Callable[[Slot], bool]) -> bool:
--- /dev/null
+++ b/oakmux/core/resources.py
@@ -0,0 +1,50 @@
+"""CPUs, GPUs and memory of a machine, and how many tasks of a job they hold."""
+
+import math
+
+import msgspec
+
+from oakmux import constants
+from oakmux.wire import JobSpec
+
+
+class Resources(msgspec.Struct, frozen=True, gc=False):
+    """An amount of resources, mostly what is free on a machine."""
+
+    cpus: float
+    gpus: float
+    memory_gb: float
+
+
+NO_RESOURCES = Resources(0.0, 0.0, 0.0)
+
+
+def fits_resources(free: Resources, spec: JobSpec) -> bool:
+    """Whether one task of a job fits into the free resources."""
+    slack = constants.EPSILON
+    return (
+        spec.cpus <= free.cpus + slack
+        and spec.gpus <= free.gpus + slack
+        and spec.memory_gb <= free.memory_gb + slack
+    )
+
+
+def subtract(free: Resources, spec: JobSpec, count: int = 1) -> Resources:
+    """Return what is left beside `count` tasks of a job; a negative count gives back."""
+    return Resources(
+        free.cpus - count * spec.cpus,
+        free.gpus - count * spec.gpus,
+        free.memory_gb - count * spec.memory_gb,
+    )
+
+
+def task_capacity(free: Resources, spec: JobSpec) -> int:
+    """Return how many tasks of a job fit into the free resources; 1 if a task needs nothing."""
+    most = math.inf
+    if spec.gpus > 0:
+        most = (free.gpus + constants.EPSILON) / spec.gpus
+    if spec.cpus > 0:
+        most = min(most, (free.cpus + constants.EPSILON) / spec.cpus)
+    if spec.memory_gb > 0:
+        most = min(most, (free.memory_gb + constants.EPSILON) / spec.memory_gb)
+    return 1 if most == math.inf else max(0, math.floor(most))
--- a/oakmux/core/scheduling/backfill_candidates.py
+++ b/oakmux/core/scheduling/backfill_candidates.py
@@ -38,9 +38,10 @@
                 held.append(
                     _held(context, job, machine, other, other.spec, index, binding, beyond)
                 )
+        free = free_resources(context, machine)
         found.append(
             BackfillCandidate(
-                machine.name, machine.zone, free_resources(context, machine), tuple(held)
+                machine.name, machine.zone, (free.cpus, free.gpus, free.memory_gb), tuple(held)
             )
         )
     return found
--- a/oakmux/core/scheduling/capacity_claims.py
+++ b/oakmux/core/scheduling/capacity_claims.py
@@ -4,8 +4,8 @@
 from typing import NamedTuple
 
 from oakmux import constants
-from oakmux.core.agents.capacity import Resources, subtract
 from oakmux.core.context import Context, Machine
+from oakmux.core.resources import Resources, subtract
 from oakmux.wire import JobSpec
 
 
--- a/oakmux/core/scheduling/gangs.py
+++ b/oakmux/core/scheduling/gangs.py
@@ -7,8 +7,9 @@
 from pyroaring import BitMap
 
 from oakmux import constants
-from oakmux.core.agents.capacity import Resources, gang_hold_s, subtract, task_capacity
+from oakmux.core.agents.capacity import gang_hold_s
 from oakmux.core.context import Context, Machine, event
+from oakmux.core.resources import NO_RESOURCES, Resources, subtract, task_capacity
 from oakmux.core.scheduling.backfill_candidates import sites
 from oakmux.core.scheduling.backfill_plan import choose
 from oakmux.core.scheduling.machine_index import MachineIndex, SampledMachine
@@ -74,7 +75,7 @@
     def unclaimed(self, job: Job, machine: Machine, free: Resources) -> Resources:
         """Return the room on a machine that other gangs of ours have not asked for."""
         if job.spec is not None and self.context.backfill.blocks_job(machine.name, job, job.spec):
-            return 0.0, 0.0, 0.0
+            return NO_RESOURCES
         claims = self.claims.get(machine.name)
         if not claims:
             return free
@@ -340,7 +341,7 @@
                 count = min(most, task_capacity(row.free, spec))
                 if count:
                     most -= count
-                    rows.append(row._replace(free=subtract((0.0, 0.0, 0.0), spec, -count)))
+                    rows.append(row._replace(free=subtract(NO_RESOURCES, spec, -count)))
         return rows
 
     def _reserve(self, job: Job, spec: JobSpec, state: PendingJob, group: Group) -> None:
--- a/oakmux/core/scheduling/machine_index.py
+++ b/oakmux/core/scheduling/machine_index.py
@@ -13,9 +13,10 @@
 from pyroaring import BitMap
 
 from oakmux import constants
-from oakmux.core.agents.capacity import Resources, free_resources, is_schedulable, task_capacity
+from oakmux.core.agents.capacity import free_resources, is_schedulable
 from oakmux.core.context import Context, Machine
 from oakmux.core.instances import InstanceKind
+from oakmux.core.resources import Resources, task_capacity
 from oakmux.core.state.records import Job
 from oakmux.wire import JobSpec, MachineType
 
@@ -57,9 +58,9 @@
         kind.name,
         zone,
         spot,
-        math.floor(free[1] + constants.EPSILON),
-        _level(free[0] / kind.cpus),
-        _level(free[2] / kind.memory_gb),
+        math.floor(free.gpus + constants.EPSILON),
+        _level(free.cpus / kind.cpus),
+        _level(free.memory_gb / kind.memory_gb),
         idle,
     )
 
--- a/oakmux/core/scheduling/minimum_share.py
+++ b/oakmux/core/scheduling/minimum_share.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterable
 
 from oakmux import constants
-from oakmux.core.agents.capacity import Resources, fits_resources
 from oakmux.core.context import Context
+from oakmux.core.resources import Resources, fits_resources
 from oakmux.core.scheduling.queue_order import is_aged
 from oakmux.core.state.records import Job
 from oakmux.wire import JobSpec, MachineType
--- a/oakmux/core/scheduling/placement.py
+++ b/oakmux/core/scheduling/placement.py
@@ -5,9 +5,9 @@
 from pyroaring import BitMap
 
 from oakmux import constants
-from oakmux.core.agents.capacity import Resources, task_capacity
 from oakmux.core.agents.reservation_queue import preemption_candidates, save_s
 from oakmux.core.context import Context, Machine
+from oakmux.core.resources import Resources, task_capacity
 from oakmux.core.scheduling import quotas
 from oakmux.core.scheduling.machine_index import MachineIndex, SampledMachine
 from oakmux.core.scheduling.pending_job import PendingJob
@@ -48,8 +48,8 @@
     that falls to each."""
     return (
         not spec.gpus
-        and free[1] > constants.EPSILON
-        and (free[0] - spec.cpus) * kind.gpus < free[1] * kind.cpus - constants.EPSILON
+        and free.gpus > constants.EPSILON
+        and (free.cpus - spec.cpus) * kind.gpus < free.gpus * kind.cpus - constants.EPSILON
     )
 
 
@@ -69,7 +69,7 @@
     what is left over on any, and may be lost with them."""
     kind = context.types[machine.type]
     urgent = job.priority >= constants.URGENT
-    left = max(free[0] / kind.cpus, free[1] / (kind.gpus or 1.0))
+    left = max(free.cpus / kind.cpus, free.gpus / (kind.gpus or 1.0))
     held, others = fetches(context, spec, machine)
     fetching = not held and any(urgent or other.priority >= constants.URGENT for other in others)
     dearer = spec.spot and not machine.spot if spec.gpus else machine.spot
--- a/oakmux/core/scheduling/sampling.py
+++ b/oakmux/core/scheduling/sampling.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 
 from oakmux import constants
-from oakmux.core.agents.capacity import Resources, task_capacity
 from oakmux.core.context import Context, Machine
+from oakmux.core.resources import NO_RESOURCES, Resources, task_capacity
 from oakmux.core.scheduling.binding import Binder
 from oakmux.core.scheduling.capacity_claims import CapacityClaims
 from oakmux.core.scheduling.gangs import GangScheduler
@@ -182,7 +182,7 @@
 
         def left(machine: Machine, free: Resources) -> Resources:
             if backfill.by_machine and backfill.blocks_job(machine.name, job, spec):
-                return 0.0, 0.0, 0.0
+                return NO_RESOURCES
             return self.claims.left(job.id, machine, free)
 
         return left
--- a/oakmux/core/state/replica.py
+++ b/oakmux/core/state/replica.py
@@ -8,6 +8,7 @@
 import msgspec
 
 from oakmux import constants
+from oakmux.core.resources import Resources
 from oakmux.core.state.binding_batches import (
     ONLY_BLOCK,
     BindingBatch,
@@ -94,7 +95,7 @@
         # {team: {priority: (cpus, gpus)}}.
         self.preemptible_usage: dict[str, dict[int, tuple[float, float]]] = {}
         # Free room of machines, by name; taken out when their tasks or bindings change.
-        self.free_resources: dict[str, tuple[float, float, float]] = {}
+        self.free_resources: dict[str, Resources] = {}
         # Machines whose place among all others may have changed since the index was refreshed.
         self.stale_machines: set[str] = set()
 
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -10,6 +10,7 @@
 
 import msgspec
 import pytest
+from msgspec.structs import astuple
 
 from oakmux import constants
 from oakmux.core.agents.capacity import count_free_resources, is_schedulable
@@ -1177,7 +1178,8 @@
     """Compare what a controller keeps up to date with a full count."""
     context, replica = core.context, core.context.replica
     for name, free in replica.free_resources.items():
-        assert free == pytest.approx(count_free_resources(context, context.machines[name])), name
+        counted = count_free_resources(context, context.machines[name])
+        assert astuple(free) == pytest.approx(astuple(counted)), name
     check_index(core)
     used: dict[str, float] = {}
     mine: dict[str, float] = {}
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -6,13 +6,14 @@
 
 from oakmux import constants
 from oakmux.core.context import Context, Machine
+from oakmux.core.resources import Resources
 from oakmux.core.scheduling.capacity_claims import CapacityClaims
 from oakmux.core.state.records import Binding, TaskBlock, block_key, job_key, job_value
 from oakmux.wire import Heartbeat
 from tests.fakes import TYPE, settings_for, spec
 from tools.capacity.cell import Cell, cpu_job
 
-WHOLE = (TYPE.cpus, TYPE.gpus, TYPE.memory_gb)
+WHOLE = Resources(TYPE.cpus, TYPE.gpus, TYPE.memory_gb)
 
 
 def claimed() -> tuple[Context, CapacityClaims, Machine]:
@@ -29,7 +30,7 @@
 
 def test_what_one_job_asked_for_is_taken_for_the_others_and_not_for_itself():
     context, claims, machine = claimed()
-    assert claims.left("job-2", machine, WHOLE)[0] == TYPE.cpus - 6.0
+    assert claims.left("job-2", machine, WHOLE).cpus == TYPE.cpus - 6.0
     assert claims.left("job-1", machine, WHOLE) == WHOLE
     # It needs two tasks and asked for more, to have a choice: the rest is nobody's.
     assert claims.left("job-2", context.machines["m2"], WHOLE) == WHOLE
--- a/tests/test_index.py
+++ b/tests/test_index.py
@@ -6,15 +6,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from oakmux.core.agents.capacity import (
-    fits_resources,
-    free_resources,
-    heartbeat_timeout_s,
-    is_schedulable,
-    task_capacity,
-)
+from oakmux.core.agents.capacity import free_resources, heartbeat_timeout_s, is_schedulable
 from oakmux.core.agents.heartbeats import apply_heartbeat
 from oakmux.core.context import Context
+from oakmux.core.resources import Resources, fits_resources, task_capacity
 from oakmux.core.scheduling.machine_index import MachineIndex, capacity_class, may_fit
 from oakmux.core.state.records import block_key, job_key, job_value
 from oakmux.wire import Heartbeat
@@ -194,7 +189,7 @@
 )
 def test_a_class_that_is_left_out_has_no_room(cpus, gpus, memory, need, need_gpus, need_memory):
     job = spec(cpus=need, gpus=need_gpus, memory_gb=need_memory)
-    free = (cpus, float(gpus), memory)
+    free = Resources(cpus, float(gpus), memory)
     if fits_resources(free, job):
         assert may_fit(job, TYPE, capacity_class(TYPE, "a", False, free, True))
 
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -8,6 +8,7 @@
 
 from oakmux import constants
 from oakmux.core.context import Context
+from oakmux.core.resources import Resources
 from oakmux.core.scheduling.minimum_share import MinimumShare
 from oakmux.core.scheduling.pending_queues import PendingQueues
 from oakmux.core.scheduling.queue_order import effective_submission_ms
@@ -175,7 +176,7 @@
     old.since = -1000 * (constants.AGED_S + 1)
     by_age = by_rank = 0.0
     for gpus, waiting in offers:
-        if waiting and minimum.oldest(TYPE, (8.0, 4.0, 64.0), [old]) is old:
+        if waiting and minimum.oldest(TYPE, Resources(8.0, 4.0, 64.0), [old]) is old:
             minimum.gave(old.spec, TYPE, True)
             by_age += 0.25
         other = spec(gpus=gpus, priority=3)
