--- a/oakmux/core/api/__init__.py
+++ b/oakmux/core/api/__init__.py
@@ -1,1 +1,1 @@
-"""What users ask for: submitting, querying and cancelling jobs."""
+"""The job API: users submit, query and cancel jobs."""
--- /dev/null
+++ b/oakmux/core/api/cancellation.py
@@ -0,0 +1,120 @@
+"""Cancelling jobs, and with each all unfinished jobs that depend on it."""
+
+import math
+from typing import Any
+
+from oakmux import constants
+from oakmux.core.api.answers import (
+    UNKNOWN_JOB,
+    WRITE_UNCONFIRMED,
+    Answers,
+    Refusal,
+    RequestId,
+)
+from oakmux.core.api.current_reads import CONFLICT, CurrentReads
+from oakmux.core.context import Context, event
+from oakmux.core.state.records import Job, job_key, job_value
+
+
+class Cancellation:
+    """Records cancellations: a user's before it is answered, its cascade soon afterwards."""
+
+    def __init__(self, context: Context, answers: Answers, reads: CurrentReads) -> None:
+        self.context = context
+        self.answers = answers
+        self.reads = reads
+        # When to write the cancellation of a job whose dependency was cancelled.
+        self.cascade_due: dict[str, float] = {}
+        self.cascade_in_flight = False
+        self.max_writes = context.facts.state.least.txn_ops
+
+    def cancel(self, request_id: RequestId, job_id: str, job: Job | None) -> None:
+        """Record that a job is cancelled, then answer; `job` is its current record."""
+        if job is None:
+            self.answers.refuse(request_id, Refusal(404, UNKNOWN_JOB))
+            return
+        if job.final:
+            self.answers.job(request_id, job)
+            return
+        context = self.context
+        value = _cancelled_value(job)
+
+        def on_answer(status: int, result: Any) -> None:
+            if status == 200:
+                context.replica.apply(job_key(job_id), value, result[0])
+                event("cancelled", job=job_id)
+                self._hasten_cascade()
+                self.answers.cancelled(request_id, job_id)
+            elif status == CONFLICT:
+                self.reads.fetch(
+                    request_id, job_id, lambda job: self.cancel(request_id, job_id, job)
+                )
+            else:
+                self.answers.unavailable(request_id, WRITE_UNCONFIRMED)
+
+        context.call(
+            on_answer,
+            "txn",
+            [(job_key(job_id), job.mod_revision)],
+            [(job_key(job_id), value, None)],
+            0,
+        )
+
+    def _hasten_cascade(self) -> None:
+        """Make the whole cascade due, since this controller recorded the cancellation."""
+        for job_id in self.context.replica.cascade_cancelled:
+            due = self.cascade_due.get(job_id, math.inf)
+            self.cascade_due[job_id] = min(self.context.now, due)
+
+    def write_cascade(self) -> None:
+        """Record the cancellations that follow from others, many in one transaction.
+
+        Users are told of them in any case. If the controller that recorded the first cancellation
+        fails to write the cascade, those that schedule the teams of the jobs do, CASCADE_S later.
+        """
+        if not (self.context.replica.cascade_cancelled or self.cascade_due):
+            return
+        due = self._due_jobs()
+        if not due or self.cascade_in_flight:
+            return
+        context = self.context
+        self.cascade_in_flight = True
+        conditions, writes = [], []
+        for job_id in due:
+            job = context.replica.jobs[job_id]
+            self.cascade_due[job_id] = context.now + constants.CASCADE_S
+            conditions.append((job_key(job_id), job.mod_revision))
+            writes.append((job_key(job_id), _cancelled_value(job), None))
+        context.call(
+            lambda status, result: self._on_cascade_written(writes, status, result),
+            "txn",
+            conditions,
+            writes,
+            1,
+        )
+
+    def _due_jobs(self) -> list[str]:
+        """Bring the due times up to date; return the jobs to write now."""
+        context = self.context
+        cascade = context.replica.cascade_cancelled
+        for job_id in cascade:
+            if context.replica.jobs[job_id].team in context.held_roles:
+                self.cascade_due.setdefault(job_id, context.now + constants.CASCADE_S)
+        for job_id in [job_id for job_id in self.cascade_due if job_id not in cascade]:
+            del self.cascade_due[job_id]
+        due = [job_id for job_id, at in self.cascade_due.items() if at <= context.now]
+        return due[: self.max_writes]
+
+    def _on_cascade_written(
+        self, writes: list[tuple[str, list[Any], None]], status: int, result: Any
+    ) -> None:
+        self.cascade_in_flight = False
+        if status != 200:
+            return  # the watch brings what changed, or the jobs become due again
+        for key, value, _ in writes:
+            self.context.replica.apply(key, value, result[0])
+            event("cancelled", job=key.rpartition("/")[2], why="dependency_cancelled")
+
+
+def _cancelled_value(job: Job) -> list[Any]:
+    return job_value("cancelled", job.team, job.spec, job.order, job.tasks)
--- /dev/null
+++ b/oakmux/core/api/current_reads.py
@@ -0,0 +1,179 @@
+"""Reads of jobs that reflect all changes made before the request arrived.
+
+The replica may lag behind the store. A read therefore compares the mod revisions that the replica
+knows with those of the store, many jobs in one transaction.
+"""
+
+from collections.abc import Callable, Iterable
+from typing import Any, NamedTuple
+
+from oakmux import constants
+from oakmux.core.api.answers import (
+    RECORDS_NOT_CURRENT,
+    RECORDS_NOT_LOADED,
+    TOO_MANY_REQUESTS,
+    Answers,
+    RequestId,
+)
+from oakmux.core.context import Context
+from oakmux.core.state.records import Job, job_key
+
+Continuation = Callable[[Job | None], None]
+"""Called with the current job, or None if there is no such job."""
+
+CONFLICT = 409
+"""Status of a transaction whose conditions failed: its result tells which, and the revision."""
+
+
+class _Read(NamedTuple):
+    """A request that needs the current record of a job."""
+
+    request_id: RequestId
+    job_id: str
+    resume: Continuation
+
+
+class _RevisionWait(NamedTuple):
+    """A read that goes on once the replica has reached a revision."""
+
+    revision: int
+    deadline: float
+    read: _Read
+
+
+class CurrentReads:
+    """Coalesces reads into few transactions, whose results resume the requests."""
+
+    def __init__(self, context: Context, answers: Answers) -> None:
+        self.context = context
+        self.answers = answers
+        self.queued: list[_Read] = []
+        self.in_flight = 0
+        self.revision_waits: list[_RevisionWait] = []
+        self.max_conditions = 4 * context.facts.state.least.txn_ops
+
+    def records_loaded(self, request_id: RequestId) -> bool:
+        """Whether there are records to answer from; if not, the user is told to try again."""
+        replica = self.context.replica
+        if replica.loaded and not replica.unknown_format:
+            return True
+        self.answers.unavailable(request_id, RECORDS_NOT_LOADED)
+        return False
+
+    def read(self, request_id: RequestId, job_id: str, resume: Continuation) -> None:
+        """Call `resume` with the current job; the user is refused if that fails."""
+        if len(self.queued) >= constants.MAX_WAITING:
+            self.answers.unavailable(request_id, TOO_MANY_REQUESTS)
+        else:
+            self.queued.append(_Read(request_id, job_id, resume))
+
+    def fetch(self, request_id: RequestId, job_id: str, resume: Continuation) -> None:
+        """Fetch a record that the replica lacks or has in an older version."""
+
+        def on_answer(status: int, result: Any) -> None:
+            if status == 200:
+                self.context.replica.apply(job_key(job_id), *result)
+                resume(self.context.replica.jobs.get(job_id))
+            else:
+                # Records of jobs are never deleted, so not even 404 says that there is none: the
+                # failed comparison has shown that there is one.
+                self.answers.unavailable(request_id, RECORDS_NOT_CURRENT)
+
+        self.context.call(on_answer, "get", job_key(job_id), 0)
+
+    def resume_waiting(self) -> None:
+        """Resume the reads whose revision the replica has reached; refuse those out of time."""
+        if not self.revision_waits:
+            return
+        context = self.context
+        waits, self.revision_waits = self.revision_waits, []
+        for wait in waits:
+            request_id, job_id, resume = wait.read
+            if context.replica.revision >= wait.revision:
+                resume(context.replica.jobs.get(job_id))
+            elif context.now > wait.deadline:
+                self.answers.unavailable(request_id, RECORDS_NOT_CURRENT)
+            else:
+                self.revision_waits.append(wait)
+
+    def send(self) -> None:
+        """Send the queued reads, READS_IN_FLIGHT transactions at most at a time."""
+        if len(self.queued) > self.max_conditions and self.in_flight < constants.READS_IN_FLIGHT:
+            self._send_revision_query()
+        while self.queued and self.in_flight < constants.READS_IN_FLIGHT:
+            self._send_comparison()
+
+    def _send_revision_query(self) -> None:
+        """Ask only for the store's revision, on behalf of all queued reads.
+
+        One transaction can't compare so many jobs. Once the watch has brought all changes up to
+        the revision, the replica can serve any number of reads, so the load on the store does not
+        grow with the rate of queries.
+        """
+        batch, self.queued = self.queued, []
+        self._compare(
+            [batch[0].job_id], lambda status, result: self._on_revision(batch, status, result)
+        )
+
+    def _send_comparison(self) -> None:
+        size = self.max_conditions
+        batch, self.queued = self.queued[:size], self.queued[size:]
+        self._compare(
+            dict.fromkeys(read.job_id for read in batch),
+            lambda status, result: self._on_comparison(batch, status, result),
+        )
+
+    def _compare(self, job_ids: Iterable[str], on_answer: Callable[[int, Any], None]) -> None:
+        """Send a transaction that compares the mod revisions of jobs and writes nothing."""
+        jobs = self.context.replica.jobs
+        conditions = []
+        for job_id in job_ids:
+            job = jobs.get(job_id)
+            conditions.append((job_key(job_id), 0 if job is None else job.mod_revision))
+        self.in_flight += 1
+        self.context.call(on_answer, "txn", conditions, [], 0)
+
+    def _on_comparison(self, batch: list[_Read], status: int, result: Any) -> None:
+        self.in_flight -= 1
+        failed = set(result[1]) if status == CONFLICT else set()
+        for read in batch:
+            if status not in (200, CONFLICT):
+                self.answers.unavailable(read.request_id, RECORDS_NOT_CURRENT)
+            elif job_key(read.job_id) in failed:
+                self._fetch_and_resume(result[0], read)
+            else:
+                self._resume_current(result[0], read)
+
+    def _fetch_and_resume(self, revision: int, read: _Read) -> None:
+        self.fetch(read.request_id, read.job_id, lambda job: self._resume_current(revision, read))
+
+    def _on_revision(self, batch: list[_Read], status: int, result: Any) -> None:
+        self.in_flight -= 1
+        for read in batch:
+            if status in (200, CONFLICT):
+                self._resume_at_revision(result[0], read)
+            else:
+                self.answers.unavailable(read.request_id, RECORDS_NOT_CURRENT)
+
+    def _resume_current(self, revision: int, read: _Read) -> None:
+        """Resume a read whose job's own record is current.
+
+        If the answer depends on the records of other jobs as well, it waits for all changes up to
+        the revision: the job may be cancelled because of one far before it (R orphaned,
+        went_back), and a name unknown here may have been accepted by a peer.
+        """
+        job = self.context.replica.jobs.get(read.job_id)
+        if job is not None and (job.ready or job.final):
+            read.resume(job)
+        else:
+            self._resume_at_revision(revision, read)
+
+    def _resume_at_revision(self, revision: int, read: _Read) -> None:
+        """Resume a read once the watch has brought all changes up to a revision."""
+        if self.context.replica.revision >= revision:
+            read.resume(self.context.replica.jobs.get(read.job_id))
+        elif len(self.revision_waits) >= constants.MAX_WAITING:
+            self.answers.unavailable(read.request_id, TOO_MANY_REQUESTS)
+        else:
+            deadline = self.context.now + constants.STATE_TIMEOUT_S
+            self.revision_waits.append(_RevisionWait(revision, deadline, read))
--- /dev/null
+++ b/oakmux/core/api/job_view.py
@@ -0,0 +1,29 @@
+"""Showing a job to a user."""
+
+from oakmux.core.api.answers import Answers, Refusal, RequestId
+from oakmux.core.api.cancellation import Cancellation
+from oakmux.core.context import Context
+from oakmux.core.state.records import Job
+
+
+class JobView:
+    """Answers with the state of jobs."""
+
+    def __init__(self, context: Context, answers: Answers, cancellation: Cancellation) -> None:
+        self.context = context
+        self.answers = answers
+        self.cancellation = cancellation
+
+    def show(self, request_id: RequestId, job: Job) -> None:
+        """Answer with a job's state; a cancellation by cascade is recorded before it is shown."""
+        if job.id in self.context.replica.cascade_cancelled:
+            self.cancellation.cancel(request_id, job.id, job)
+        else:
+            self.answers.job(request_id, job)
+
+    def show_or_refuse(self, request_id: RequestId, job: Job | None, refusal: Refusal) -> None:
+        """Answer with a job's state, or with the refusal if there is no such job."""
+        if job is not None:
+            self.show(request_id, job)
+        else:
+            self.answers.refuse(request_id, refusal)
--- /dev/null
+++ b/oakmux/core/api/submission.py
@@ -0,0 +1,186 @@
+"""Accepting jobs: validation, then one conditional write, so that each id is accepted once."""
+
+from typing import Any
+
+from oakmux import constants
+from oakmux.core.api.answers import (
+    DEPENDENCIES_UNSUPPORTED,
+    TYPES_UNKNOWN,
+    WRITE_UNCONFIRMED,
+    Answers,
+    Refusal,
+    RequestId,
+)
+from oakmux.core.api.current_reads import CONFLICT, CurrentReads
+from oakmux.core.api.job_view import JobView
+from oakmux.core.context import Context, event
+from oakmux.core.scheduling import quotas
+from oakmux.core.state.records import (
+    FORMAT_COMPACT,
+    Job,
+    job_key,
+    job_value,
+    value_bytes,
+    value_limit,
+)
+from oakmux.wire import JobSpec
+
+
+class Submission:
+    """Handles submitted jobs."""
+
+    def __init__(
+        self, context: Context, answers: Answers, reads: CurrentReads, view: JobView
+    ) -> None:
+        self.context = context
+        self.answers = answers
+        self.reads = reads
+        self.view = view
+        self.max_value_bytes = value_limit(context.facts.state.least)
+
+    def submit(
+        self, request_id: RequestId, job_id: str, spec: JobSpec | None, malformed: str
+    ) -> None:
+        """Accept a job, or show the one that has its id.
+
+        `spec` is None if the submission could not be parsed; `malformed` then says why.
+        """
+        if not self.reads.records_loaded(request_id):
+            return
+        job = self.context.replica.jobs.get(job_id)
+        if job is not None and job.final:
+            self.view.show(request_id, job)
+        elif job is not None or spec is None:
+            self._show_current_or_refuse(request_id, job_id, Refusal(400, malformed))
+        elif not self.context.types:
+            self.answers.unavailable(request_id, TYPES_UNKNOWN)
+        else:
+            self._submit_new(request_id, job_id, spec)
+
+    def _show_current_or_refuse(
+        self, request_id: RequestId, job_id: str, refusal: Refusal
+    ) -> None:
+        self.reads.read(
+            request_id, job_id, lambda job: self.view.show_or_refuse(request_id, job, refusal)
+        )
+
+    def _submit_new(self, request_id: RequestId, job_id: str, spec: JobSpec) -> None:
+        """Accept a job that the replica does not know."""
+        invalid = self._invalid_reason(job_id, spec)
+        if invalid is not None:
+            self._show_current_or_refuse(request_id, job_id, Refusal(422, invalid))
+        elif spec.waits_on and self.context.replica.format < FORMAT_COMPACT:
+            self.answers.unavailable(request_id, DEPENDENCIES_UNSUPPORTED)
+        elif self._unknown_dependencies(spec):
+            # Whether a peer has just accepted them only current records can tell.
+            self.reads.read(
+                request_id,
+                job_id,
+                lambda job: self._submit_current(request_id, job_id, spec, job),
+            )
+        else:
+            self._create(request_id, job_id, spec)
+
+    def _submit_current(
+        self, request_id: RequestId, job_id: str, spec: JobSpec, job: Job | None
+    ) -> None:
+        """Accept a job with dependencies, now that the records are current."""
+        unknown = self._unknown_dependencies(spec)
+        invalid = self._invalid_dependency(job_id, spec)
+        if job is not None:
+            self.view.show(request_id, job)
+        elif unknown or invalid:
+            reason = invalid or f"waits_on: {unknown[0]} was never accepted"
+            self.answers.refuse(request_id, Refusal(422, reason))
+        else:
+            self._create(request_id, job_id, spec)
+
+    def _invalid_reason(self, job_id: str, spec: JobSpec) -> str | None:
+        """Return why a job can never be accepted, or None."""
+        return (
+            quotas.infeasible_reason(self.context, spec)
+            or self._invalid_dependency(job_id, spec)
+            or self._oversized(spec)
+            or self._reserved_id(job_id)
+        )
+
+    def _invalid_dependency(self, job_id: str, spec: JobSpec) -> str | None:
+        """Return why a job can't depend on those that it names, or None.
+
+        Only reasons that can never change count.
+        """
+        if job_id in spec.waits_on:
+            return "waits_on: the job itself"
+        jobs = self.context.replica.jobs
+        for name in spec.waits_on:
+            if name in jobs and jobs[name].service:
+                return f"waits_on: {name} is a service"
+        return None
+
+    def _oversized(self, spec: JobSpec) -> str | None:
+        value = job_value("queued", spec.team, spec, self.context.wall_clock_ms, spec.tasks)
+        size = value_bytes(value)
+        if size <= self.max_value_bytes:
+            return None
+        return f"description of {size} bytes: a record holds {self.max_value_bytes}"
+
+    def _reserved_id(self, job_id: str) -> str | None:
+        """Return why an id is kept for the jobs of schedules, or None.
+
+        All ids of schedules have 18 digits. Shorter ones with the same prefix stay free, and
+        users who had such a job before the reservation are still shown it.
+        """
+        prefix = self.context.reserved
+        if prefix and job_id.startswith(prefix) and len(job_id) == constants.RESERVED_TEXT:
+            return f"id: {prefix}... of 18 digits is kept for schedules"
+        return None
+
+    def _unknown_dependencies(self, spec: JobSpec) -> list[str]:
+        return [name for name in spec.waits_on if name not in self.context.replica.jobs]
+
+    def _depends_on_cancelled(self, spec: JobSpec) -> bool:
+        replica = self.context.replica
+        return any(
+            replica.jobs[name].state == "cancelled" or name in replica.cascade_cancelled
+            for name in spec.waits_on
+        )
+
+    def _create(self, request_id: RequestId, job_id: str, spec: JobSpec) -> None:
+        """Write the job's record, provided that there is none."""
+        # A job that depends on a cancelled one is accepted and cancelled at once.
+        state = "cancelled" if self._depends_on_cancelled(spec) else "queued"
+        value = job_value(state, spec.team, spec, self.context.wall_clock_ms, spec.tasks)
+
+        def on_answer(status: int, result: Any) -> None:
+            if status == 200:
+                self.context.replica.apply(job_key(job_id), value, result[0])
+                _log_accepted(job_id, spec, state)
+                self.answers.accepted(request_id, job_id, state)
+            elif status == CONFLICT:
+                self.reads.fetch(
+                    request_id,
+                    job_id,
+                    lambda job: self.view.show_or_refuse(request_id, job, Refusal(503, "")),
+                )
+            else:
+                self.answers.unavailable(request_id, WRITE_UNCONFIRMED)
+
+        self.context.call(
+            on_answer, "txn", [(job_key(job_id), 0)], [(job_key(job_id), value, None)], 0
+        )
+
+
+def _log_accepted(job_id: str, spec: JobSpec, state: str) -> None:
+    dependencies = {"waits_on": ",".join(spec.waits_on)} if spec.waits_on else {}
+    event(
+        "accepted",
+        job=job_id,
+        lane=spec.lane,
+        team=spec.team,
+        kind=spec.kind,
+        tasks=spec.tasks,
+        gpus=spec.gpus,
+        priority=spec.priority,
+        state=state,
+        **dependencies,
+    )
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -216,6 +216,8 @@
     for core in sim.cores.values():  # each answers, but never for this one
         query = core.jobs_api.query
         core.handlers["query"] = lambda rid, job_id, query=query, core=core: (
-            core.jobs_api.unavailable(rid, "busy") if job_id == "job-2" else query(rid, job_id)
+            core.jobs_api.answers.unavailable(rid, "busy")
+            if job_id == "job-2"
+            else query(rid, job_id)
         )
     assert sim.unresponsive() == {"job-2"}
