--- a/oakmux/cli.py
+++ b/oakmux/cli.py
@@ -11,7 +11,22 @@
 
 import click
 
-from oakmux import __version__, constants, settings, wire
+from oakmux import __version__, constants, settings
+from oakmux.codec.cbor import Malformed, decode, encode
+from oakmux.codec.users import (
+    CANCEL_SUFFIX,
+    CLI_FIELDS,
+    CLI_KINDS,
+    CLI_PRIORITIES,
+    PATH_HEALTH,
+    PATH_JOBS,
+    parse_dependencies,
+    parse_job,
+    parse_job_id,
+    parse_job_state,
+    submission_body,
+)
+from oakmux.core.model import JOB_ID
 
 DEFAULT_INI = "~/.config/oakmux/oakmux.ini"
 EXIT_FAILED, EXIT_BAD, EXIT_UNREACHABLE = 1, 2, 3
@@ -89,10 +104,10 @@
     host, port = settings.split_addr(server)
     conn = HTTPConnection(host, port, timeout=constants.CLOUD_TIMEOUT_S)
     try:
-        conn.request(method, path, None if body is None else wire.encode(body))
+        conn.request(method, path, None if body is None else encode(body))
         answer = conn.getresponse()
         data = answer.read(constants.MAX_BODY)
-        return answer.status, wire.decode(data) if data else None
+        return answer.status, decode(data) if data else None
     finally:
         conn.close()
 
@@ -104,7 +119,7 @@
         for server in context.need_servers():
             try:
                 status, answer = ask_one(server, method, path, body)
-            except (OSError, HTTPException, wire.Malformed) as error:
+            except (OSError, HTTPException, Malformed) as error:
                 trouble = f"{server}: {error or 'no answer'}"
                 continue
             if status not in (429, 503, 504):
@@ -122,8 +137,8 @@
 
 def line(job: dict) -> str:
     """Return a job's state for people."""
-    text = "{}: {} (done {}, running {})".format(*wire.job_state(job))
-    waits_on = wire.job_waits(job)
+    text = "{}: {} (done {}, running {})".format(*parse_job_state(job))
+    waits_on = parse_dependencies(job)
     return f"{text}, waits on {', '.join(waits_on)}" if waits_on else text
 
 
@@ -211,20 +226,20 @@
         fail(f"{path}: {error}", EXIT_BAD)
     if not isinstance(value, dict):
         fail(f"{path}: not a table of fields", EXIT_BAD)
-    unknown = sorted(set(value) - set(wire.JOB_FIELDS))
+    unknown = sorted(set(value) - set(CLI_FIELDS))
     if unknown:
-        known = ", ".join(wire.JOB_FIELDS)
+        known = ", ".join(CLI_FIELDS)
         fail(f"{path}: unknown field {unknown[0]}; known are {known}", EXIT_BAD)
     return value
 
 
 def to_wire(job: dict) -> dict:
     """Translate a job's words to the platform's and check it."""
-    made = wire.job_body({**DEFAULTS, **job})
+    made = submission_body({**DEFAULTS, **job})
     try:
-        wire.job_id_of(made)
-        wire.parse_job(made)
-    except wire.Malformed as error:
+        parse_job_id(made)
+        parse_job(made)
+    except Malformed as error:
         fail(f"bad job: {error}", EXIT_BAD)
     return made
 
@@ -234,8 +249,8 @@
 @click.option("--id", "job_id", help="Job id, like job-000412.")
 @click.option("--class", "lane", help="Class of jobs that it belongs to.")
 @click.option("--team", help="Team whose guarantee and limit apply.")
-@click.option("--kind", type=click.Choice(sorted(wire.KIND_WORDS)))
-@click.option("--priority", type=click.Choice(sorted(wire.PRIORITY_WORDS)))
+@click.option("--kind", type=click.Choice(sorted(CLI_KINDS)))
+@click.option("--priority", type=click.Choice(sorted(CLI_PRIORITIES)))
 @click.option("--tasks", type=int)
 @click.option("--cpus", type=float)
 @click.option("--gpus", type=float)
@@ -280,7 +295,7 @@
     for name in ("id", "team"):
         if name not in job:
             fail(f"a job needs {name}", EXIT_BAD)
-    status, answer = ask(context, "POST", wire.PATH_JOBS, to_wire(job))
+    status, answer = ask(context, "POST", PATH_JOBS, to_wire(job))
     if status not in (200, 201):
         fail(f"refused ({status}): {reason(answer)}", EXIT_FAILED)
     context.show(answer, line(answer))
@@ -288,9 +303,9 @@
 
 def ask_job(context: Context, job_id: str, method: str = "GET", action: str = "") -> dict:
     """Ask about a job, or act on it; end unless the answer is its state."""
-    if not wire.JOB_ID.match(job_id):
+    if not JOB_ID.match(job_id):
         fail(f"not a job id: {job_id}", EXIT_BAD)
-    code, answer = ask(context, method, f"{wire.PATH_JOBS}/{job_id}{action}")
+    code, answer = ask(context, method, f"{PATH_JOBS}/{job_id}{action}")
     if code != 200:
         fail(f"{job_id}: {reason(answer)} ({code})", EXIT_FAILED)
     return answer
@@ -310,7 +325,7 @@
 @click.pass_obj
 def cancel(context: Context, job_id: str) -> None:
     """Cancel JOB_ID."""
-    answer = ask_job(context, job_id, "POST", wire.CANCEL)
+    answer = ask_job(context, job_id, "POST", CANCEL_SUFFIX)
     context.show(answer, line(answer))
 
 
@@ -324,7 +339,7 @@
     end = None if timeout is None else time.monotonic() + timeout
     while True:
         answer = ask_job(context, job_id)
-        state = wire.job_state(answer)[1]
+        state = parse_job_state(answer)[1]
         if state in ("done", "cancelled"):
             context.show(answer, line(answer))
             sys.exit(0 if state == "done" else EXIT_FAILED)
@@ -340,7 +355,7 @@
     found = []
     for server in context.need_servers():
         try:
-            code, answer = ask_one(server, "GET", wire.PATH_HEALTH)
+            code, answer = ask_one(server, "GET", PATH_HEALTH)
             found.append(
                 {
                     "server": server,
@@ -348,7 +363,7 @@
                     **(answer if isinstance(answer, dict) else {}),
                 }
             )
-        except (OSError, HTTPException, wire.Malformed) as error:
+        except (OSError, HTTPException, Malformed) as error:
             found.append({"server": server, "ready": False, "error": str(error) or "no answer"})
     text = "\n".join(
         f"{row['server']}: {'ready' if row['ready'] else 'NOT READY'} "
--- a/oakmux/core/agents/heartbeats.py
+++ b/oakmux/core/agents/heartbeats.py
@@ -11,7 +11,7 @@
 from oakmux.core.agents.worker_commands import WorkerCommands
 from oakmux.core.context import Context, Machine, Task, event
 from oakmux.core.leadership.leadership import Leadership
-from oakmux.wire import Heartbeat
+from oakmux.core.model import Heartbeat
 
 STARTING = ("starting", "", False)
 REFUSED = ("refused", "", False)
--- a/oakmux/core/agents/reachability.py
+++ b/oakmux/core/agents/reachability.py
@@ -8,7 +8,7 @@
 
 from oakmux import constants
 from oakmux.core.context import Context, Machine
-from oakmux.wire import Heartbeat
+from oakmux.core.model import Heartbeat
 
 
 def assess_new_machine(context: Context, machine: Machine, ours: bool, term: int) -> None:
--- a/oakmux/core/agents/reservation_queue.py
+++ b/oakmux/core/agents/reservation_queue.py
@@ -7,6 +7,7 @@
 from oakmux.core.agents.capacity import free_resources, gang_hold_s, is_full, is_schedulable
 from oakmux.core.agents.tracked_workers import Reservation, TrackedWorker, WorkerTable
 from oakmux.core.context import Context, Machine, Task, event
+from oakmux.core.model import JobSpec
 from oakmux.core.resources import Resources, fits_resources, subtract
 from oakmux.core.scheduling import quotas
 from oakmux.core.scheduling.minimum_share import MinimumShare
@@ -16,7 +17,6 @@
     misses_objective,
 )
 from oakmux.core.state.records import Job
-from oakmux.wire import JobSpec
 
 
 class ReservationQueue:
--- a/oakmux/core/agents/worker_commands.py
+++ b/oakmux/core/agents/worker_commands.py
@@ -2,13 +2,14 @@
 
 from collections.abc import Callable
 
-from oakmux import constants, wire
+from oakmux import constants
+from oakmux.codec.workers import command_body
 from oakmux.core.agents.cancellation_log import CancellationLog
 from oakmux.core.agents.tracked_workers import TrackedWorker, WorkerTable
 from oakmux.core.context import Context, Machine, Task, event
 from oakmux.core.leadership.leadership import Leadership
+from oakmux.core.model import Heartbeat
 from oakmux.core.state.records import Binding, Job
-from oakmux.wire import Heartbeat
 
 
 class WorkerCommands:
@@ -69,7 +70,7 @@
             elif self._waits_for_gang_images(tracked, machine, job, binding, task):
                 self.with_delayed_starts.add(machine.name)
             elif task not in tracked.refused and self.cancellations.store_fresh():
-                commands.append(wire.order("start", *task))
+                commands.append(command_body("start", *task))
                 starts.append(task)
         commands += self.stop_cancelled(tracked, machine, names)
         tracked.refused &= names
@@ -193,7 +194,7 @@
         grace = 0.0 if ended or job is None or job.spec is None else job.spec.save_s
         if state == "saving" and not ended:
             return
-        commands.append(wire.order("stop", task[0], task[1], grace))
+        commands.append(command_body("stop", task[0], task[1], grace))
         tracked.stops.setdefault(task, self.context.now)
         event("stop", task=task[0], attempt=task[1], machine=machine.name, grace=grace)
 
@@ -210,9 +211,9 @@
             # Our replica may lag behind the agent manager that started the task: wait a while.
             if machine.tasks[task][0] == "exited":
                 if context.now - since >= constants.ALIVE_S and task not in tracked.starting:
-                    commands.append(wire.order("forget", *task))
+                    commands.append(command_body("forget", *task))
             elif context.now - since >= constants.ORPHAN_S:
-                commands.append(wire.order("stop", task[0], task[1], 0.0))
+                commands.append(command_body("stop", task[0], task[1], 0.0))
 
     def reconcile(self, name: str) -> None:
         """Send starts and stops straight to a worker, when there are any."""
--- a/oakmux/core/api/jobs.py
+++ b/oakmux/core/api/jobs.py
@@ -6,7 +6,7 @@
 from oakmux.core.api.job_view import JobView
 from oakmux.core.api.submission import Submission
 from oakmux.core.context import Context
-from oakmux.wire import JobSpec
+from oakmux.core.model import JobSpec
 
 
 class JobApi:
--- a/oakmux/core/api/submission.py
+++ b/oakmux/core/api/submission.py
@@ -14,6 +14,7 @@
 from oakmux.core.api.current_reads import CONFLICT, CurrentReads
 from oakmux.core.api.job_view import JobView
 from oakmux.core.context import Context, event
+from oakmux.core.model import JobSpec
 from oakmux.core.scheduling import quotas
 from oakmux.core.state.records import (
     FORMAT_COMPACT,
@@ -23,7 +24,6 @@
     value_bytes,
     value_limit,
 )
-from oakmux.wire import JobSpec
 
 
 class Submission:
@@ -175,7 +175,7 @@
     event(
         "accepted",
         job=job_id,
-        lane=spec.lane,
+        job_class=spec.job_class,
         team=spec.team,
         kind=spec.kind,
         tasks=spec.tasks,
--- a/oakmux/core/autoscaling/consolidation.py
+++ b/oakmux/core/autoscaling/consolidation.py
@@ -5,10 +5,10 @@
 from oakmux import constants
 from oakmux.core.autoscaling.slot_pool import Slot
 from oakmux.core.context import Context, Machine, Task, event
+from oakmux.core.model import JobSpec
 from oakmux.core.resources import Resources, fits_resources, subtract
 from oakmux.core.scheduling.placement import zone_allowed
 from oakmux.core.state.records import Binding, Job
-from oakmux.wire import JobSpec
 
 
 class _Move(NamedTuple):
--- a/oakmux/core/autoscaling/demand_placement.py
+++ b/oakmux/core/autoscaling/demand_placement.py
@@ -7,9 +7,9 @@
 from oakmux.core.autoscaling.slot_pool import UNNAMED, Slot, SlotPool, empty_slot
 from oakmux.core.context import Context
 from oakmux.core.instances import InstanceKind
+from oakmux.core.model import JobSpec
 from oakmux.core.resources import fits_resources, subtract
 from oakmux.core.scheduling.placement import zone_allowed
-from oakmux.wire import JobSpec
 
 
 class _TaskGroup:
--- a/oakmux/core/autoscaling/scale_out.py
+++ b/oakmux/core/autoscaling/scale_out.py
@@ -12,10 +12,10 @@
 from oakmux.core.autoscaling.rental_requests import RentalRequests
 from oakmux.core.autoscaling.slot_pool import UNNAMED, Slot
 from oakmux.core.context import Context
+from oakmux.core.model import JobSpec
 from oakmux.core.scheduling import quotas
 from oakmux.core.scheduling.pending_queues import PendingQueues, Shape
 from oakmux.core.state.records import Job
-from oakmux.wire import JobSpec
 
 TeamUsage = dict[str, tuple[float, float]]
 """CPUs and GPUs that each team uses."""
--- a/oakmux/core/autoscaling/slot_pool.py
+++ b/oakmux/core/autoscaling/slot_pool.py
@@ -6,9 +6,9 @@
 from oakmux.core.agents.capacity import is_full
 from oakmux.core.context import Context
 from oakmux.core.instances import InstanceKind
+from oakmux.core.model import JobSpec, MachineType
 from oakmux.core.resources import Resources, task_capacity
 from oakmux.core.scheduling.machine_index import CapacityClass, capacity_class, may_fit
-from oakmux.wire import JobSpec, MachineType
 
 UNNAMED = ""
 """Name of a slot whose instance the cloud has not confirmed yet."""
--- a/oakmux/core/context.py
+++ b/oakmux/core/context.py
@@ -5,10 +5,10 @@
 from typing import TYPE_CHECKING, Any
 
 from oakmux import constants
+from oakmux.core.model import Heartbeat, JobSpec, MachineType
 from oakmux.core.scheduling.failure_attribution import FailureAttribution
 from oakmux.core.state.replica import Replica
 from oakmux.settings import Settings, Team
-from oakmux.wire import Heartbeat, JobSpec, MachineType
 
 if TYPE_CHECKING:  # it is about a world
     from oakmux.core.scheduling.backfill_reservations import BackfillReservations
@@ -110,11 +110,11 @@
             constants.SIZE_PART * sum(team.gpus or team.gpus_max for team in settings.facts.teams),
         )
         for aim in settings.facts.objectives:
-            if aim.kind == "wait" and aim.lane and aim.within_s is not None:
-                self.start_objectives.setdefault(aim.lane, []).append(aim.within_s)
-            elif aim.kind == "finished" and aim.lane and aim.within_s is not None:
-                self.finish_objectives[aim.lane] = max(
-                    aim.within_s, self.finish_objectives.get(aim.lane, 0.0)
+            if aim.kind == "wait" and aim.job_class and aim.within_s is not None:
+                self.start_objectives.setdefault(aim.job_class, []).append(aim.within_s)
+            elif aim.kind == "finished" and aim.job_class and aim.within_s is not None:
+                self.finish_objectives[aim.job_class] = max(
+                    aim.within_s, self.finish_objectives.get(aim.job_class, 0.0)
                 )
         self.guarantee_objective_s = min(
             (
--- a/oakmux/core/controller.py
+++ b/oakmux/core/controller.py
@@ -14,10 +14,10 @@
 from oakmux.core.autoscaling.autoscaler import Autoscaler
 from oakmux.core.context import Context, event
 from oakmux.core.leadership.leadership import FLEET, Leadership
+from oakmux.core.model import Heartbeat, MachineType
 from oakmux.core.scheduling.backfill_reservations import BackfillReservations
 from oakmux.core.scheduling.scheduler import ShardScheduler
 from oakmux.settings import Settings
-from oakmux.wire import Heartbeat, MachineType
 
 log = logging.getLogger("oakmux.core")
 
--- /dev/null
+++ b/oakmux/core/model.py
@@ -0,0 +1,76 @@
+"""Domain types: jobs, machine types and heartbeats."""
+
+import re
+
+import msgspec
+
+JOB_ID = re.compile(r"job-[0-9]{1,18}\Z")
+
+
+class JobSpec(msgspec.Struct, frozen=True, array_like=True):
+    """A job as its user described it."""
+
+    job_class: str
+    team: str
+    kind: str
+    priority: int
+    tasks: int
+    cpus: float
+    gpus: float
+    memory_gb: float
+    image: str
+    image_gb: float
+    types: list[str] | None
+    zone: str | None
+    one_zone: bool
+    spread: bool
+    spot: bool
+    estimate_s: float
+    checkpoint_s: float
+    save_s: float
+    deadline_s: float | None
+    # The version before has no such field: it reads records that lack it, and ignores it.
+    waits_on: tuple[str, ...] = ()
+
+    @property
+    def joint(self) -> bool:
+        """Whether several tasks must start at once; a gang of one is placed like any task."""
+        return self.kind == "gang" and self.tasks > 1
+
+
+class Heartbeat(msgspec.Struct, array_like=True):
+    """A worker's report; tasks maps (task, attempt) to (state, why, saved)."""
+
+    machine: str
+    addr: str
+    type: str
+    zone: str
+    spot: bool
+    agent_epoch: int
+    sequence: int
+    fencing_token: int
+    notice_s: float | None
+    tasks: dict[tuple[str, int], tuple[str, str, bool]]
+
+
+class MachineType(msgspec.Struct, frozen=True, array_like=True):
+    """A type of the cloud's catalogue."""
+
+    name: str
+    cpus: float
+    gpus: float
+    memory_gb: float
+    cache_gb: float
+    fetch_gb_per_s: float
+    price: float
+    spot_price: float
+    boot_s: float
+    zones: list[str]
+
+
+def split_task(task: str) -> tuple[str, int]:
+    """Split `job-1/3`; raises ValueError."""
+    job_id, _, index = task.partition("/")
+    if not JOB_ID.match(job_id) or not index.isdigit():
+        raise ValueError(task)
+    return job_id, int(index)
--- a/oakmux/core/resources.py
+++ b/oakmux/core/resources.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from oakmux import constants
-from oakmux.wire import JobSpec
+from oakmux.core.model import JobSpec
 
 
 class Resources(msgspec.Struct, frozen=True, gc=False):
--- a/oakmux/core/scheduling/backfill_candidates.py
+++ b/oakmux/core/scheduling/backfill_candidates.py
@@ -6,10 +6,10 @@
 from oakmux import constants
 from oakmux.core.agents.capacity import free_resources
 from oakmux.core.context import Context, Machine, Task
+from oakmux.core.model import JobSpec
 from oakmux.core.scheduling import quotas
 from oakmux.core.scheduling.backfill_plan import BackfillCandidate, Held
 from oakmux.core.state.records import Binding, Job
-from oakmux.wire import JobSpec
 
 
 def left_s(context: Context, machine: Machine, task: Task, spec: JobSpec) -> float:
--- a/oakmux/core/scheduling/backfill_reservations.py
+++ b/oakmux/core/scheduling/backfill_reservations.py
@@ -4,9 +4,9 @@
 
 from oakmux import constants
 from oakmux.core.context import Context
+from oakmux.core.model import JobSpec
 from oakmux.core.scheduling.queue_order import is_starving
 from oakmux.core.state.records import Job
-from oakmux.wire import JobSpec
 
 
 class BackfillReservation(NamedTuple):
--- a/oakmux/core/scheduling/binding.py
+++ b/oakmux/core/scheduling/binding.py
@@ -7,13 +7,13 @@
 from oakmux.core.agents.manager import AgentManager
 from oakmux.core.agents.termination import Termination, prove_termination
 from oakmux.core.context import Context, Machine, event
+from oakmux.core.model import JobSpec
 from oakmux.core.scheduling.gangs import stop_rest
 from oakmux.core.scheduling.pending_job import PendingJob
 from oakmux.core.scheduling.placement import choose_gang, preference, zone_allowed
 from oakmux.core.scheduling.sampling_schedule import SamplingSchedule
 from oakmux.core.state.records import FORMAT_COMPACT, Binding, Job
 from oakmux.core.state.write_buffer import WriteBuffer
-from oakmux.wire import JobSpec
 
 
 class Binder:
--- a/oakmux/core/scheduling/capacity_claims.py
+++ b/oakmux/core/scheduling/capacity_claims.py
@@ -5,8 +5,8 @@
 
 from oakmux import constants
 from oakmux.core.context import Context, Machine
+from oakmux.core.model import JobSpec
 from oakmux.core.resources import Resources, subtract
-from oakmux.wire import JobSpec
 
 
 class Claim(NamedTuple):
--- a/oakmux/core/scheduling/gangs.py
+++ b/oakmux/core/scheduling/gangs.py
@@ -9,6 +9,7 @@
 from oakmux import constants
 from oakmux.core.agents.capacity import gang_hold_s
 from oakmux.core.context import Context, Machine, event
+from oakmux.core.model import JobSpec
 from oakmux.core.resources import NO_RESOURCES, Resources, subtract, task_capacity
 from oakmux.core.scheduling.backfill_candidates import sites
 from oakmux.core.scheduling.backfill_plan import choose
@@ -25,7 +26,6 @@
 from oakmux.core.scheduling.queue_order import is_starving
 from oakmux.core.state.records import FORMAT_COMPACT, Job
 from oakmux.core.state.write_buffer import WriteBuffer
-from oakmux.wire import JobSpec
 
 Group = tuple[float, int, list[SampledMachine], list[str]]
 """Room for a gang: tasks that hold the image there (and chance), tasks in all, machines, zones."""
--- a/oakmux/core/scheduling/machine_index.py
+++ b/oakmux/core/scheduling/machine_index.py
@@ -16,9 +16,9 @@
 from oakmux.core.agents.capacity import free_resources, is_schedulable
 from oakmux.core.context import Context, Machine
 from oakmux.core.instances import InstanceKind
+from oakmux.core.model import JobSpec, MachineType
 from oakmux.core.resources import Resources, task_capacity
 from oakmux.core.state.records import Job
-from oakmux.wire import JobSpec, MachineType
 
 
 class CapacityClass(NamedTuple):
--- a/oakmux/core/scheduling/minimum_share.py
+++ b/oakmux/core/scheduling/minimum_share.py
@@ -4,10 +4,10 @@
 
 from oakmux import constants
 from oakmux.core.context import Context
+from oakmux.core.model import JobSpec, MachineType
 from oakmux.core.resources import Resources, fits_resources
 from oakmux.core.scheduling.queue_order import is_aged
 from oakmux.core.state.records import Job
-from oakmux.wire import JobSpec, MachineType
 
 
 def weight(spec: JobSpec, kind: MachineType) -> float:
--- a/oakmux/core/scheduling/pending_queues.py
+++ b/oakmux/core/scheduling/pending_queues.py
@@ -13,6 +13,7 @@
 
 from oakmux import constants
 from oakmux.core.context import Context
+from oakmux.core.model import JobSpec
 from oakmux.core.scheduling.machine_index import CapacityClass
 from oakmux.core.scheduling.queue_order import (
     effective_submission_ms,
@@ -21,7 +22,6 @@
     starvation_s,
 )
 from oakmux.core.state.records import Job
-from oakmux.wire import JobSpec
 
 
 class Need(NamedTuple):
--- a/oakmux/core/scheduling/placement.py
+++ b/oakmux/core/scheduling/placement.py
@@ -7,12 +7,12 @@
 from oakmux import constants
 from oakmux.core.agents.reservation_queue import preemption_candidates, save_s
 from oakmux.core.context import Context, Machine
+from oakmux.core.model import JobSpec, MachineType
 from oakmux.core.resources import Resources, task_capacity
 from oakmux.core.scheduling import quotas
 from oakmux.core.scheduling.machine_index import MachineIndex, SampledMachine
 from oakmux.core.scheduling.pending_job import PendingJob
 from oakmux.core.state.records import Job
-from oakmux.wire import JobSpec, MachineType
 
 
 def fetches(context: Context, spec: JobSpec, machine: Machine) -> tuple[bool, list[Job]]:
@@ -115,7 +115,7 @@
     more if only without it an aim for starting this class can be met."""
     fetch = fetch_s(context, spec, machine)
     slow = fetch * constants.FETCH_SPREAD
-    if any(within < slow for within in context.start_objectives.get(spec.lane, ())):
+    if any(within < slow for within in context.start_objectives.get(spec.job_class, ())):
         return fetch + constants.AIM_WORTH_S
     return fetch
 
--- a/oakmux/core/scheduling/queue_order.py
+++ b/oakmux/core/scheduling/queue_order.py
@@ -9,8 +9,8 @@
 
 from oakmux import constants
 from oakmux.core.context import Context
+from oakmux.core.model import JobSpec
 from oakmux.core.state.records import Job
-from oakmux.wire import JobSpec
 
 
 def is_starving(context: Context, job: Job) -> bool:
@@ -40,7 +40,7 @@
 
 def misses_objective(context: Context, job: Job, spec: JobSpec) -> bool:
     """Whether an array can't meet its class's aim for finishing any more, by its estimate."""
-    within = context.finish_objectives.get(spec.lane)
+    within = context.finish_objectives.get(spec.job_class)
     return (
         spec.kind == "array"
         and within is not None
@@ -51,6 +51,6 @@
 
 def is_aged(context: Context, job: Job, spec: JobSpec) -> bool:
     """Whether a job has waited for so long that a share of what frees up is for it."""
-    aims = context.start_objectives.get(spec.lane)
+    aims = context.start_objectives.get(spec.job_class)
     patience = constants.AGED_AIMS * max(aims) if aims else constants.AGED_S
     return context.wall_clock_ms - job.since > 1000 * patience or is_starving(context, job)
--- a/oakmux/core/scheduling/quotas.py
+++ b/oakmux/core/scheduling/quotas.py
@@ -2,8 +2,8 @@
 
 from oakmux import constants
 from oakmux.core.context import Context
+from oakmux.core.model import JobSpec
 from oakmux.core.state.records import Job
-from oakmux.wire import JobSpec
 
 
 def exceeds_limit(context: Context, team: str, cpus: float, gpus: float) -> bool:
--- a/oakmux/core/scheduling/sampling.py
+++ b/oakmux/core/scheduling/sampling.py
@@ -6,6 +6,7 @@
 
 from oakmux import constants
 from oakmux.core.context import Context, Machine
+from oakmux.core.model import JobSpec
 from oakmux.core.resources import NO_RESOURCES, Resources, task_capacity
 from oakmux.core.scheduling.binding import Binder
 from oakmux.core.scheduling.capacity_claims import CapacityClaims
@@ -24,7 +25,6 @@
 from oakmux.core.scheduling.sampling_schedule import SamplingSchedule
 from oakmux.core.state.records import Job
 from oakmux.core.state.write_buffer import WriteBuffer
-from oakmux.wire import JobSpec
 
 
 class Sampler:
@@ -294,7 +294,7 @@
         if state.image_wait_until is None:
             fetch = self.context.fetch_s(spec, machine.type)
             patience = fetch * constants.PATIENCE_SHARE
-            for within in self.context.start_objectives.get(spec.lane, ()):
+            for within in self.context.start_objectives.get(spec.job_class, ()):
                 if fetch / constants.FETCH_SPREAD < within:  # a fetch at once may meet the aim
                     patience = min(patience, max(0.0, within - fetch * constants.FETCH_SPREAD))
             if self.context.guarantee_objective_s is not None:
--- a/oakmux/core/state/records.py
+++ b/oakmux/core/state/records.py
@@ -13,8 +13,8 @@
 import msgspec
 
 from oakmux import constants
+from oakmux.core.model import JobSpec
 from oakmux.settings import StateLimits
-from oakmux.wire import JobSpec
 
 PREFIX = "ox/"
 # The format of the records that this version can write. Those before are read for ever, and each
--- a/oakmux/core/state/replica.py
+++ b/oakmux/core/state/replica.py
@@ -8,6 +8,7 @@
 import msgspec
 
 from oakmux import constants
+from oakmux.core.model import JobSpec, MachineType
 from oakmux.core.resources import Resources
 from oakmux.core.state.binding_batches import (
     ONLY_BLOCK,
@@ -29,7 +30,6 @@
     role_key,
     termination_key,
 )
-from oakmux.wire import JobSpec, MachineType
 
 log = logging.getLogger("oakmux.records")
 
--- a/oakmux/core/state/write_buffer.py
+++ b/oakmux/core/state/write_buffer.py
@@ -5,6 +5,7 @@
 
 from oakmux import constants
 from oakmux.core.context import Context
+from oakmux.core.model import JobSpec
 from oakmux.core.scheduling import quotas
 from oakmux.core.scheduling.pending_job import PendingJob
 from oakmux.core.scheduling.queue_order import is_starving
@@ -20,7 +21,6 @@
     value_bytes,
     value_limit,
 )
-from oakmux.wire import JobSpec
 
 
 class LimitClaim(NamedTuple):
--- a/oakmux/schedules/commands.py
+++ b/oakmux/schedules/commands.py
@@ -11,9 +11,11 @@
 from typing import Any
 
 import click
+import msgspec
 
-from oakmux import cli, constants, wire
+from oakmux import cli, constants
 from oakmux.cli import EXIT_BAD, EXIT_FAILED, Context, fail
+from oakmux.codec.users import CLI_FIELDS
 
 PATH = "/oakmux/schedules/"
 WORD = re.compile(r"[^A-Za-z0-9_]+")
@@ -124,7 +126,7 @@
     for number, job in enumerate(jobs):
         job = dict(job)
         name, needs = str(job.pop("name", f"step{number}")), job.pop("waits_on", [])
-        unknown = sorted(set(job) - set(wire.JOB_FIELDS))
+        unknown = sorted(set(job) - set(CLI_FIELDS))
         if unknown:
             fail(f"{name}: unknown field {unknown[0]}", EXIT_BAD)
         if "team" not in job:
@@ -391,7 +393,7 @@
                     f"UID {uid}",
                     {
                         "name": importing.name(importing.team, found.note, uid),
-                        "rule": wire.plain(found.rule),
+                        "rule": msgspec.to_builtins(found.rule),
                         "policy": {**rules, **found.policy},
                         "template": qualified(importing.team, what),
                         "note": found.note,
--- a/oakmux/schedules/dav/serve.py
+++ b/oakmux/schedules/dav/serve.py
@@ -13,7 +13,10 @@
 from typing import Any
 from urllib.parse import quote, unquote
 
-from oakmux import constants, settings, wire
+import msgspec
+
+from oakmux import constants, settings
+from oakmux.codec.cbor import decode
 from oakmux.schedules import calendars
 from oakmux.schedules.dav import xml
 from oakmux.schedules.dav.protocol import DavProtocol, DavRequest
@@ -62,7 +65,7 @@
     def respond(self, status: int, body: bytes, retry_after: int | None = None) -> None:
         """Hand the answer to whoever waits."""
         if not self.future.done():
-            self.future.set_result((status, wire.decode(body)))
+            self.future.set_result((status, decode(body)))
 
 
 class Dav:
@@ -394,7 +397,7 @@
         etag = hashlib.blake2b(request.body, digest_size=12).hexdigest()
         entry = {
             "name": "/".join(parts),
-            "rule": wire.plain(made.rule),
+            "rule": msgspec.to_builtins(made.rule),
             "template": template,
             "policy": made.policy,
             "deadline_s": made.deadline_s,
--- a/oakmux/schedules/plugin.py
+++ b/oakmux/schedules/plugin.py
@@ -8,7 +8,8 @@
 
 import msgspec
 
-from oakmux import constants, settings, wire
+from oakmux import constants, settings
+from oakmux.codec.cbor import Malformed, decode, encode
 from oakmux.core.context import Context
 from oakmux.core.controller import SlotOffer
 from oakmux.schedules import zones
@@ -44,12 +45,12 @@
 
         def serve(request: Request, operation: str) -> None:
             try:
-                args = wire.decode(request.body) if request.body else {}
-            except wire.Malformed as error:
-                request.respond(400, wire.encode({"error": str(error)}))
+                args = decode(request.body) if request.body else {}
+            except Malformed as error:
+                request.respond(400, encode({"error": str(error)}))
                 return
             if not offer(("schedules", request, operation, args)):
-                request.respond(503, wire.encode({"error": "busy"}), constants.RETRY_AFTER_S)
+                request.respond(503, encode({"error": "busy"}), constants.RETRY_AFTER_S)
 
         return {PATH: serve}
 
--- a/oakmux/schedules/records.py
+++ b/oakmux/schedules/records.py
@@ -15,9 +15,9 @@
 import msgspec
 
 from oakmux import constants
+from oakmux.core.model import JobSpec
 from oakmux.core.state.records import PREFIX
 from oakmux.schedules.turns import Rule
-from oakmux.wire import JobSpec
 
 KIND = "s"
 NAME = re.compile(r"[A-Za-z0-9_.@+=-]{1,80}\Z")
--- a/oakmux/schedules/replay/model.py
+++ b/oakmux/schedules/replay/model.py
@@ -16,6 +16,7 @@
 
 from oakmux import constants
 from oakmux.core.context import Context
+from oakmux.core.model import MachineType
 from oakmux.core.state.records import PREFIX, job_value, role_key
 from oakmux.schedules import records
 from oakmux.schedules.clock import CLOCK
@@ -29,7 +30,6 @@
     Team,
     WorkerClient,
 )
-from oakmux.wire import MachineType
 
 TEAM = "press"
 # Share of transactions whose answer is lost.
--- a/oakmux/schedules/replay/year.py
+++ b/oakmux/schedules/replay/year.py
@@ -8,12 +8,12 @@
 
 from hdrh.histogram import HdrHistogram
 
+from oakmux.core.model import JobSpec
 from oakmux.schedules import policy, records, zones
 from oakmux.schedules.records import Entry, Policy, Slot, Step, Template
 from oakmux.schedules.replay.model import TEAM, Model
 from oakmux.schedules.replay.oracle import expected, minutes
 from oakmux.schedules.turns import Rule, cron_rule, mark_at
-from oakmux.wire import JobSpec
 
 ZONES = (
     "UTC",
--- a/oakmux/schedules/shows.py
+++ b/oakmux/schedules/shows.py
@@ -5,7 +5,8 @@
 
 import msgspec
 
-from oakmux import constants, wire
+from oakmux import constants
+from oakmux.codec.users import job_description
 from oakmux.core.context import Context
 from oakmux.schedules import records, zones
 from oakmux.schedules.records import NAME, Entry, Slot, Store, value_of
@@ -68,7 +69,9 @@
         rows = [
             {
                 "name": name,
-                "steps": [[s.name, wire.job_words(s.spec), list(s.needs)] for s in template.steps],
+                "steps": [
+                    [s.name, job_description(s.spec), list(s.needs)] for s in template.steps
+                ],
                 "used_by": len(self.store.users.get(name, ())),
             }
             for name, template in sorted(self.store.templates.items())
--- a/oakmux/schedules/templates.py
+++ b/oakmux/schedules/templates.py
@@ -5,12 +5,14 @@
 
 import msgspec
 
-from oakmux import constants, wire
+from oakmux import constants
+from oakmux.codec.cbor import MAX_TEXT, Malformed
+from oakmux.codec.users import parse_job
 from oakmux.core.context import Context
+from oakmux.core.model import JobSpec
 from oakmux.core.scheduling import quotas
 from oakmux.core.state.records import FORMAT_COMPACT, job_key, job_value, value_bytes, value_limit
 from oakmux.schedules.records import NAME, Entry, Step, Template, job_id, value_of
-from oakmux.wire import JobSpec
 
 
 class BadTemplate(ValueError):
@@ -22,7 +24,7 @@
 
     A step may wait only on steps before it, so that no chain can come back to itself.
     """
-    if not isinstance(rows, list) or not 0 < len(rows) <= wire.MAX_TEXT:
+    if not isinstance(rows, list) or not 0 < len(rows) <= MAX_TEXT:
         raise BadTemplate("a template needs one job or more")
     names: dict[str, int] = {}
     steps: list[Step] = []
@@ -44,8 +46,8 @@
                 "is not a step before it"
             )
         try:
-            spec = wire.parse_job({**job, "id": "job-0"})
-        except wire.Malformed as error:
+            spec = parse_job({**job, "id": "job-0"})
+        except Malformed as error:
             raise BadTemplate(f"{name}: {error}") from None
         if spec.waits_on:
             raise BadTemplate(f"{name}: waits_on names steps, not jobs")
--- a/oakmux/settings.py
+++ b/oakmux/settings.py
@@ -31,7 +31,7 @@
     """An aim for starting or finishing work."""
 
     kind: str
-    lane: str | None = msgspec.field(default=None, name="class")
+    job_class: str | None = msgspec.field(default=None, name="class")
     within_s: float | None = None
     share: float | None = None
 
--- a/oakmux/transport/cloud_client.py
+++ b/oakmux/transport/cloud_client.py
@@ -6,7 +6,19 @@
 from typing import Any
 from urllib.parse import quote
 
-from oakmux import constants, wire
+from oakmux import constants
+from oakmux.codec.cbor import Malformed, decode, encode
+from oakmux.codec.cloud import (
+    PATH_CATALOGUE,
+    PATH_MACHINES,
+    PATH_RETURN,
+    is_no_capacity,
+    parse_catalogue,
+    parse_machines,
+    parse_rented,
+    rent_body,
+    return_body,
+)
 from oakmux.settings import Settings
 from oakmux.transport.http import Client, NoResponse, RequestNotSent
 from oakmux.transport.rate_limit import TokenBucket, pause
@@ -33,11 +45,11 @@
             while (wait := self.bucket.wait(loop.time(), 1)) > 0:
                 await asyncio.sleep(wait)
             self.bucket.take(1)
-        data = b"" if body is None else wire.encode(body)
+        data = b"" if body is None else encode(body)
         status, answer = await self.client.request(
             self.addr, method, path, data, constants.CLOUD_TIMEOUT_S, constants.MAX_STATE_BODY
         )
-        return status, wire.decode(answer) if answer else None
+        return status, decode(answer) if answer else None
 
     async def carry_out(self, op: int, kind: str, *args: Any) -> None:
         """Make one call and hand its outcome to the core."""
@@ -45,7 +57,7 @@
             status, result = await getattr(self, f"_{kind}")(*args)
         except RequestNotSent:
             status, result = 503, None
-        except (NoResponse, wire.Malformed) as error:
+        except (NoResponse, Malformed) as error:
             log.info("event=cloud_no_answer kind=%s why=%s", kind, error)
             status, result = 0, None
         except Exception:
@@ -57,13 +69,13 @@
         rows: list[tuple] = []
         since = ""
         while True:
-            path = f"{wire.PATH_MACHINES}?page={constants.STATE_PAGE}"
+            path = f"{PATH_MACHINES}?page={constants.STATE_PAGE}"
             if since:
                 path += f"&since={quote(since)}"
             status, answer = await self._call("GET", path)
             if status != 200:
                 return status, None
-            items, more = wire.parse_machines(answer)
+            items, more = parse_machines(answer)
             rows += items
             if not more or not items:
                 return 200, rows
@@ -72,14 +84,14 @@
     async def _rent(
         self, name: str, type_name: str, zone: str, spot: bool, count: int
     ) -> tuple[int, Any]:
-        body = wire.rent_body(name, type_name, zone, spot, count)
-        status, answer = await self._call("POST", wire.PATH_MACHINES, body)
+        body = rent_body(name, type_name, zone, spot, count)
+        status, answer = await self._call("POST", PATH_MACHINES, body)
         if status == 200:
-            return 200, wire.parse_rented(answer)
-        return status, "no capacity" if wire.is_no_capacity(answer) else None
+            return 200, parse_rented(answer)
+        return status, "no capacity" if is_no_capacity(answer) else None
 
     async def _return(self, names: list[str]) -> tuple[int, Any]:
-        status, _ = await self._call("POST", wire.PATH_RETURN, wire.return_body(names))
+        status, _ = await self._call("POST", PATH_RETURN, return_body(names))
         return status, None
 
     async def catalogue(self) -> None:
@@ -87,13 +99,13 @@
         tries = 0
         while True:
             try:
-                status, answer = await self._call("GET", wire.PATH_CATALOGUE)
+                status, answer = await self._call("GET", PATH_CATALOGUE)
                 if status == 200:
-                    self.put(("catalogue", wire.parse_catalogue(answer)))
+                    self.put(("catalogue", parse_catalogue(answer)))
                     tries = 0
                     await asyncio.sleep(constants.CATALOGUE_S)
                     continue
-            except (RequestNotSent, NoResponse, wire.Malformed) as error:
+            except (RequestNotSent, NoResponse, Malformed) as error:
                 log.info("event=catalogue_failed why=%s", error)
             except Exception:
                 log.exception("event=catalogue_failed")
--- a/oakmux/transport/peer_client.py
+++ b/oakmux/transport/peer_client.py
@@ -7,7 +7,8 @@
 
 import msgspec
 
-from oakmux import constants, wire
+from oakmux import constants
+from oakmux.codec.cbor import Malformed, decode, encode
 from oakmux.transport.http import Client, NoResponse, RequestNotSent
 from oakmux.transport.rate_limit import pause
 
@@ -45,9 +46,9 @@
 def parse_batch(body: bytes) -> Batch:
     """Check a peer's request; raises Malformed."""
     try:
-        return msgspec.convert(wire.decode(body), Batch)
+        return msgspec.convert(decode(body), Batch)
     except msgspec.ValidationError as error:
-        raise wire.Malformed(str(error)) from None
+        raise Malformed(str(error)) from None
 
 
 class PeerClient:
@@ -97,7 +98,7 @@
             try:
                 await self._send(batch)
                 tries = 0
-            except (RequestNotSent, NoResponse, wire.Malformed) as error:
+            except (RequestNotSent, NoResponse, Malformed) as error:
                 log.debug("event=peer_failed peer=%s why=%s", self.peer, error)
                 names = sorted({m[2] for m in batch + self.outbox if m[0] == "view"})
                 self.outbox = []
@@ -122,16 +123,16 @@
 
     async def _send(self, batch: list[tuple]) -> None:
         asked = asyncio.get_running_loop().time()
-        body = wire.encode(["batch", self.label, batch, self.since()])
+        body = encode(["batch", self.label, batch, self.since()])
         status, answer = await self.client.request(
             self.addr, "POST", PATH, body, constants.PEER_TIMEOUT_S, constants.PEER_BODY
         )
         if status != 200:
             raise NoResponse(f"status {status}")
         try:
-            word = msgspec.convert(wire.decode(answer), Answer)
+            word = msgspec.convert(decode(answer), Answer)
         except msgspec.ValidationError as error:
-            raise wire.Malformed(str(error)) from None
+            raise Malformed(str(error)) from None
         if word.incarnation != self.incarnation:
             self.incarnation = word.incarnation
             self.put(("peer_new", self.peer))
--- a/oakmux/transport/request_router.py
+++ b/oakmux/transport/request_router.py
@@ -3,7 +3,12 @@
 import logging
 from collections.abc import Callable
 
-from oakmux import constants, wire
+from oakmux import constants
+from oakmux.codec.answers import answer_body
+from oakmux.codec.cbor import Malformed, decode, encode
+from oakmux.codec.users import CANCEL_SUFFIX, PATH_HEALTH, PATH_JOBS, parse_job, parse_job_id
+from oakmux.codec.workers import PATH_HEARTBEAT, parse_heartbeat
+from oakmux.core.model import JOB_ID
 from oakmux.transport import peer_client
 from oakmux.transport.http import Request
 
@@ -24,7 +29,7 @@
         """Answer an error at once."""
         request.respond(
             status,
-            wire.encode({"error": reason}),
+            encode({"error": reason}),
             constants.RETRY_AFTER_S if status == 503 else None,
         )
 
@@ -32,7 +37,7 @@
         """Answer for the core."""
         request.respond(
             status,
-            wire.encode(wire.answer_body(answer)),
+            encode(answer_body(answer)),
             constants.RETRY_AFTER_S if status == 503 else None,
         )
 
@@ -43,21 +48,21 @@
     def public(self, request: Request) -> None:
         """Serve the public address."""
         path = request.path.partition("?")[0]
-        if path == wire.PATH_HEALTH:
+        if path == PATH_HEALTH:
             self._route(request, "GET", lambda: self._queue(request, "health", request))
         elif path == PATH_STATUS:
             self._route(request, "GET", lambda: self._queue(request, "status", request))
-        elif path == wire.PATH_REPORT:
+        elif path == PATH_HEARTBEAT:
             self._route(request, "POST", lambda: self._report(request))
-        elif path == wire.PATH_JOBS:
+        elif path == PATH_JOBS:
             self._route(request, "POST", lambda: self._submit(request))
-        elif path.startswith(wire.PATH_JOBS + "/"):
-            rest = path[len(wire.PATH_JOBS) + 1 :]
-            if rest.endswith(wire.CANCEL):
+        elif path.startswith(PATH_JOBS + "/"):
+            rest = path[len(PATH_JOBS) + 1 :]
+            if rest.endswith(CANCEL_SUFFIX):
                 self._route(
                     request,
                     "POST",
-                    lambda: self._job(request, "cancel", rest.removesuffix(wire.CANCEL)),
+                    lambda: self._job(request, "cancel", rest.removesuffix(CANCEL_SUFFIX)),
                 )
             else:
                 self._route(request, "GET", lambda: self._job(request, "query", rest))
@@ -80,7 +85,7 @@
     def _job(self, request: Request, kind: str, job_id: str) -> None:
         if "/" in job_id:
             self.refuse(request, 404, "unknown path")
-        elif not wire.JOB_ID.match(job_id):
+        elif not JOB_ID.match(job_id):
             # Nobody can have submitted such a job.
             self.refuse(request, 400 if kind == "cancel" else 404, "not a job id")
         else:
@@ -88,22 +93,22 @@
 
     def _submit(self, request: Request) -> None:
         try:
-            value = wire.decode(request.body)
-            job_id = wire.job_id_of(value)
-        except wire.Malformed as error:
+            value = decode(request.body)
+            job_id = parse_job_id(value)
+        except Malformed as error:
             self.refuse(request, 400, str(error))
             return
         spec, reason = None, ""
         try:
-            spec = wire.parse_job(value)
-        except wire.Malformed as error:
+            spec = parse_job(value)
+        except Malformed as error:
             reason = str(error)
         self._queue(request, "submit", request, job_id, spec, reason)
 
     def _report(self, request: Request) -> None:
         try:
-            heartbeat = wire.parse_heartbeat(wire.decode(request.body))
-        except wire.Malformed as error:
+            heartbeat = parse_heartbeat(decode(request.body))
+        except Malformed as error:
             self.refuse(request, 400, str(error))
             return
         self._queue(request, "report", request, heartbeat)
@@ -118,7 +123,7 @@
             return
         try:
             batch = peer_client.parse_batch(request.body)
-        except wire.Malformed as error:
+        except Malformed as error:
             self.refuse(request, 400, str(error))
             return
         self._queue(request, "peer", request, batch.label, batch.messages, batch.since)
--- a/oakmux/transport/store_client.py
+++ b/oakmux/transport/store_client.py
@@ -7,7 +7,21 @@
 from typing import Any
 from urllib.parse import quote
 
-from oakmux import constants, wire
+from oakmux import constants
+from oakmux.codec.cbor import Malformed, decode, encode
+from oakmux.codec.store import (
+    PATH_KV,
+    PATH_LEASES,
+    PATH_TXN,
+    PATH_WATCH,
+    lease_body,
+    parse_events,
+    parse_item,
+    parse_lease,
+    parse_list,
+    parse_txn,
+    txn_body,
+)
 from oakmux.core.state.records import PREFIX, value_bytes
 from oakmux.settings import Settings
 from oakmux.transport.http import Client, NoResponse, RequestNotSent
@@ -144,7 +158,7 @@
             status, result = await getattr(self, f"_{kind}")(*args)
         except RequestNotSent:
             status, result = 503, None
-        except (NoResponse, wire.Malformed) as error:
+        except (NoResponse, Malformed) as error:
             log.info("event=state_no_answer kind=%s why=%s", kind, error)
             status, result = 0, None
         except Exception:
@@ -157,17 +171,17 @@
     async def _call(
         self, method: str, path: str, body: Any = None, timeout: float = constants.STATE_TIMEOUT_S
     ) -> tuple[int, Any]:
-        data = b"" if body is None else wire.encode(body)
+        data = b"" if body is None else encode(body)
         status, answer = await self.client.request(
             self.addr, method, path, data, timeout, constants.MAX_STATE_BODY
         )
         if status == 503:
             return 503, None
-        return status, wire.decode(answer) if answer else None
+        return status, decode(answer) if answer else None
 
     async def _txn(self, guards: list, writes: list, _: int) -> tuple[int, Any]:
-        body = wire.txn_body(guards, writes)
-        status, answer = await self._call("POST", wire.PATH_TXN, body)
+        body = txn_body(guards, writes)
+        status, answer = await self._call("POST", PATH_TXN, body)
         if writes and log.isEnabledFor(logging.DEBUG):
             log.debug(
                 "event=txn status=%s changes=%s",
@@ -175,7 +189,7 @@
                 ",".join(write[0] if len(write) > 1 else f"-{write[0]}" for write in writes),
             )
         if status in (200, 409):
-            return status, wire.parse_txn(answer)
+            return status, parse_txn(answer)
         if status in (400, 429):
             self._refused(status, guards, writes, answer)
         return (status if status == 400 else 503 if status in (429, 503) else 0), None
@@ -198,19 +212,19 @@
         )
 
     async def _get(self, key: str, _: int) -> tuple[int, Any]:
-        status, answer = await self._call("GET", f"{wire.PATH_KV}/{quote(key)}")
+        status, answer = await self._call("GET", f"{PATH_KV}/{quote(key)}")
         if status == 200:
-            return 200, wire.parse_item(answer)
+            return 200, parse_item(answer)
         if status == 404:
-            return 404, (None, wire.parse_txn(answer)[0])
+            return 404, (None, parse_txn(answer)[0])
         return (503 if status in (429, 503) else 0), None
 
     async def _grant(self, life_s: float) -> tuple[int, Any]:
-        status, answer = await self._call("POST", wire.PATH_LEASES, wire.lease_body(life_s))
-        return (200, wire.parse_lease(answer)) if status == 200 else (503, None)
+        status, answer = await self._call("POST", PATH_LEASES, lease_body(life_s))
+        return (200, parse_lease(answer)) if status == 200 else (503, None)
 
     async def _renew(self, lease: int) -> tuple[int, Any]:
-        status, _ = await self._call("POST", f"{wire.PATH_LEASES}/{lease}/renew", {})
+        status, _ = await self._call("POST", f"{PATH_LEASES}/{lease}/renew", {})
         return status, None
 
     async def _paced(self, path: str, timeout: float) -> tuple[int, Any]:
@@ -231,14 +245,14 @@
                     revision = await self._load()
                 asked = loop.time()
                 path = (
-                    f"{wire.PATH_WATCH}?prefix={PREFIX}&since={revision}"
+                    f"{PATH_WATCH}?prefix={PREFIX}&since={revision}"
                     f"&block_ms={int(constants.WATCH_BLOCK_S * 1000)}"
                 )
                 status, answer = await self._paced(
                     path, constants.WATCH_BLOCK_S + constants.STATE_TIMEOUT_S
                 )
                 if status == 200:
-                    events, revision = wire.parse_events(answer)
+                    events, revision = parse_events(answer)
                     self.put(("watch", events, revision, asked))
                     tries = 0
                     await asyncio.sleep(max(0.0, asked + self.watch_gap - loop.time()))
@@ -246,7 +260,7 @@
                 if status == 410:
                     revision = None
                     continue
-            except (RequestNotSent, NoResponse, wire.Malformed) as error:
+            except (RequestNotSent, NoResponse, Malformed) as error:
                 log.debug("event=watch_failed why=%s", error)
             except Exception:
                 log.exception("event=watch_failed")
@@ -259,13 +273,13 @@
         since, first = "", None
         asked = asyncio.get_running_loop().time()
         while True:
-            path = f"{wire.PATH_KV}?prefix={PREFIX}&page={constants.STATE_PAGE}"
+            path = f"{PATH_KV}?prefix={PREFIX}&page={constants.STATE_PAGE}"
             if since:
                 path += f"&since={quote(since)}"
             status, answer = await self._paced(path, 2 * constants.STATE_TIMEOUT_S)
             if status != 200:
                 raise NoResponse(f"status {status}")
-            items, more, revision = wire.parse_rows(answer)
+            items, more, revision = parse_list(answer)
             rows += items
             first = revision if first is None else first
             if not more or not items:
--- a/oakmux/transport/worker_client.py
+++ b/oakmux/transport/worker_client.py
@@ -3,7 +3,9 @@
 import logging
 from collections.abc import Callable
 
-from oakmux import constants, wire
+from oakmux import constants
+from oakmux.codec.cbor import Malformed, decode, encode
+from oakmux.codec.workers import PATH_COMMANDS, commands_body, parse_heartbeat
 from oakmux.transport.http import Client, NoResponse, RequestNotSent
 
 log = logging.getLogger("oakmux.workers")
@@ -22,19 +24,19 @@
         """Send orders: ok, refused, unsent (certainly nothing done) or lost (not known)."""
         outcome, heartbeat = "lost", None
         try:
-            body = wire.encode(wire.orders_body(fencing_token, agent_epoch, orders))
+            body = encode(commands_body(fencing_token, agent_epoch, orders))
             status, answer = await self.client.request(
-                addr, "POST", wire.PATH_ORDERS, body, constants.ORDERS_TIMEOUT_S
+                addr, "POST", PATH_COMMANDS, body, constants.ORDERS_TIMEOUT_S
             )
             if status in (200, 409):
-                heartbeat = wire.parse_heartbeat(wire.decode(answer))
+                heartbeat = parse_heartbeat(decode(answer))
                 outcome = "ok" if status == 200 else "refused"
         except (
             RequestNotSent,
             ValueError,
         ):  # ValueError: the worker gave no address to connect to
             outcome = "unsent"
-        except (NoResponse, wire.Malformed) as error:
+        except (NoResponse, Malformed) as error:
             log.info("event=orders_lost addr=%s why=%s", addr, error)
         except Exception:
             log.exception("event=orders_failed addr=%s", addr)
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -15,6 +15,7 @@
 from oakmux import constants
 from oakmux.core.agents.capacity import count_free_resources, is_schedulable
 from oakmux.core.controller import Controller
+from oakmux.core.model import Heartbeat, JobSpec, MachineType
 from oakmux.core.scheduling.machine_index import MachineIndex
 from oakmux.core.state.records import value_bytes, value_limit
 from oakmux.settings import (
@@ -29,7 +30,6 @@
     Team,
     WorkerClient,
 )
-from oakmux.wire import Heartbeat, JobSpec, MachineType
 
 ZONES = ["a", "b", "c"]
 TYPE = MachineType("big", 8.0, 4.0, 64.0, 100.0, 1.0, 10.0, 3.0, 3.0, ZONES)
@@ -66,7 +66,7 @@
 def spec(kind: str = "array", tasks: int = 1, team: str = "red", **more: Any) -> JobSpec:
     """Return a job of small tasks."""
     fields: dict[str, Any] = dict(
-        lane="l",
+        job_class="l",
         team=team,
         kind=kind,
         priority=1,
@@ -975,10 +975,10 @@
             and self.submitted[j] <= self.now - begin_s
         }
         for job_id, job in jobs.items():
-            groups.setdefault(f"class {job.lane}", []).append(job_id)
+            groups.setdefault(f"class {job.job_class}", []).append(job_id)
             groups.setdefault(f"team {job.team}", []).append(job_id)
-            if job.tasks == max(s.tasks for s in jobs.values() if s.lane == job.lane):
-                groups.setdefault(f"largest {job.lane}", []).append(job_id)
+            if job.tasks == max(s.tasks for s in jobs.values() if s.job_class == job.job_class):
+                groups.setdefault(f"largest {job.job_class}", []).append(job_id)
         bad = []
         for name, ids in sorted(groups.items()):
             begun = [
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -12,7 +12,8 @@
 from pathlib import Path
 from typing import Any
 
-from oakmux import wire
+from oakmux.codec.answers import answer_body
+from oakmux.codec.cbor import encode
 from oakmux.schedules import plugin
 from oakmux.schedules.dav import tokens
 from oakmux.transport.http import Request, ServerProtocol
@@ -61,7 +62,7 @@
             if isinstance(rid, Request):
                 front.answer(rid, status, value)
             else:
-                rid.respond(status, wire.encode(wire.answer_body(value)))
+                rid.respond(status, encode(answer_body(value)))
 
         sim.command("h0", (kind, answer, *rest))
         return True
--- a/tests/recorded.py
+++ b/tests/recorded.py
@@ -17,8 +17,20 @@
 
 import msgspec
 
-from oakmux import settings, wire
+from oakmux import settings
+from oakmux.codec.answers import answer_body
+from oakmux.codec.cbor import decode, encode
+from oakmux.codec.cloud import parse_catalogue
+from oakmux.codec.store import txn_body
+from oakmux.codec.users import (
+    job_description,
+    parse_dependencies,
+    parse_job_state,
+    submission_body,
+)
+from oakmux.codec.workers import command_body, commands_body
 from oakmux.core.controller import Controller
+from oakmux.core.model import JobSpec
 from oakmux.core.state.binding_batches import BatchRow, batch_key
 from oakmux.core.state.records import (
     FORMAT_KEY,
@@ -45,7 +57,6 @@
 from oakmux.transport.request_router import RequestRouter
 from oakmux.transport.store_client import StoreClient
 from oakmux.transport.worker_client import WorkerClient
-from oakmux.wire import JobSpec
 from tests.fakes import TYPE, Sim, settings_for, spec
 
 STAMP = 7
@@ -250,7 +261,7 @@
     made["node"] = [controller_key("h1"), 41]
     made["gone"] = [termination_key("n-000231"), True]
     made["term"] = [TERM_KEY, 42]
-    made["types"] = [TYPES_KEY, msgspec.to_builtins([TYPE, *wire.parse_catalogue(CATALOGUE)])]
+    made["types"] = [TYPES_KEY, msgspec.to_builtins([TYPE, *parse_catalogue(CATALOGUE)])]
     made["version"] = [version_key("h1"), 3]
     made["format"] = [FORMAT_KEY, [3, 64]]
     return made
@@ -305,7 +316,7 @@
 
 def read_record(data: bytes) -> Any:
     """Return what the replica and the schedules' copy hold after one record."""
-    key, value = wire.decode(data)
+    key, value = decode(data)
     replica, store = Replica(), records.Store()
     replica.namespaces[records.KIND] = store
     replica.apply(key, value, STAMP)
@@ -374,7 +385,7 @@
     """
     kind = effect[0]
     if kind == "answer":
-        return ["answer", effect[2], wire.answer_body(effect[3])]
+        return ["answer", effect[2], answer_body(effect[3])]
     if kind == "send":
         message = list(effect[2])
         if not numbered and message[0] in ("offer", "decline"):
@@ -383,10 +394,10 @@
     if kind in ("lend", "credit"):
         return list(effect)
     if kind == "orders":
-        return ["orders", effect[2], wire.orders_body(*effect[3:])]
+        return ["orders", effect[2], commands_body(*effect[3:])]
     if kind == "txn":
-        body = wire.txn_body(effect[2], effect[3])
-        ordered = {name: sorted(rows, key=wire.encode) for name, rows in body.items()}
+        body = txn_body(effect[2], effect[3])
+        ordered = {name: sorted(rows, key=encode) for name, rows in body.items()}
         return ["txn", ordered, effect[4]]
     return [kind, *effect[2:]]
 
@@ -411,13 +422,13 @@
         if core is None:
             return
         rows = [(told(effect, False), effect) for effect in core.step(self.now, commands)]
-        for row, effect in sorted(rows, key=lambda one: wire.encode(one[0])):
+        for row, effect in sorted(rows, key=lambda one: encode(one[0])):
             self.note(label, row)
             self.carry_out(label, incarnation, effect)
 
     def note(self, label: str, row: list) -> None:
         """Add one effect to the digest."""
-        self.digest.update(wire.encode([round(self.now, 6), label, *row]))
+        self.digest.update(encode([round(self.now, 6), label, *row]))
         self.count += 1
         for kind in kinds(row):
             self.kinds[kind] = self.kinds.get(kind, 0) + 1
@@ -530,14 +541,14 @@
 
 def request(method: str, path: str, body: Any = None) -> bytes:
     """Return a request as a client sends it."""
-    data = b"" if body is None else wire.encode(body)
+    data = b"" if body is None else encode(body)
     head = f"{method} {path} HTTP/1.1\r\nHost: h\r\nContent-Length: {len(data)}\r\n\r\n"
     return head.encode() + data
 
 
 def reply(status: int, body: Any = None) -> bytes:
     """Return an answer as a server sends it."""
-    data = b"" if body is None else wire.encode(body)
+    data = b"" if body is None else encode(body)
     return f"HTTP/1.1 {status} X\r\nContent-Length: {len(data)}\r\n\r\n".encode() + data
 
 
@@ -614,10 +625,10 @@
 def orders() -> list[dict]:
     """Return one command of each kind."""
     return [
-        wire.order("start", "job-1/3", 2),
-        wire.order("stop", "job-1/4", 1, 10.5),
-        wire.order("stop", "job-1/5", 1),
-        wire.order("forget", "job-2/0", 7),
+        command_body("start", "job-1/3", 2),
+        command_body("stop", "job-1/4", 1, 10.5),
+        command_body("stop", "job-1/5", 1),
+        command_body("forget", "job-2/0", 7),
     ]
 
 
@@ -792,7 +803,7 @@
 def read_exchange(name: str, data: bytes) -> Any:
     """Make a call with these replies; return where to, what was sent and what became of it."""
     call, _ = exchanges()[name]
-    client = Scripted(list(wire.decode(data)))
+    client = Scripted(list(decode(data)))
     commands: list[tuple] = []
 
     async def run() -> None:
@@ -903,7 +914,7 @@
     assert core is not None
     seen = []
     before = plain_core(core)
-    for turn, body in enumerate(wire.decode(data)):
+    for turn, body in enumerate(decode(data)):
         now = sim.now + turn * 0.05
         commands, sent = asked(request_bytes("POST", "/peer", body), internal=True)
         effects = [told(effect) for effect in core.step(now, commands)]
@@ -921,8 +932,8 @@
 
 def batches() -> dict[str, list[bytes]]:
     """Return requests of a peer, one message to each, of this version's form and the earlier."""
-    bodies = [wire.encode(["batch", "h9", [one], 5]) for one in messages("m0", "h9")]
-    more = [wire.encode(["batch", "h9", [["heard", []]]]), wire.encode(["batch"]), b"\xff"]
+    bodies = [encode(["batch", "h9", [one], 5]) for one in messages("m0", "h9")]
+    more = [encode(["batch", "h9", [["heard", []]]]), encode(["batch"]), b"\xff"]
     return {"messages/keeper": bodies + more, "messages/owner": bodies}
 
 
@@ -1049,13 +1060,13 @@
     """Return jobs in the command line's words, as submissions and back."""
     made: dict[str, Any] = {}
     for name, job in (("full", FULL), ("plain", PLAIN)):
-        said = wire.job_words(job)
+        said = job_description(job)
         made[f"words/{name}"] = said
-        made[f"words/{name}/submission"] = wire.job_body({"id": "job-1", **said})
+        made[f"words/{name}/submission"] = submission_body({"id": "job-1", **said})
     for state in ("queued", "running", "done", "aborted", "x"):
         body = {"id": "job-1", "status": state, "done": 3, "running": 4, "waits_on": ["job-2"]}
-        made[f"words/state/{state}"] = [*wire.job_state(body), wire.job_waits(body)]
-    made["words/state/none"] = [*wire.job_state(None), wire.job_waits(None)]
+        made[f"words/state/{state}"] = [*parse_job_state(body), parse_dependencies(body)]
+    made["words/state/none"] = [*parse_job_state(None), parse_dependencies(None)]
     return made
 
 
@@ -1065,7 +1076,7 @@
 def written() -> dict[str, bytes]:
     """Return what the present code writes: records, responses, words."""
     values = {**stored(), **schedule_records(), **words(), **lending()}
-    return {name: wire.encode(value) for name, value in values.items()} | answers()
+    return {name: encode(value) for name, value in values.items()} | answers()
 
 
 def inputs() -> dict[str, bytes]:
@@ -1073,10 +1084,10 @@
     rows = {**stored(), **schedule_records()}
     del rows["schedule/ids"]
     return (
-        {f"record/{name}": wire.encode(row) for name, row in rows.items()}
+        {f"record/{name}": encode(row) for name, row in rows.items()}
         | requests()
-        | {f"exchange/{name}": wire.encode(row[1]) for name, row in exchanges().items()}
-        | {name: wire.encode(bodies) for name, bodies in batches().items()}
+        | {f"exchange/{name}": encode(row[1]) for name, row in exchanges().items()}
+        | {name: encode(bodies) for name, bodies in batches().items()}
         | {name: text.encode() for name, text in settings_files().items()}
     )
 
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -6,10 +6,10 @@
 
 from oakmux import constants
 from oakmux.core.context import Context, Machine
+from oakmux.core.model import Heartbeat
 from oakmux.core.resources import Resources
 from oakmux.core.scheduling.capacity_claims import CapacityClaims
 from oakmux.core.state.records import Binding, TaskBlock, block_key, job_key, job_value
-from oakmux.wire import Heartbeat
 from tests.fakes import TYPE, settings_for, spec
 from tools.capacity.cell import Cell, cpu_job
 
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -9,8 +9,12 @@
 import pytest
 from click.testing import CliRunner
 
-from oakmux import constants, settings, wire
+from oakmux import constants, settings
 from oakmux.cli import main
+from oakmux.codec.cbor import Malformed, decode, encode
+from oakmux.codec.store import PATH_LEASES, PATH_TXN
+from oakmux.codec.users import parse_job, parse_job_id
+from oakmux.codec.workers import parse_heartbeat
 from oakmux.core.state.records import (
     Binding,
     TaskBlock,
@@ -81,10 +85,10 @@
 
 
 def test_a_good_job_is_understood():
-    job = wire.parse_job(GOOD)
+    job = parse_job(GOOD)
     assert (job.kind, job.priority, job.tasks, job.cpus, job.types) == ("gang", 2, 16, 8.0, ["g8"])
     assert [
-        wire.parse_job({**GOOD, **more}).waits_on
+        parse_job({**GOOD, **more}).waits_on
         for more in (
             {},
             {"waits_on": None},
@@ -119,14 +123,14 @@
     ],
 )
 def test_a_bad_field_is_malformed(field, value):
-    with pytest.raises(wire.Malformed):
-        wire.parse_job({**GOOD, field: value})
+    with pytest.raises(Malformed):
+        parse_job({**GOOD, field: value})
 
 
 @pytest.mark.parametrize("job_id", ["job-", "job-1x", "JOB-1", "job-1/2", 7, None, "job-1\n"])
 def test_a_bad_id_is_malformed(job_id):
-    with pytest.raises(wire.Malformed):
-        wire.job_id_of({**GOOD, "id": job_id})
+    with pytest.raises(Malformed):
+        parse_job_id({**GOOD, "id": job_id})
 
 
 def test_a_bad_report_is_malformed():
@@ -142,7 +146,7 @@
         "warning_s": None,
         "pieces": [{"piece": "job-1/3", "try": 2, "status": "ended", "cause": "done"}],
     }
-    assert wire.parse_heartbeat(good).tasks == {("job-1/3", 2): ("exited", "done", False)}
+    assert parse_heartbeat(good).tasks == {("job-1/3", 2): ("exited", "done", False)}
     for field, value in (
         ("tenure", -1),
         ("pieces", [{}]),
@@ -150,8 +154,8 @@
         ("tick", "1"),
         ("pieces", [{"piece": "x", "try": 1, "status": "running"}]),
     ):
-        with pytest.raises(wire.Malformed):
-            wire.parse_heartbeat({**good, field: value})
+        with pytest.raises(Malformed):
+            parse_heartbeat({**good, field: value})
 
 
 class FakeTransport:
@@ -190,9 +194,9 @@
         (post("/nowhere", b""), 404),
         (post("/api/jobs", b"", "PUT"), 405),
         (post("/api/jobs", b"\xff\xff"), 400),
-        (post("/api/jobs", wire.encode([1])), 400),
-        (post("/agent/beat", wire.encode({})), 400),
-        (post("/api/jobs", wire.encode("x" * 70_000)), 400),
+        (post("/api/jobs", encode([1])), 400),
+        (post("/agent/beat", encode({})), 400),
+        (post("/api/jobs", encode("x" * 70_000)), 400),
         (post("/api/jobs/job-1/cancel", b"", "GET"), 405),
     ],
 )
@@ -204,12 +208,12 @@
 
 
 def test_good_requests_become_commands():
-    _, commands, _ = talk(post("/api/jobs", wire.encode(GOOD)))
+    _, commands, _ = talk(post("/api/jobs", encode(GOOD)))
     assert commands[0][0] == "submit" and commands[0][2] == "job-000412"
     _, commands, _ = talk(post("/api/jobs/job-7/cancel", b""))
     assert commands[0][0] == "cancel" and commands[0][2] == "job-7"
     # A known job is answered 200 whatever else the body says, so the core must see the id.
-    _, commands, _ = talk(post("/api/jobs", wire.encode({"id": "job-5"})))
+    _, commands, _ = talk(post("/api/jobs", encode({"id": "job-5"})))
     assert commands[0][2:4] == ("job-5", None) and commands[0][4]
 
 
@@ -318,7 +322,7 @@
         i: Binding(2**40, f"n-{2**40}", 2**20, 2**40, zone) for i in range(100_000 - per, 100_000)
     }
     block = TaskBlock(9, 7, (1 << 63) | 5, bound)
-    value = wire.decode(wire.encode(block.to_value(1)))
+    value = decode(encode(block.to_value(1)))
     again = parse_block(value, 9)
     assert (again.last, again.done, again.bound) == (block.last, block.done, block.bound)
     assert len(json.dumps(value)) <= 8 * 1024
@@ -377,7 +381,7 @@
 
         async def request(_, method, path, *rest):
             sent.append(path)
-            return 200, wire.encode({"epoch": 1})
+            return 200, encode({"epoch": 1})
 
         state.client.request = request
         tasks = [asyncio.create_task(state.pump(line)) for line in (state.reads, state.writes)]
@@ -402,7 +406,7 @@
         await turns()
         state.submit("renew", 2, 7)
         await turns()
-        assert sent == [f"{wire.PATH_LEASES}/7/renew"]
+        assert sent == [f"{PATH_LEASES}/7/renew"]
 
     with_state(play)
 
@@ -416,7 +420,7 @@
         state.submit("txn", 1, [], [("k", 1, None)], 1)
         state.submit("txn", 2, [], [("user", 1, None)], 0)
         await turns()
-        assert sent == [wire.PATH_TXN] and state.changes.level < -state.changes.rate
+        assert sent == [PATH_TXN] and state.changes.level < -state.changes.rate
         state.changes.level = -3 * state.changes.rate
         state.submit("txn", 3, [], [("user", 1, None)], 0)
         await turns()
@@ -476,7 +480,7 @@
         assert put[0][0] == "short" and not sent
         state.credit(2e6)
         await turns()
-        assert sent == [wire.PATH_TXN]
+        assert sent == [PATH_TXN]
 
     with_state(play)
 
@@ -506,8 +510,8 @@
         peer = PeerClient("h0", "h1", "10.0.0.2:81", lambda command: None, lambda: 7)
 
         async def request(addr, method, path, body, timeout, most):
-            sent.append((loop.time() - start, [m[0] for m in wire.decode(body)[2]]))
-            return 200, wire.encode(["peer", "h1", 1, 0.0, []])
+            sent.append((loop.time() - start, [m[0] for m in decode(body)[2]]))
+            return 200, encode(["peer", "h1", 1, 0.0, []])
 
         peer.client.request = request  # type: ignore[method-assign]
         start = loop.time()
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -24,7 +24,8 @@
         sim.after(
             number,
             lambda n=number, t=team: sim.submit(
-                f"job-9{n:03}", spec("array", 2, t, lane="small", **{"estimate_s": 8.0, **fields})
+                f"job-9{n:03}",
+                spec("array", 2, t, job_class="small", **{"estimate_s": 8.0, **fields}),
             ),
         )
     assert sim.now == begun
@@ -43,9 +44,9 @@
 @pytest.mark.parametrize("count", [3, 7])
 def test_the_largest_begin_in_a_flood_of_smaller_ones_while_machines_and_controllers_fail(count):
     sim = full(1, count)
-    sim.submit("job-1", spec("array", 40, "blue", lane="scan", estimate_s=20.0))
-    sim.submit("job-2", spec("gang", 8, "red", lane="press", priority=1))
-    sim.submit("job-3", spec("array", 300, "red", lane="visit", priority=0, estimate_s=10.0))
+    sim.submit("job-1", spec("array", 40, "blue", job_class="scan", estimate_s=20.0))
+    sim.submit("job-2", spec("gang", 8, "red", job_class="press", priority=1))
+    sim.submit("job-3", spec("array", 300, "red", job_class="visit", priority=0, estimate_s=10.0))
     sim.run(30)
     sim.kill(up(sim)[0])
     sim.crash(sim.labels[0], 0.3)
@@ -65,11 +66,12 @@
         sim.after(
             2.0 * number,
             lambda n=number: sim.submit(
-                f"job-9{n:03}", spec("gang", 2, "blue", lane="pair", priority=2, estimate_s=6.0)
+                f"job-9{n:03}",
+                spec("gang", 2, "blue", job_class="pair", priority=2, estimate_s=6.0),
             ),
         )
     sim.run(20)
-    sim.submit("job-1", spec("gang", 8, "red", lane="book", priority=2, one_zone=False))
+    sim.submit("job-1", spec("gang", 8, "red", job_class="book", priority=2, one_zone=False))
     sim.run(DAY_S)
     assert sim.begun_at("job-1") is not None
     assert sim.begun_at("job-1") - sim.submitted["job-1"] < DAY_S
@@ -86,7 +88,7 @@
             "array",
             60,
             "red",
-            lane="scan",
+            job_class="scan",
             priority=0,
             estimate_s=300.0,
             checkpoint_s=5.0,
@@ -95,7 +97,7 @@
     )
     sim.run(15)
     assert len(sim.live()) == 8
-    sim.submit("job-9", spec("gang", 2, "blue", lane="press", priority=2))
+    sim.submit("job-9", spec("gang", 2, "blue", job_class="press", priority=2))
     owner = next(
         core for core in sim.cores.values() if "blue" in core.context.held_roles
     ).scheduler
@@ -125,7 +127,7 @@
 
 def test_what_has_begun_is_no_elder_and_what_waits_is_one_in_time():
     sim = full(3, 3)
-    sim.submit("job-1", spec("array", 40, "blue", lane="scan", estimate_s=20.0))
+    sim.submit("job-1", spec("array", 40, "blue", job_class="scan", estimate_s=20.0))
     sim.run(10)
     core = sim.cores["h0"]
     job = core.context.replica.jobs["job-1"]
@@ -198,7 +200,7 @@
     sim = Sim(4)
     sim.run(12)
     sim.cloud_down = True  # nothing is rented: nothing of this can begin
-    sim.submit("job-1", spec("array", 2, "red", lane="scan"))
+    sim.submit("job-1", spec("array", 2, "red", job_class="scan"))
     sim.run(DAY_S + 1)
     assert sim.underserved(DAY_S) == [
         "class scan: 0 of 1",
--- a/tests/test_index.py
+++ b/tests/test_index.py
@@ -9,10 +9,10 @@
 from oakmux.core.agents.capacity import free_resources, heartbeat_timeout_s, is_schedulable
 from oakmux.core.agents.heartbeats import apply_heartbeat
 from oakmux.core.context import Context
+from oakmux.core.model import Heartbeat
 from oakmux.core.resources import Resources, fits_resources, task_capacity
 from oakmux.core.scheduling.machine_index import MachineIndex, capacity_class, may_fit
 from oakmux.core.state.records import block_key, job_key, job_value
-from oakmux.wire import Heartbeat
 from tests.fakes import TYPE, ZONES, settings_for, spec
 
 # The same verdict every time, and nothing kept between runs.
--- a/tests/test_meetings_later.py
+++ b/tests/test_meetings_later.py
@@ -9,6 +9,7 @@
 from oakmux import constants
 from oakmux.core.agents import reachability
 from oakmux.core.context import Context, Machine
+from oakmux.core.model import Heartbeat
 from oakmux.core.state.records import (
     Binding,
     TaskBlock,
@@ -20,7 +21,6 @@
 )
 from oakmux.core.state.replica import Replica
 from oakmux.settings import Team
-from oakmux.wire import Heartbeat
 from tests.fakes import CANCEL_S, LEASE_S, PLACED, TYPE, Sim, settings_for, spec
 from tests.test_meetings import (
     Twins,
--- a/tests/test_meetings_page.py
+++ b/tests/test_meetings_page.py
@@ -120,7 +120,7 @@
                 2 + step % 4,
                 ("red", "blue")[step % 2],
                 priority=step % 3,
-                lane=f"l{step % 3}",
+                job_class=f"l{step % 3}",
                 estimate_s=6.0,
             ),
         )
--- a/tests/test_oncall.py
+++ b/tests/test_oncall.py
@@ -11,9 +11,9 @@
 from oakmux.core.context import Context, Machine
 from oakmux.core.instances import InstanceKind
 from oakmux.core.leadership.leadership import FLEET
+from oakmux.core.model import Heartbeat
 from oakmux.core.scheduling.failure_attribution import FailureAttribution
 from oakmux.core.state.records import controller_key
-from oakmux.wire import Heartbeat
 from tests.fakes import CANCEL_S, LEASE_S, REPORT_S, Sim, settings_for, spec
 from tests.test_stories import asked, quiet
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -12,7 +12,7 @@
 import pytest
 from click.testing import CliRunner
 
-from oakmux.wire import decode
+from oakmux.codec.cbor import decode
 from tools.scale import __main__ as scale
 from tools.scale.config import ConfigError, RunConfig, Service, load_config
 from tools.scale.gangs import GangEvent, GangHub
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -9,12 +9,14 @@
 LOG = """\
   1.000 h0 INFO oakmux.core event=heard machine=m1 keeper=h0 session=1
   1.000 h0 INFO oakmux.core event=heard machine=m2 keeper=h0 session=1
-  2.000 h0 INFO oakmux.core event=accepted job=job-1 lane=x kind=array tasks=2 gpus=1.0 priority=1
+  2.000 h0 INFO oakmux.core event=accepted job=job-1 job_class=x \
+kind=array tasks=2 gpus=1.0 priority=1
   2.500 h0 INFO oakmux.core event=bind task=job-1/0 attempt=1 machine=m1
   3.500 h0 INFO oakmux.core event=bind task=job-1/1 attempt=2 machine=m1
   4.500 h0 INFO oakmux.core event=running task=job-1/0 attempt=1 machine=m1
   4.500 h0 INFO oakmux.core event=running task=job-1/1 attempt=2 machine=m1
-  5.000 h1 INFO oakmux.core event=accepted job=job-2 lane=y kind=gang tasks=2 gpus=2.0 priority=2
+  5.000 h1 INFO oakmux.core event=accepted job=job-2 job_class=y \
+kind=gang tasks=2 gpus=2.0 priority=2
   8.000 h1 INFO oakmux.core event=preempt task=job-1/1 attempt=2 machine=m1 by=job-2
   9.000 h0 INFO oakmux.core event=unbind task=job-1/1 attempt=2 machine=m1 why=stopped saved=0
   9.500 h0 INFO oakmux.core event=unbind task=job-1/0 attempt=1 machine=m1 why=done saved=0
@@ -47,7 +49,7 @@
 
 def test_who_began_in_time_is_told_for_classes_teams_and_the_largest():
     late = [
-        f"{200 + n}.000 h0 INFO oakmux.core event=accepted job=job-{10 + n} lane=z kind=gang "
+        f"{200 + n}.000 h0 INFO oakmux.core event=accepted job=job-{10 + n} job_class=z kind=gang "
         f"tasks={2 + n // 2} gpus=1.0 priority=2 team=t"
         for n in range(4)
     ]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -8,7 +8,8 @@
 import msgspec
 import pytest
 
-from oakmux import wire
+from oakmux.codec.answers import answer_body
+from oakmux.codec.cbor import decode, encode
 from oakmux.core.controller import Controller
 from oakmux.core.state.records import (
     FORMAT,
@@ -99,10 +100,10 @@
         ],
     )
     for sender, message in FIRST["messages"].values():
-        batch = parse_batch(wire.encode(["batch", sender, [message]]))
+        batch = parse_batch(encode(["batch", sender, [message]]))
         effects = core.step(1.0, [("peer", None, batch.label, batch.messages, batch.since)])
-        answers = [wire.encode(wire.answer_body(e[3])) for e in effects if e[0] == "answer"]
-        old = msgspec.convert(wire.decode(answers[0]), OldAnswer)
+        answers = [encode(answer_body(e[3])) for e in effects if e[0] == "answer"]
+        old = msgspec.convert(decode(answers[0]), OldAnswer)
         assert (old.label, batch.since) == ("h1", -1)
         assert old.cancelled == [
             j.id for j in core.context.replica.jobs.values() if j.state == "cancelled"
--- a/tests/timed.py
+++ b/tests/timed.py
@@ -5,10 +5,10 @@
 
 import msgspec
 
+from oakmux.core.model import JobSpec
 from oakmux.schedules.part import Schedules
 from oakmux.schedules.records import RESERVED
 from oakmux.settings import Settings
-from oakmux.wire import JobSpec
 from tests.fakes import Sim
 
 SKEW_MS, WARM_S = 100.0, 14
--- a/tools/capacity/cell.py
+++ b/tools/capacity/cell.py
@@ -10,8 +10,9 @@
 
 import cbor2
 
-from oakmux import wire
+from oakmux.codec.workers import COMMAND_VERBS
 from oakmux.core.controller import Controller
+from oakmux.core.model import Heartbeat, JobSpec, MachineType
 from oakmux.core.state.records import PREFIX
 from oakmux.settings import (
     CloudLimits,
@@ -23,7 +24,6 @@
     Team,
     WorkerClient,
 )
-from oakmux.wire import Heartbeat, JobSpec, MachineType
 
 # Seconds from one step of the core to the next; a transaction is answered one step later.
 STEP_S = 0.02
@@ -71,7 +71,7 @@
 def cpu_job(team: str, tasks: int, run_s: float, kind: str = "array") -> JobSpec:
     """Return a job of tasks that take one CPU each."""
     return JobSpec(
-        lane="measured",
+        job_class="measured",
         team=team,
         kind=kind,
         priority=1,
@@ -144,12 +144,12 @@
         started = 0
         for order in orders:
             task = (order["piece"], order["try"])
-            if order["verb"] == wire.OPS["start"] and task not in self.tasks:
+            if order["verb"] == COMMAND_VERBS["start"] and task not in self.tasks:
                 self.tasks[task] = ("running", "", False)
                 self.ends[task] = now + self.run_s
                 self.changed(now)
                 started += 1
-            elif order["verb"] == wire.OPS["forget"]:
+            elif order["verb"] == COMMAND_VERBS["forget"]:
                 self.tasks.pop(task, None)
         return started
 
--- a/tools/capacity/measurements.py
+++ b/tools/capacity/measurements.py
@@ -14,8 +14,12 @@
 import cbor2
 import msgspec
 
-from oakmux import wire
+from oakmux.codec.answers import answer_body
+from oakmux.codec.cbor import decode, encode
+from oakmux.codec.users import parse_job, parse_job_id
+from oakmux.codec.workers import parse_heartbeat
 from oakmux.core.controller import Controller
+from oakmux.core.model import JobSpec
 from oakmux.core.state.records import (
     Binding,
     TaskBlock,
@@ -25,7 +29,6 @@
     value_bytes,
 )
 from oakmux.transport.http import render
-from oakmux.wire import JobSpec
 from tools import cost
 from tools.capacity.cell import Cell, cell_settings, cpu_job, steady, team_names, zone_names
 from tools.capacity.series import Point
@@ -104,19 +107,19 @@
 
 def report_bytes(tasks: float) -> float:
     """Bytes of one report and its answer, with the packets round them."""
-    body = wire.encode(report_value(int(tasks)))
-    answer = render(200, wire.encode({"baton": 41, "orders": []}))
+    body = encode(report_value(int(tasks)))
+    answer = render(200, encode({"baton": 41, "orders": []}))
     return len(REQUEST_HEAD) + len(body) + len(answer) + PACKET_BYTES
 
 
 def report_parse_ms(tasks: float) -> float:
     """Processor time to read a report and to write its answer."""
-    body = wire.encode(report_value(int(tasks)))
+    body = encode(report_value(int(tasks)))
 
     def run() -> None:
         for _ in range(300):
-            wire.parse_heartbeat(wire.decode(body))
-            wire.encode(wire.answer_body(("orders", 41, [])))
+            parse_heartbeat(decode(body))
+            encode(answer_body(("orders", 41, [])))
 
     return spent_s(run) / 300 * 1000
 
@@ -185,7 +188,7 @@
     core.context.term = core.context.incarnation = 1
     sent = 0
     for sequence in range(1, 21):
-        heartbeat = wire.parse_heartbeat({**report_value(sequence % 3), "tick": sequence})
+        heartbeat = parse_heartbeat({**report_value(sequence % 3), "tick": sequence})
         effects = core.step(
             0.01 * sequence, [("watch", [], 0, 0.01 * sequence), ("report", sequence, heartbeat)]
         )
@@ -336,7 +339,7 @@
 
 def submission(number: int) -> bytes:
     """Return a submission as it comes over the wire."""
-    return wire.encode(
+    return encode(
         {
             "id": f"job-{number:06}",
             "lane": "train",
@@ -371,8 +374,8 @@
     def run() -> None:
         commands = []
         for body in bodies:
-            value = wire.decode(body)
-            commands.append(("submit", None, wire.job_id_of(value), wire.parse_job(value), ""))
+            value = decode(body)
+            commands.append(("submit", None, parse_job_id(value), parse_job(value), ""))
         cell.core.step(cell.now, commands)
 
     return spent_s(run) * 1000
--- a/tools/cost.py
+++ b/tools/cost.py
@@ -18,6 +18,7 @@
 
 from oakmux.core.controller import Controller
 from oakmux.core.leadership.leadership import FLEET
+from oakmux.core.model import Heartbeat, JobSpec, MachineType
 from oakmux.core.state.records import Binding, TaskBlock, block_key, job_key, job_value
 from oakmux.settings import (
     CloudLimits,
@@ -29,7 +30,6 @@
     Team,
     WorkerClient,
 )
-from oakmux.wire import Heartbeat, JobSpec, MachineType
 
 ZONES = ["a", "b", "c"]
 TYPE = MachineType("big", 48.0, 4.0, 288.0, 120.0, 0.4, 10.0, 3.0, 30.0, ZONES)
@@ -45,7 +45,7 @@
         (("array", 35, 10.0, 1.0), ("gang", 4, 21.0, 2.0), ("service", 4, 8.0, 1.0))
     )
     return JobSpec(
-        lane="l",
+        job_class="l",
         team=rng.choice(("red", "blue")),
         kind=kind,
         priority=1,
@@ -183,7 +183,7 @@
         for number, name in enumerate(self.names):
             self.revision += 1
             spec = JobSpec(
-                lane="l",
+                job_class="l",
                 team="red",
                 kind="service",
                 priority=3,
--- a/tools/paper.py
+++ b/tools/paper.py
@@ -23,7 +23,7 @@
     """A job as the log tells it: seconds that each task fetched and ran."""
 
     name: str
-    lane: str
+    job_class: str
     priority: int
     kind: str
     gpus: float
@@ -87,7 +87,7 @@
                 rows.append(
                     Work(
                         name,
-                        fields["lane"],
+                        fields["job_class"],
                         int(fields.get("priority", 1)),
                         fields["kind"],
                         float(fields.get("gpus", 1)),
@@ -137,7 +137,7 @@
             while left and need <= free:
                 for fetch, ran in left if whole else [left[-1]]:
                     held = slowest if whole else fetch
-                    waits[job.lane].append(at + held - job.at)
+                    waits[job.job_class].append(at + held - job.at)
                     serial += 1
                     heapq.heappush(due, (at + held + ran, serial, job.gpus, None))
                 free -= need
@@ -160,7 +160,7 @@
     for task, at in day.first.items():
         job = task.partition("/")[0]
         if job in day.jobs:
-            was[day.jobs[job]["lane"]].append(at - day.accepted[job])
+            was[day.jobs[job]["job_class"]].append(at - day.accepted[job])
     capacity = day.capacity(gpus)
     found = {
         "as it was": was,
@@ -173,13 +173,13 @@
         + " ".join(f"{mark:g}" for mark in marks)
         + " s"
     )
-    for lane in sorted(was):
+    for job_class in sorted(was):
         for what, waits in found.items():
-            row = waits.get(lane, [])
+            row = waits.get(job_class, [])
             shares = " ".join(
                 f"{sum(wait <= mark for wait in row) / max(1, len(row)):.2f}" for mark in marks
             )
-            yield f"{lane:18}  {what:17} {len(row):6}   {spread(histogram(row))}   {shares}"
+            yield f"{job_class:18}  {what:17} {len(row):6}   {spread(histogram(row))}   {shares}"
 
 
 @click.command(help=__doc__)
--- a/tools/recovery.py
+++ b/tools/recovery.py
@@ -66,7 +66,7 @@
         """Take one event."""
         fields = event.fields
         if event.name == "accepted":
-            self.classes[fields["job"]] = fields["lane"]
+            self.classes[fields["job"]] = fields["job_class"]
             self.accepted[fields["job"]] = event.at
         elif event.name == "preempt":
             self.preempted.append(event.at)
@@ -80,7 +80,7 @@
             elif known is not None:
                 known.gone, known.why = event.at, fields.get("why", "")
 
-    def lane(self, task: str) -> str:
+    def job_class(self, task: str) -> str:
         """Return the class of a task's job."""
         return self.classes.get(task.partition("/")[0], "unknown")
 
@@ -109,7 +109,7 @@
         job = task.partition("/")[0]
         if job in history.accepted:
             first = next(iter(attempts.values()))
-            row = rows[history.lane(task), int(history.accepted[job] / window_s)]
+            row = rows[history.job_class(task), int(history.accepted[job] / window_s)]
             row[0].append(first.bound - history.accepted[job])
             ran = next((a for a in attempts.values() if a.running is not None), None)
             if ran is not None and ran.running is not None:
@@ -119,9 +119,9 @@
         "class               from s  tasks  to bound p50 p90 max   bound to running"
         "       to running"
     )
-    for (lane, window), waits in sorted(rows.items()):
+    for (job_class, window), waits in sorted(rows.items()):
         yield (
-            f"{lane:18} {window * window_s:7.0f} {len(waits[0]):6}  "
+            f"{job_class:18} {window * window_s:7.0f} {len(waits[0]):6}  "
             + "   ".join(spread(histogram(wait)) for wait in waits)
         )
 
@@ -141,7 +141,7 @@
             ):
                 later = order[index + 1 :]
                 again = next((a.running for a in later if a.running is not None), None)
-                rows[history.lane(task)].append(
+                rows[history.job_class(task)].append(
                     (
                         attempt.gone - at,
                         later[0].bound - at if later else None,
@@ -152,14 +152,14 @@
         "class               lost  not yet again   to proof p50 p90 max   to new binding"
         "        running again 50% 95% all"
     )
-    for lane, found in sorted(rows.items()):
+    for job_class, found in sorted(rows.items()):
         back = sorted(row[2] for row in found if row[2] is not None)
         marks = [
             back[max(0, int(len(found) * share) - 1)] if len(back) >= len(found) * share else None
             for share in (0.5, 0.95, 1.0)
         ]
         yield (
-            f"{lane:18} {len(found):5} {len(found) - len(back):13}   "
+            f"{job_class:18} {len(found):5} {len(found) - len(back):13}   "
             f"{spread(histogram(row[0] for row in found))}   "
             f"{spread(histogram(row[1] for row in found if row[1] is not None))}   "
             + " ".join("     -" if mark is None else f"{mark:6.1f}" for mark in marks)
--- a/tools/scale/cloud.py
+++ b/tools/scale/cloud.py
@@ -7,7 +7,8 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-from oakmux import wire
+from oakmux.codec.cbor import decode, encode
+from oakmux.codec.cloud import PATH_CATALOGUE, PATH_MACHINES, PATH_RETURN
 from oakmux.transport.http import Client, NoResponse, Request, RequestNotSent
 from oakmux.transport.rate_limit import TokenBucket
 from tools.scale.config import RunConfig
@@ -94,13 +95,13 @@
             answer(request, 429, {"error": "too many requests"})
             return
         self.requests.take(1)
-        if parts.path == wire.PATH_CATALOGUE:
+        if parts.path == PATH_CATALOGUE:
             answer(request, 200, {"flavours": [self.flavour()]})
-        elif parts.path == wire.PATH_RETURN:
+        elif parts.path == PATH_RETURN:
             self.spawn(self._return(request))
-        elif parts.path == wire.PATH_MACHINES and request.method == "POST":
+        elif parts.path == PATH_MACHINES and request.method == "POST":
             self._rent(request)
-        elif parts.path == wire.PATH_MACHINES:
+        elif parts.path == PATH_MACHINES:
             query = {name: row[0] for name, row in parse_qs(parts.query).items()}
             self._list(request, query.get("since", ""), int(query.get("page", MOST_LISTED)))
         else:
@@ -128,7 +129,7 @@
         }
 
     def _rent(self, request: Request) -> None:
-        order = wire.decode(request.body)
+        order = decode(request.body)
         known = self.hires.get(order["hire"])
         if known is None:
             room = self.config.sizes.workers - len(self.alive())
@@ -164,7 +165,7 @@
     async def _tell(self, process: int, order: dict[str, Any]) -> None:
         try:
             await self.client.request(
-                self.plan.hollow[process], "POST", "/machines", wire.encode(order), HOLLOW_S
+                self.plan.hollow[process], "POST", "/machines", encode(order), HOLLOW_S
             )
         except (RequestNotSent, NoResponse) as error:
             self.counts[f"hollow process {process}: {error}"] += 1
@@ -179,7 +180,7 @@
         )
 
     async def _return(self, request: Request) -> None:
-        names = wire.decode(request.body)["boxes"]
+        names = decode(request.body)["boxes"]
         boxes = [self.boxes[name] for name in names if name in self.boxes]
         now = self.loop.time()
         for box in boxes:
@@ -212,14 +213,14 @@
         answer(request, 200, {"boxes": rows, "has_next": more})
 
     def _gangs(self, request: Request) -> None:
-        order = wire.decode(request.body)
+        order = decode(request.body)
         events = [GangEvent(*row) for row in order["events"]]
         orders = self.hub.take(order["process"], events, self.loop.time())
         answer(request, 200, {"orders": [list(row) for row in orders]})
 
     async def _control(self, request: Request) -> None:
         """Let machines die: some of one zone, all of one, or some anywhere."""
-        order = wire.decode(request.body)
+        order = decode(request.body)
         boxes = self.alive()
         if order["kind"] in ("rack", "zone"):
             boxes = [box for box in boxes if box.zone == zone_name(order["index"])]
--- a/tools/scale/hollow.py
+++ b/tools/scale/hollow.py
@@ -7,7 +7,9 @@
 
 from hdrh.histogram import HdrHistogram
 
-from oakmux import settings, wire
+from oakmux import settings
+from oakmux.codec.cbor import Malformed, decode, encode
+from oakmux.codec.workers import PATH_COMMANDS, PATH_HEARTBEAT
 from oakmux.transport.http import Client, NoResponse, Request, RequestNotSent
 from tools.scale.gangs import GangEvent, GangOrder
 from tools.scale.histograms import new_histogram, record_s
@@ -67,18 +69,18 @@
         worker.advance(self.loop.time())
         sent, agent_epoch = self.loop.time(), worker.agent_epoch
         self.last = sent
-        body = wire.encode(worker.report())
+        body = encode(worker.report())
         process.counts["report_bytes"] += len(body)
         self.due_ms = sent + process.plan.config.times.report_s * process.rng.uniform(0.75, 1.25)
         status = 0
         value: dict[str, Any] = {}
         try:
             status, data = await self.client.request(
-                process.nodes[self.node], "POST", wire.PATH_REPORT, body, ANSWER_S
+                process.nodes[self.node], "POST", PATH_HEARTBEAT, body, ANSWER_S
             )
             process.counts["answer_bytes"] += len(data)
-            value = wire.decode(data) if data else {}
-        except (RequestNotSent, NoResponse, wire.Malformed):
+            value = decode(data) if data else {}
+        except (RequestNotSent, NoResponse, Malformed):
             process.counts["reports_unanswered"] += 1
         if self.gone:
             return
@@ -178,7 +180,7 @@
 
     async def change_machines(self, request: Request) -> None:
         """Add and remove machines; what is removed is gone before the answer."""
-        order = wire.decode(request.body)
+        order = decode(request.body)
         for name in order.get("remove", ()):
             self.remove(name)
         for name, address, zone in order.get("add", ()):
@@ -215,8 +217,8 @@
         if reporter.gone:
             return  # silent, like a machine without power
         worker.advance(now)
-        if request.path == wire.PATH_ORDERS and request.method == "POST":
-            status = worker.direct(wire.decode(request.body), now)
+        if request.path == PATH_COMMANDS and request.method == "POST":
+            status = worker.direct(decode(request.body), now)
             dirty = worker.dirty
             answer(request, status, worker.report())
             self.counts["direct_orders"] += 1
@@ -249,7 +251,7 @@
         while True:
             await asyncio.sleep(GANGS_S)
             events, self.gang_events = self.gang_events, []
-            body = wire.encode({"process": self.index, "events": [list(row) for row in events]})
+            body = encode({"process": self.index, "events": [list(row) for row in events]})
             try:
                 _, data = await self.hub.request(
                     self.plan.cloud, "POST", "/gangs", body, ANSWER_S, 4 * 1024 * 1024
@@ -257,7 +259,7 @@
             except (RequestNotSent, NoResponse):
                 self.gang_events = events + self.gang_events
                 continue
-            for row in wire.decode(data)["orders"]:
+            for row in decode(data)["orders"]:
                 self.obey_hub(GangOrder(*row))
 
     def obey_hub(self, order: GangOrder) -> None:
--- a/tools/scale/runner.py
+++ b/tools/scale/runner.py
@@ -9,7 +9,8 @@
 
 import msgspec
 
-from oakmux import wire
+from oakmux.codec.cbor import encode
+from oakmux.codec.users import PATH_HEALTH
 from oakmux.transport.http import Client, NoResponse, RequestNotSent
 from tools.scale.config import RunConfig, Trouble
 from tools.scale.plan import Plan, make_plan
@@ -119,7 +120,7 @@
 
     async def _healthy(self, address: str) -> bool:
         try:
-            status, _ = await self.client.request(address, "GET", wire.PATH_HEALTH, b"", 1.0)
+            status, _ = await self.client.request(address, "GET", PATH_HEALTH, b"", 1.0)
         except (RequestNotSent, NoResponse):
             return False
         return status == 200
@@ -225,7 +226,7 @@
             await asyncio.sleep(RESTART_STEP_S)
 
     async def _control(self, address: str, path: str, trouble: Trouble) -> None:
-        body = wire.encode(msgspec.to_builtins(trouble))
+        body = encode(msgspec.to_builtins(trouble))
         try:
             await self.client.request(address, "POST", path, body, CONTROL_S)
         except (RequestNotSent, NoResponse) as error:
--- a/tools/scale/serving.py
+++ b/tools/scale/serving.py
@@ -11,7 +11,8 @@
 from pathlib import Path
 from typing import Any
 
-from oakmux import settings, wire
+from oakmux import settings
+from oakmux.codec.cbor import encode
 from oakmux.transport.http import Request, ServerProtocol
 
 # Bytes of a body that a stand-in takes; connections that one listener takes.
@@ -55,7 +56,7 @@
 
 def answer(request: Request, status: int, value: Any) -> None:
     """Answer with a CBOR body."""
-    request.respond(status, wire.encode(value))
+    request.respond(status, encode(value))
 
 
 def write_summary(folder: str, name: str, summary: dict[str, Any]) -> None:
--- a/tools/scale/state_service.py
+++ b/tools/scale/state_service.py
@@ -5,7 +5,8 @@
 from functools import partial
 from urllib.parse import parse_qs, unquote, urlsplit
 
-from oakmux import wire
+from oakmux.codec.cbor import Malformed, decode
+from oakmux.codec.store import PATH_KV, PATH_LEASES, PATH_TXN, PATH_WATCH
 from oakmux.transport.http import Request
 from tools.scale.plan import Plan
 from tools.scale.serving import answer, listen, write_summary
@@ -66,7 +67,7 @@
 
     def control(self, request: Request) -> None:
         """Begin a trouble."""
-        order = wire.decode(request.body)
+        order = decode(request.body)
         now = self.loop.time()
         if order["kind"] == "state_out":
             self.out_until = now + order["for_s"]
@@ -129,25 +130,25 @@
             self._route(label, request, now)
         except Refused as refusal:
             answer(request, refusal.status, refusal.body)
-        except (KeyError, TypeError, ValueError, wire.Malformed) as error:
+        except (KeyError, TypeError, ValueError, Malformed) as error:
             answer(request, 400, {"error": repr(error)})
 
     def _route(self, label: str, request: Request, now: float) -> None:
         parts = urlsplit(request.path)
         query = {name: values[0] for name, values in parse_qs(parts.query).items()}
         path, method = parts.path, request.method
-        if path == wire.PATH_TXN and method == "POST":
-            body = wire.decode(request.body)
+        if path == PATH_TXN and method == "POST":
+            body = decode(request.body)
             revision = self.store.transact(now, body.get("guards") or [], body.get("writes") or [])
             answer(request, 200, {"epoch": revision})
             if body.get("writes"):
                 self.tell(now)
-        elif path == wire.PATH_WATCH and method == "GET":
+        elif path == PATH_WATCH and method == "GET":
             until = now + min(60.0, int(query.get("block_ms", 0)) / 1000)
             watch = Watch(request, query["prefix"], int(query["since"]), until)
             if not self._told(watch, now):
                 self.watches[label].append(watch)
-        elif path == wire.PATH_KV and method == "GET":
+        elif path == PATH_KV and method == "GET":
             answer(
                 request,
                 200,
@@ -155,17 +156,17 @@
                     query["prefix"], query.get("since", ""), int(query.get("page", 1000))
                 ),
             )
-        elif path.startswith(wire.PATH_KV + "/") and method == "GET":
-            answer(request, 200, self.store.get(unquote(path[len(wire.PATH_KV) + 1 :])))
-        elif path.startswith(wire.PATH_LEASES):
+        elif path.startswith(PATH_KV + "/") and method == "GET":
+            answer(request, 200, self.store.get(unquote(path[len(PATH_KV) + 1 :])))
+        elif path.startswith(PATH_LEASES):
             self._lease(request, path, method, now)
         else:
             raise Refused(400, {"error": "path"})
 
     def _lease(self, request: Request, path: str, method: str, now: float) -> None:
-        rest = path[len(wire.PATH_LEASES) :].strip("/")
+        rest = path[len(PATH_LEASES) :].strip("/")
         if not rest:
-            lease = self.store.grant(now, int(wire.decode(request.body)["life_ms"]))
+            lease = self.store.grant(now, int(decode(request.body)["life_ms"]))
             answer(request, 200, {"permit": lease})
         elif rest.endswith("/renew"):
             self.store.renew(now, int(rest.removesuffix("/renew")))
--- a/tools/scale/users.py
+++ b/tools/scale/users.py
@@ -6,7 +6,8 @@
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
-from oakmux import wire
+from oakmux.codec.cbor import Malformed, decode, encode
+from oakmux.codec.users import CANCEL_SUFFIX, PATH_HEALTH, PATH_JOBS
 from oakmux.transport.http import Client, NoResponse, RequestNotSent
 from tools.scale.config import RunConfig
 from tools.scale.histograms import new_histogram, record_s
@@ -120,7 +121,7 @@
 
     async def _probe(self, node: str) -> None:
         try:
-            status, _ = await self.client.request(node, "GET", wire.PATH_HEALTH, b"", 1.0)
+            status, _ = await self.client.request(node, "GET", PATH_HEALTH, b"", 1.0)
         except (RequestNotSent, NoResponse):
             status = 0
         self.failed[node] = 0 if status == 200 else self.failed.get(node, 0) + 1
@@ -180,10 +181,8 @@
     async def _user(self, job: Job) -> None:
         """Submit a job and ask for it until it is over."""
         self.events.add("asked", job.id)
-        body = wire.encode(submission(self.config, job))
-        status, _ = await self._insist(
-            "submission", "POST", wire.PATH_JOBS, body, (200, 201, 400, 422)
-        )
+        body = encode(submission(self.config, job))
+        status, _ = await self._insist("submission", "POST", PATH_JOBS, body, (200, 201, 400, 422))
         if status not in ACCEPTED:
             self.counts[f"not accepted: {status}"] += 1
             return
@@ -214,7 +213,7 @@
         """Cancel a job; return whether it is over."""
         self.events.add("cancelling", job.id)
         status, value = await self._insist(
-            "cancellation", "POST", f"{wire.PATH_JOBS}/{job.id}{wire.CANCEL}", b"", (200,)
+            "cancellation", "POST", f"{PATH_JOBS}/{job.id}{CANCEL_SUFFIX}", b"", (200,)
         )
         if status != 200:
             return False
@@ -223,9 +222,7 @@
 
     async def _query(self, job: Job) -> bool:
         """Ask for a job; return whether it is over."""
-        status, value = await self._once(
-            "query", "GET", f"{wire.PATH_JOBS}/{job.id}", b"", QUERY_S
-        )
+        status, value = await self._once("query", "GET", f"{PATH_JOBS}/{job.id}", b"", QUERY_S)
         if status == 404:
             self.events.add("forgotten", job.id)
         return status == 200 and self._final(job, value)
@@ -264,8 +261,8 @@
             status, data = await self.client.request(
                 self.balancer.choose(), method, path, body, timeout
             )
-            value = wire.decode(data) if data else {}
-        except (RequestNotSent, NoResponse, wire.Malformed):
+            value = decode(data) if data else {}
+        except (RequestNotSent, NoResponse, Malformed):
             status, value = 0, {}
         self.counts[f"{name} {status}"] += 1
         if status in final:
--- a/tools/spread.py
+++ b/tools/spread.py
@@ -41,9 +41,9 @@
                 self.rows.append(self._look(due.pop(0)))
             self.take(event)
 
-    def lane(self, task: str) -> str:
+    def job_class(self, task: str) -> str:
         """Return the class of a task's job, or of a job."""
-        return self.jobs.get(task.partition("/")[0], {}).get("lane", "unknown")
+        return self.jobs.get(task.partition("/")[0], {}).get("job_class", "unknown")
 
     def gpus(self, task: str) -> float:
         """Return the GPUs that a task takes; 0 if the log does not tell."""
@@ -61,7 +61,7 @@
             job = task.partition("/")[0]
             if task not in self.bound and job in self.accepted:
                 size = int(self.jobs[job]["tasks"]) if self.jobs[job]["kind"] == "gang" else 0
-                self.waits[self.lane(task), size].append(at - self.accepted[job])
+                self.waits[self.job_class(task), size].append(at - self.accepted[job])
             self.bound[task] = at
             self.on[fields["machine"]].add(task)
         elif event.name == "cancelled":
@@ -69,27 +69,27 @@
         elif event.name == "running" and task in self.bound:
             self.ran[task.partition("/")[0]].setdefault(task, at)
             self.running[task] = at
-            self.spent[self.lane(task), "fetch"] += self.gpus(task) * (at - self.bound[task])
+            self.spent[self.job_class(task), "fetch"] += self.gpus(task) * (at - self.bound[task])
         elif event.name == "unbind":
             self.on[fields["machine"]].discard(task)
             began = self.running.pop(task, None)
             if began is not None:
                 what = "ran" if fields["why"] in WON else f"ended: {fields['why']}"
-                self.spent[self.lane(task), what] += self.gpus(task) * (at - began)
+                self.spent[self.job_class(task), what] += self.gpus(task) * (at - began)
         elif event.name == "preempt":
-            self.gave_way[self.lane(task), self.lane(fields.get("by", ""))] += 1
+            self.gave_way[self.job_class(task), self.job_class(fields.get("by", ""))] += 1
         elif event.name in ("opening", "move", "yielded"):
             self.events[event.name] += 1
 
     def _look(self, at: float) -> tuple[float, Counter[str], Counter[int]]:
-        lanes: Counter[str] = Counter()
+        job_classes: Counter[str] = Counter()
         used: Counter[int] = Counter()
         for tasks in self.on.values():
             if tasks:
                 used[round(sum(map(self.gpus, tasks)))] += 1
                 for task in tasks:
-                    lanes[self.lane(task)] += round(self.gpus(task))
-        return at, lanes, used
+                    job_classes[self.job_class(task)] += round(self.gpus(task))
+        return at, job_classes, used
 
     def began(self, job: str) -> float | None:
         """Return after how many seconds a job began: an array with one task, else with all."""
@@ -106,12 +106,14 @@
         jobs = [job for job in self.jobs if self.cancelled.get(job, self.last) >= due[job]]
         most: dict[str, int] = defaultdict(int)
         for job in jobs:
-            most[self.lane(job)] = max(most[self.lane(job)], int(self.jobs[job]["tasks"]))
+            most[self.job_class(job)] = max(
+                most[self.job_class(job)], int(self.jobs[job]["tasks"])
+            )
         for job in jobs:
-            groups[f"class {self.lane(job)}"].append(job)
+            groups[f"class {self.job_class(job)}"].append(job)
             groups[f"team {self.jobs[job].get('team', 'unknown')}"].append(job)
-            if int(self.jobs[job]["tasks"]) == most[self.lane(job)]:
-                groups[f"largest {self.lane(job)} ({most[self.lane(job)]})"].append(job)
+            if int(self.jobs[job]["tasks"]) == most[self.job_class(job)]:
+                groups[f"largest {self.job_class(job)} ({most[self.job_class(job)]})"].append(job)
         for name, members in sorted(groups.items()):
             waits = [
                 self.last - self.accepted[job] if (wait := self.began(job)) is None else wait
@@ -137,20 +139,22 @@
             yield f"{name:36} {count:5} {begun:7} {begun / count:6.3f} {longest:9.1f}  {word}"
         yield ""
         yield "class and size of gang     tasks   accepted to bound p50 p90 max (s)"
-        for (lane, size), waits in sorted(self.waits.items()):
-            yield f"{lane:20} {size or '':5} {len(waits):6}   {spread(histogram(waits))}"
+        for (job_class, size), waits in sorted(self.waits.items()):
+            yield f"{job_class:20} {size or '':5} {len(waits):6}   {spread(histogram(waits))}"
         yield "\nGPU seconds by class, and share of all"
         total = sum(self.spent.values()) or 1.0
-        for (lane, what), seconds in sorted(self.spent.items()):
-            yield f"{lane:20} {what:16} {seconds:9.0f}  {seconds / total:6.3f}"
+        for (job_class, what), seconds in sorted(self.spent.items()):
+            yield f"{job_class:20} {what:16} {seconds:9.0f}  {seconds / total:6.3f}"
         yield "\ngave way (tasks): to whom"
-        for (lane, other), count in self.gave_way.most_common():
-            yield f"{lane:20} {other:20} {count:6}"
+        for (job_class, other), count in self.gave_way.most_common():
+            yield f"{job_class:20} {other:20} {count:6}"
         yield "\n" + ", ".join(f"{name}: {count}" for name, count in sorted(self.events.items()))
-        for at, lanes, used in self.rows:
+        for at, job_classes, used in self.rows:
             yield (
                 f"\nat {at:g} s, GPUs bound: "
-                + ", ".join(f"{lane} {count}" for lane, count in sorted(lanes.items()))
+                + ", ".join(
+                    f"{job_class} {count}" for job_class, count in sorted(job_classes.items())
+                )
             )
             yield "machines by GPUs bound: " + ", ".join(
                 f"{gpus}: {count}" for gpus, count in sorted(used.items())
