--- a/oakmux/constants.py
+++ b/oakmux/constants.py
@@ -373,19 +373,19 @@
 PLANS_PER_TICK = 150
 DUE_PER_TICK = 1000
 # Transactions with turns that may be on their way at a time (count).
-TURNS_IN_FLIGHT = 4
+FIRINGS_IN_FLIGHT = 4
 # Rank of a turn's transaction for the state service: with the owners', behind users' changes.
-TURN_RANK = 1
+FIRING_WRITE_PRIORITY = 1
 # Seconds before turns of a shard are tried again after no answer or a refusal, at first.
-TURN_RETRY_S = 0.3
+FIRING_RETRY_S = 0.3
 # Seconds between two looks at whether queued turns can go.
 QUEUED_LOOK_S = 1.0
 # Seconds by which the time of day may differ from the steady clock between two ticks; and for how
 # long no turn is made after a larger step: it may be stepped back at once.
-JUMP_S = 2.0
-JUMP_HOLD_S = 5.0
+CLOCK_STEP_S = 2.0
+CLOCK_STEP_HOLD_S = 5.0
 # Turns that are over at once of which each is noted before the rest is passed over (count).
-MISSED_STEPS = 50
+MISSED_FIRINGS = 50
 # Tries of a request's transaction whose guards failed, before the user is told to come back.
 DESK_TRIES = 6
 # Ids tried for one turn's job (count): more than one only if an older job has the first.
--- a/oakmux/core/controller.py
+++ b/oakmux/core/controller.py
@@ -22,7 +22,7 @@
 log = logging.getLogger("oakmux.core")
 
 
-class SlotOffer(Protocol):
+class Subsystem(Protocol):
     """A subsystem that is switched on: takes commands of its own and has a turn in every tick."""
 
     commands: dict[str, Callable[..., None]]
@@ -39,7 +39,7 @@
         settings: Settings,
         rng: random.Random,
         wall: int,
-        parts: Sequence[Callable[[Context], SlotOffer]] = (),
+        parts: Sequence[Callable[[Context], Subsystem]] = (),
     ) -> None:
         self.context = Context(settings, rng, wall)
         self.context.backfill = BackfillReservations(self.context)
--- a/oakmux/schedules/desk.py
+++ b/oakmux/schedules/api.py
@@ -16,7 +16,9 @@
 from oakmux.core.context import Context, event
 from oakmux.core.state.records import value_bytes, value_limit
 from oakmux.schedules import templates, zones
-from oakmux.schedules.clock import Daytime
+from oakmux.schedules.dispatcher import WallClock
+from oakmux.schedules.firings import Rule, RuleError, cron_rule, mark_at
+from oakmux.schedules.queries import RefusedError, ScheduleQueries
 from oakmux.schedules.records import (
     CATCH_UPS,
     MANUAL,
@@ -34,25 +36,23 @@
     template_key,
     value_of,
 )
-from oakmux.schedules.shows import Refused, Shows
-from oakmux.schedules.turns import BadRule, Rule, cron_rule, mark_at
 
 log = logging.getLogger("oakmux.schedules")
 
 # What an entry, a rule or a template can be refused for, beside the desk's own reasons.
-UNFIT = (BadRule, zones.UnknownZone, templates.BadTemplate)
+UNPROCESSABLE = (RuleError, zones.UnknownZoneError, templates.TemplateError)
 # What a request wants written: guards, writes, the answer's status and body.
 Change = tuple[dict[str, int], list[tuple], int, dict]
 
 
-class JobApi:
+class ScheduleApi:
     """Serves one controller's requests about schedules."""
 
-    def __init__(self, context: Context, store: Store, daytime: Daytime) -> None:
+    def __init__(self, context: Context, store: Store, wall_clock: WallClock) -> None:
         self.context = context
         self.store = store
-        self.daytime = daytime
-        self.shows = Shows(context, store)
+        self.wall_clock = wall_clock
+        self.shows = ScheduleQueries(context, store)
         self.again: list[tuple[float, Callable[[], None]]] = []
         self.operations: dict[str, Callable[[Any, dict], None]] = {
             "template": self._put_template,
@@ -82,11 +82,11 @@
         context = self.context
         serve = self.operations.get(operation)
         if serve is None or not isinstance(args, dict):
-            self._error(rid, Refused(404, "unknown operation"))
+            self._error(rid, RefusedError(404, "unknown operation"))
         elif not context.replica.loaded or context.replica.unknown_format:
-            self._error(rid, Refused(503, "starting"))
+            self._error(rid, RefusedError(503, "starting"))
         elif context.now - context.store_seen_at > constants.STATE_STALE_S:
-            self._error(rid, Refused(503, "no current records"))
+            self._error(rid, RefusedError(503, "no current records"))
         else:
             self._attempt(rid, partial(serve, rid, args))
 
@@ -94,14 +94,14 @@
         """Go on with a request, or tell why it can't be carried out."""
         try:
             run()
-        except Refused as error:
+        except RefusedError as error:
             self._error(rid, error)
-        except UNFIT as error:
-            self._error(rid, Refused(422, str(error)))
+        except UNPROCESSABLE as error:
+            self._error(rid, RefusedError(422, str(error)))
         except (KeyError, TypeError, ValueError, OverflowError, msgspec.ValidationError) as error:
-            self._error(rid, Refused(400, f"bad request: {error!r}"[: constants.NOTE_TEXT]))
+            self._error(rid, RefusedError(400, f"bad request: {error!r}"[: constants.NOTE_TEXT]))
 
-    def _error(self, rid: Any, error: Refused) -> None:
+    def _error(self, rid: Any, error: RefusedError) -> None:
         self.context.emit("answer", rid, error.status, ("error", str(error)))
 
     def tick(self) -> None:
@@ -166,9 +166,9 @@
                     )
                 )
             elif outcome == 400:
-                self._error(rid, Refused(413, "too large for the state service"))
+                self._error(rid, RefusedError(413, "too large for the state service"))
             else:
-                self._error(rid, Refused(503, "not known to be written"))
+                self._error(rid, RefusedError(503, "not known to be written"))
 
         self.context.call(done, "txn", list(guards.items()), writes, 0)
 
@@ -200,7 +200,7 @@
 
     def _need_types(self) -> None:
         if not self.context.types:
-            raise Refused(503, "machine types are not known yet")
+            raise RefusedError(503, "machine types are not known yet")
 
     def _remove_template(self, rid: Any, args: dict) -> None:
         name = str(args["name"])
@@ -208,10 +208,10 @@
 
         def build() -> Change:
             if name not in self.store.templates:
-                raise Refused(404, f"no template {name}")
+                raise RefusedError(404, f"no template {name}")
             users = sorted(self.store.users.get(name, ()))
             if users:
-                raise Refused(
+                raise RefusedError(
                     409,
                     f"{users[0]} uses it"
                     + (f", and {len(users) - 1} more" if len(users) > 1 else ""),
@@ -230,13 +230,13 @@
             int(args.get("jitter_s", 0)),
         )
         if made.overlap not in OVERLAPS:
-            raise Refused(422, f"overlap: one of {', '.join(OVERLAPS)}")
+            raise RefusedError(422, f"overlap: one of {', '.join(OVERLAPS)}")
         if made.catch_up not in CATCH_UPS:
-            raise Refused(422, f"catch_up: one of {', '.join(CATCH_UPS)}")
+            raise RefusedError(422, f"catch_up: one of {', '.join(CATCH_UPS)}")
         if not 0 < made.window_s <= constants.WINDOW_MOST_S:
-            raise Refused(422, f"window_s: 1 to {constants.WINDOW_MOST_S}")
+            raise RefusedError(422, f"window_s: 1 to {constants.WINDOW_MOST_S}")
         if not 0 <= made.jitter_s <= constants.JITTER_MOST_S:
-            raise Refused(422, f"jitter_s: 0 to {constants.JITTER_MOST_S}")
+            raise RefusedError(422, f"jitter_s: 0 to {constants.JITTER_MOST_S}")
         return made
 
     def _made(self, args: dict) -> Entry:
@@ -248,18 +248,20 @@
         else:
             made = msgspec.convert(rule, Rule)
             if made.kind not in ("cron", "calendar"):
-                raise Refused(422, f"unknown kind of rule {made.kind[: constants.LOG_TEXT]!r}")
+                raise RefusedError(
+                    422, f"unknown kind of rule {made.kind[: constants.LOG_TEXT]!r}"
+                )
         zones.zone(made.zone)
         template = str(args["template"])
         if template not in self.store.templates:
-            raise Refused(422, f"no template {template[: constants.LOG_TEXT]}")
+            raise RefusedError(422, f"no template {template[: constants.LOG_TEXT]}")
         if template.partition("/")[0] != name.partition("/")[0]:
-            raise Refused(422, f"{template} is another team's template")
+            raise RefusedError(422, f"{template} is another team's template")
         self._need_types()
         templates.check(self.context, self.store.templates[template])
         until, deadline = int(args.get("until") or 0), args.get("deadline_s")
         if not 0 <= until < 10**11 or deadline is not None and not 0 < deadline < 1e12:
-            raise Refused(422, "until or deadline_s: out of range")
+            raise RefusedError(422, "until or deadline_s: out of range")
         return Entry(
             name,
             made,
@@ -267,7 +269,7 @@
             self._policy(args.get("policy") or {}),
             until,
             bool(args.get("paused")),
-            self.daytime.now_ms(),
+            self.wall_clock.now_ms(),
             deadline_s=None if deadline is None else float(deadline),
             note=str(args.get("note", ""))[: constants.NOTE_TEXT],
             etag=str(args.get("etag", ""))[: constants.ETAG_TEXT],
@@ -277,7 +279,7 @@
 
     def _now_s(self) -> int:
         """Return the time (s) up to which, by any clock here, turns may not have been made."""
-        return (self.daytime.now_ms() - int(self.context.facts.skew_ms)) // 1000
+        return (self.wall_clock.now_ms() - int(self.context.facts.skew_ms)) // 1000
 
     def _fresh_slot(self, entry: Entry, old: Slot | None) -> Slot:
         """Return where turns begin: those before the edit are over or dropped."""
@@ -309,11 +311,11 @@
                 rows.append(
                     {
                         "name": entry.name,
-                        "next": self.shows.turns(entry, mark_at(entry.rule, self._now_s()), 1),
+                        "next": self.shows.firings(entry, mark_at(entry.rule, self._now_s()), 1),
                     }
                 )
-            except (Refused, *UNFIT) as error:
-                if isinstance(error, Refused) and error.status >= 500:
+            except (RefusedError, *UNPROCESSABLE) as error:
+                if isinstance(error, RefusedError) and error.status >= 500:
                     raise
                 rows.append({"name": str(row.get("name")), "error": str(error)})
         self.shows.say(rid, {"entries": rows})
@@ -321,14 +323,14 @@
     def _few(self, rows: list) -> list:
         """Bound what one request computes: the turns of an entry may take milliseconds."""
         if not isinstance(rows, list) or not 0 < len(rows) <= constants.SHOW_TURNS:
-            raise Refused(400, f"entries: 1 to {constants.SHOW_TURNS} in a request")
+            raise RefusedError(400, f"entries: 1 to {constants.SHOW_TURNS} in a request")
         return rows
 
     def _put(self, rid: Any, args: dict) -> None:
         """Store entries; each is whole or not there, and the answer says which were stored."""
         entries = [self._made(row) for row in self._few(args["entries"])]
         if len({entry.name for entry in entries}) < len(entries):
-            raise Refused(422, "two entries of one name")
+            raise RefusedError(422, "two entries of one name")
         # An edit that says nothing of a pause leaves it as it is.
         args["silent"] = {row["name"] for row in args["entries"] if "paused" not in row}
         texts = {entries[0].name: str(args["text"])} if "text" in args and entries else {}
@@ -349,7 +351,7 @@
                 now.append(left[0])
                 return self._replacing(left[0], old, args, texts.get(left[0].name))
             if args.get("if_match"):
-                raise Refused(412, "no such entry")
+                raise RefusedError(412, "no such entry")
             number, room = self._shard(len(left))
             limits = self.context.facts.state.least
             guards = self.store.guards(shard_key(number))
@@ -370,7 +372,7 @@
                 slots[entry.name] = self._fresh_slot(entry, None)
                 now.append(entry)
             if not now:
-                raise Refused(413, "too large for the state service")
+                raise RefusedError(413, "too large for the state service")
             return guards, [self.store.shard_write(number, slots), *writes], 201, {}
 
         def done(_: int, __: dict) -> None:
@@ -394,7 +396,7 @@
         """Refuse one more of what a team or a calendar may have so many of."""
         count = sum(1 for name in names if name.startswith(owner + "/")) + more
         if count >= most:
-            raise Refused(422, f"{owner} has {count} {what}: no more are kept")
+            raise RefusedError(422, f"{owner} has {count} {what}: no more are kept")
 
     def _named(self, what: str, args: dict) -> tuple[str, str]:
         """Return the name of a template or a calendar, TEAM/NAME, and its team."""
@@ -402,7 +404,7 @@
         team, _, rest = name.partition("/")
         self.shows.team(team)
         if not NAME.match(rest):
-            raise Refused(422, f"a {what}'s name is TEAM/NAME")
+            raise RefusedError(422, f"a {what}'s name is TEAM/NAME")
         return name, team
 
     def _one_uid(self, entry: Entry) -> None:
@@ -412,13 +414,13 @@
         calendar = entry.name.rpartition("/")[0] + "/"
         for name, other in self.store.entries.items():
             if other.uid == entry.uid and name != entry.name and name.startswith(calendar):
-                raise Refused(422, f"{name} has this UID")
+                raise RefusedError(422, f"{name} has this UID")
 
     def _sized(self, entry: Entry) -> Any:
         value = value_of(entry)
         size, most = value_bytes(value), value_limit(self.context.facts.state.least)
         if size > most:
-            raise Refused(413, f"{entry.name}: {size} bytes: a record holds {most}")
+            raise RefusedError(413, f"{entry.name}: {size} bytes: a record holds {most}")
         return value
 
     def _parts(self, name: str, text: str) -> list[tuple]:
@@ -434,7 +436,7 @@
             parts.append((part_key(name, len(parts)), rest[:cut], None))
             rest = rest[cut:]
             if len(parts) + 2 > limits.txn_ops:
-                raise Refused(413, "too large for the state service")
+                raise RefusedError(413, "too large for the state service")
         return parts
 
     def _replacing(self, entry: Entry, old: Entry, args: dict, text: str | None) -> Change:
@@ -442,7 +444,7 @@
         store, key = self.store, entry_key(entry.name)
         wanted = args.get("if_match")
         if args.get("if_absent") or wanted and wanted not in (old.etag, "*"):
-            raise Refused(412, f"{entry.name} has changed" if wanted else "it exists")
+            raise RefusedError(412, f"{entry.name} has changed" if wanted else "it exists")
         self._one_uid(entry)
         if entry.name in args["silent"]:
             entry = msgspec.structs.replace(entry, paused=old.paused)
@@ -484,7 +486,7 @@
             entry, _ = self.shows.entry(args)
             wanted = args.get("if_match")
             if wanted and wanted not in (entry.etag, "*"):
-                raise Refused(412, f"{entry.name} has changed")
+                raise RefusedError(412, f"{entry.name} has changed")
             key = entry_key(entry.name)
             guards = self.store.guards(key)
             writes: list[tuple] = [
@@ -529,31 +531,33 @@
         said: dict[str, Any] = {}
         word = str(args["word"])
         if not NAME.match(word) or len(word) > constants.WORD_TEXT:
-            raise Refused(400, "word: up to 16 letters and digits")
+            raise RefusedError(400, "word: up to 16 letters and digits")
 
         def build() -> Change:
             entry, slot = self.shows.entry(args)
             template = self.store.templates.get(entry.template)
             refusal = templates.refusal(self.context, template)
             if refusal is not None or template is None:
-                raise Refused(422, refusal or "no template")
-            turn = f"hand:{word}"
-            now_ms = self.daytime.now_ms()
-            ids, guards, writes = templates.submission(entry, template, turn, now_ms)
+                raise RefusedError(422, refusal or "no template")
+            firing = f"hand:{word}"
+            now_ms = self.wall_clock.now_ms()
+            ids, guards, writes = templates.submission(entry, template, firing, now_ms)
             body = {"name": entry.name, "jobs": ids}
             if ids[0] in self.context.replica.jobs:
                 return {}, [], 200, body
             if templates.early(self.context, template):
-                raise Refused(503, "an upgrade is under way: waits_on can't be recorded yet")
+                raise RefusedError(503, "an upgrade is under way: waits_on can't be recorded yet")
             guards.update(self.store.guards(entry_key(entry.name), template_key(entry.template)))
             self._with_slot(
                 guards,
                 writes,
                 entry.shard,
                 entry.name,
-                slot.noted(slot.mark, slot.pending, now_ms // 1000, MANUAL, note=turn),
+                slot.noted(slot.mark, slot.pending, now_ms // 1000, MANUAL, note=firing),
+            )
+            said.update(
+                name="turn", entry=entry.name, firing=firing, jobs=",".join(ids), by="hand"
             )
-            said.update(name="turn", entry=entry.name, turn=turn, jobs=",".join(ids), by="hand")
             return guards, writes, 201, body
 
         self._write(rid, build, said=said)
@@ -569,12 +573,12 @@
         )
         zones.zone(made.zone)
         if made.template and made.template not in self.store.templates:
-            raise Refused(422, f"no template {made.template}")
+            raise RefusedError(422, f"no template {made.template}")
         key = calendar_key(name)
 
         def build() -> Change:
             if args.get("if_absent") and name in self.store.calendars:
-                raise Refused(405, "it exists")
+                raise RefusedError(405, "it exists")
             if name not in self.store.calendars:
                 self._bound(team, "calendars", self.store.calendars, constants.TEAM_CALENDARS)
             return (self.store.guards(key), [(key, value_of(made), None)], 201, {"name": name})
@@ -587,9 +591,9 @@
 
         def build() -> Change:
             if name not in self.store.calendars:
-                raise Refused(404, f"no calendar {name}")
+                raise RefusedError(404, f"no calendar {name}")
             if any(entry.startswith(name + "/") for entry in self.store.entries):
-                raise Refused(409, "it has entries: remove them first")
+                raise RefusedError(409, "it has entries: remove them first")
             return self.store.guards(key), [(key,)], 200, {"removed": name}
 
         self._write(rid, build)
--- a/oakmux/schedules/calendars.py
+++ b/oakmux/schedules/calendars.py
@@ -8,7 +8,7 @@
 
 from oakmux import constants
 from oakmux.schedules import zones
-from oakmux.schedules.turns import BadRule, Rule, check_recurrence
+from oakmux.schedules.firings import Rule, RuleError, check_recurrence
 
 KEPT = ("VEVENT", "VTODO")
 POLICY = {
@@ -48,7 +48,7 @@
         if parsed.name != "VCALENDAR":
             raise BadCalendar("not a VCALENDAR")
         return _object(parsed, components, zone)
-    except (BadCalendar, BadRule, zones.UnknownZone) as error:
+    except (BadCalendar, RuleError, zones.UnknownZoneError) as error:
         raise BadCalendar(str(error)) from None
     except Exception as error:  # the parser's and its values' errors are of many kinds
         raise BadCalendar(f"not iCalendar: {error!r}"[: constants.NOTE_TEXT]) from None
@@ -106,7 +106,7 @@
         try:
             zones.zone(tried)
             return tried
-        except zones.UnknownZone:
+        except zones.UnknownZoneError:
             continue
     raise BadCalendar(f"TZID {name[: constants.LOG_TEXT]!r}: only zones of the tz database")
 
--- a/oakmux/schedules/commands.py
+++ b/oakmux/schedules/commands.py
@@ -273,7 +273,7 @@
         zones = need("zones")
         try:
             entry["until"] = zones.instant(wall(until), zone)
-        except zones.UnknownZone as error:
+        except zones.UnknownZoneError as error:
             fail(str(error), EXIT_BAD)
     answer = call(context, "put", entries=[entry])
     upcoming = call(context, "next", name=name, count=1)["turns"]
@@ -406,7 +406,7 @@
     zones, crontab = need("zones"), need("crontab")
     try:
         zones.zone(zone)
-    except zones.UnknownZone as error:
+    except zones.UnknownZoneError as error:
         fail(str(error), EXIT_BAD)
     lines, bad = crontab.parse(text, zone, system)
     return (
@@ -660,7 +660,7 @@
     result = year.replay(entries, days, seed, zones.instant(wall(start), "UTC"))
     text = [
         f"{result.entries} entries, {days} days from {start}, seed {seed}: "
-        f"{result.turns} turns, {result.made} made, {result.skipped} skipped since the one "
+        f"{result.firings} turns, {result.made} made, {result.skipped} skipped since the one "
         f"before ran; {result.seconds:.0f} s",
         "troubles: " + ", ".join(f"{n} {name}" for name, n in result.troubles.items()),
         "late (ms): " + ", ".join(f"{name} {value:.0f}" for name, value in result.late_ms.items()),
--- a/oakmux/schedules/crontab.py
+++ b/oakmux/schedules/crontab.py
@@ -1,6 +1,6 @@
 """Cron tables: a file's text becomes lines with a rule each, or errors with line and column.
 
-The grammar is in `crontab.lark`; what fields may hold, which turns they mean, is `turns`' to say.
+The grammar is in `crontab.lark`; `firings` checks what the fields hold and when they fire.
 """
 
 import re
@@ -13,8 +13,8 @@
 from lark.exceptions import UnexpectedInput, UnexpectedToken
 
 from oakmux import constants
-from oakmux.schedules.turns import BadRule, Rule, cron_rule
-from oakmux.schedules.zones import UnknownZone, zone
+from oakmux.schedules.firings import Rule, RuleError, cron_rule
+from oakmux.schedules.zones import UnknownZoneError, zone
 
 FIELDS = (
     ("minute", 0, 59),
@@ -168,7 +168,7 @@
     if name in ZONE_NAMES and text:
         try:
             zone(text.removeprefix(":"))
-        except UnknownZone as error:
+        except UnknownZoneError as error:
             column = value.column if isinstance(value, Token) and value.column else 1
             raise _Bad(column, str(error)) from None
         text = text.removeprefix(":")
@@ -202,7 +202,7 @@
         assert isinstance(first, Token)
         try:
             return cron_rule(str(first), zone_name)
-        except BadRule as error:
+        except RuleError as error:
             raise _Bad(
                 first.column or 1,
                 f"{first}: {error}".removeprefix(f"{first}: {first}: ")
@@ -215,7 +215,7 @@
         parts.append(_field(field, name, low, high))
     try:
         return cron_rule(" ".join(parts), zone_name)
-    except BadRule as error:
+    except RuleError as error:
         raise _Bad(_first(tree), str(error)) from None
 
 
--- a/oakmux/schedules/dav/tokens.py
+++ b/oakmux/schedules/dav/tokens.py
@@ -13,7 +13,7 @@
 from oakmux import constants
 
 
-class BadTokens(ValueError):
+class TokenFileError(ValueError):
     """A file of tokens that can't be used; the text says which line and why."""
 
 
@@ -71,7 +71,7 @@
     try:
         lines = Path(path).read_text(encoding="utf-8").splitlines()
     except (OSError, UnicodeDecodeError) as error:
-        raise BadTokens(f"tokens: {error}") from None
+        raise TokenFileError(f"tokens: {error}") from None
     rows = []
     for number, line in enumerate(lines, 1):
         fields = line.split("#")[0].split()
@@ -81,8 +81,8 @@
             team, salt, hashed = fields
             row = (team, bytes.fromhex(salt), bytes.fromhex(hashed))
         except ValueError:
-            raise BadTokens(f"tokens: {path}, line {number}: not TEAM SALT HASH") from None
+            raise TokenFileError(f"tokens: {path}, line {number}: not TEAM SALT HASH") from None
         if len(row[1]) != constants.SALT_BYTES or len(row[2]) != 64:
-            raise BadTokens(f"tokens: {path}, line {number}: not a hash made by oakmux")
+            raise TokenFileError(f"tokens: {path}, line {number}: not a hash made by oakmux")
         rows.append(row)
     return Tokens(rows)
--- a/oakmux/schedules/clock.py
+++ b/oakmux/schedules/dispatcher.py
@@ -18,58 +18,58 @@
 from oakmux.core.context import Context, event
 from oakmux.core.state.records import job_key, job_value, role_key
 from oakmux.schedules import policy, records, templates
+from oakmux.schedules.firings import Firing, firings, mark_at
 from oakmux.schedules.records import Entry, Slot, Store
-from oakmux.schedules.turns import Turn, mark_at, turns
 
-CLOCK = "#clock"
+CLOCK_ROLE = "#clock"
 
 
-class Daytime:
+class WallClock:
     """The time of day, from what the machine's clock said last and the steady clock since."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
-        self.said: tuple[int, float] | None = None
+        self.synchronized: tuple[int, float] | None = None
         self.hold_until = 0.0
 
-    def say(self, ms: int) -> None:
+    def synchronize(self, ms: int) -> None:
         """Take the machine's clock (ms since 1970); a step holds up turns for a moment."""
-        if self.said is not None:
+        if self.synchronized is not None:
             step = ms - self.now_ms()
-            if abs(step) > constants.JUMP_S * 1000:
-                self.hold_until = self.context.now + constants.JUMP_HOLD_S
-                event("clock_jump", step_ms=step)
-        self.said = (ms, self.context.now)
+            if abs(step) > constants.CLOCK_STEP_S * 1000:
+                self.hold_until = self.context.now + constants.CLOCK_STEP_HOLD_S
+                event("clock_step", step_ms=step)
+        self.synchronized = (ms, self.context.now)
 
     def now_ms(self) -> int:
         """Return the time of day (ms since 1970)."""
-        if self.said is None:
+        if self.synchronized is None:
             return self.context.wall + int(self.context.now * 1000)
-        return self.said[0] + int((self.context.now - self.said[1]) * 1000)
+        return self.synchronized[0] + int((self.context.now - self.synchronized[1]) * 1000)
 
     @property
-    def steady(self) -> bool:
+    def is_steady(self) -> bool:
         """Whether the clock is known and was not just stepped."""
-        return self.said is not None and self.context.now >= self.hold_until
+        return self.synchronized is not None and self.context.now >= self.hold_until
 
 
-class Plan:
+class FiringPlan:
     """The turns of one entry that are to come, the next of them at hand."""
 
-    __slots__ = ("entry", "slot", "run", "turn", "ahead", "tries", "rank")
+    __slots__ = ("entry", "slot", "run", "firing", "ahead", "tries", "urgency")
 
     def __init__(self, entry: Entry, slot: Slot) -> None:
         self.entry = entry
         self.slot = slot
-        self.run: Iterator[Turn] = turns(entry.rule, slot.mark)
+        self.run: Iterator[Firing] = firings(entry.rule, slot.mark)
         if entry.until:
-            self.run = takewhile(lambda turn: turn.at <= entry.until, self.run)
-        self.turn = next(self.run, None)
-        self.ahead: list[Turn | None] = []
+            self.run = takewhile(lambda firing: firing.at <= entry.until, self.run)
+        self.firing = next(self.run, None)
+        self.ahead: list[Firing | None] = []
         self.tries = 0
-        self.rank: tuple = ()
+        self.urgency: tuple = ()
 
-    def later(self) -> Turn | None:
+    def later(self) -> Firing | None:
         """Return the turn after the next."""
         if not self.ahead:
             self.ahead.append(next(self.run, None))
@@ -78,15 +78,15 @@
     def advance(self, slot: Slot) -> None:
         """Go on to the turn after one that is decided."""
         self.slot = slot
-        self.turn = self.ahead.pop() if self.ahead else next(self.run, None)
+        self.firing = self.ahead.pop() if self.ahead else next(self.run, None)
         self.tries = 0
 
 
-class Due:
+class DueFirings:
     """Plans with turns that are over, by shard; each shard's most urgent is known."""
 
     def __init__(self) -> None:
-        self.shards: dict[int, dict[str, Plan]] = {}
+        self.shards: dict[int, dict[str, FiringPlan]] = {}
         self.where: dict[str, int] = {}
         self._best: dict[int, tuple] = {}
 
@@ -94,7 +94,7 @@
         """Whether there is any."""
         return bool(self.where)
 
-    def put(self, plan: Plan) -> None:
+    def put(self, plan: FiringPlan) -> None:
         """Add a plan, or the same entry's newer one."""
         name, number = plan.entry.name, plan.entry.shard
         self.pop(name)
@@ -112,15 +112,15 @@
                 del self.shards[number]
             self._best.pop(number, None)
 
-    def of(self, number: int) -> list[Plan]:
+    def of(self, number: int) -> list[FiringPlan]:
         """Return a shard's plans, the most urgent first."""
-        return sorted(self.shards.get(number, {}).values(), key=lambda plan: plan.rank)
+        return sorted(self.shards.get(number, {}).values(), key=lambda plan: plan.urgency)
 
     def best(self) -> dict[int, tuple]:
         """Return the rank of each shard's most urgent plan."""
         for number, plans in self.shards.items():
             if number not in self._best:
-                self._best[number] = min(plan.rank for plan in plans.values())
+                self._best[number] = min(plan.urgency for plan in plans.values())
         return self._best
 
     def clear(self) -> None:
@@ -130,7 +130,7 @@
         self._best.clear()
 
 
-class Batch:
+class FiringBatch:
     """Turns of one shard that are written together."""
 
     def __init__(self, shard: int) -> None:
@@ -138,65 +138,65 @@
         self.guards: dict[str, int] = {}
         self.writes: list[tuple] = []
         self.slots: dict[str, Slot] = {}
-        self.said: list[dict[str, Any]] = []
+        self.logged: list[dict[str, Any]] = []
         self.owners: dict[str, str] = {}  # ids of jobs that may be found taken, and whose they are
 
 
-class Clock:
+class FiringDispatcher:
     """Makes the turns of all entries while the role is ours."""
 
-    def __init__(self, context: Context, store: Store, daytime: Daytime) -> None:
+    def __init__(self, context: Context, store: Store, wall_clock: WallClock) -> None:
         self.context = context
         self.store = store
-        self.daytime = daytime
+        self.wall_clock = wall_clock
         self.held = 0  # the version of the role that the plans were made under
-        self.plans: dict[str, Plan] = {}
+        self.plans: dict[str, FiringPlan] = {}
         self.heap: list[tuple[int, str, int]] = []
-        self.due = Due()
+        self.due = DueFirings()
         self.queued: set[str] = set()
         self.to_plan: deque[str] = deque()
         self.in_plan: set[str] = set()
-        self.flying: set[int] = set()
-        self.not_before: dict[int, float] = {}
+        self.shards_in_flight: set[int] = set()
+        self.retry_at: dict[int, float] = {}
         self.failed: dict[int, int] = {}  # times in a row that a shard could not be written
         self.next_look = 0.0
-        self.served = 0
-        self.tried: dict[str, int] = {}
+        self.dispatched = 0
+        self.id_attempts: dict[str, int] = {}
 
     def tick(self) -> None:
         """Do what is due; at most so much that other work goes on."""
-        mod_revision = self.context.held_roles.get(CLOCK, 0)
+        mod_revision = self.context.held_roles.get(CLOCK_ROLE, 0)
         if mod_revision != self.held:
-            self._taken(mod_revision)
+            self._on_role_changed(mod_revision)
         if not mod_revision:
             self.store.changed.clear()
             return
-        self._again(self.store.changed)
+        self._replan(self.store.changed)
         self.store.changed.clear()
         self._plan()
         # Without news from the state service nothing can be written, and what runs is not known.
         if (
-            not self.daytime.steady
+            not self.wall_clock.is_steady
             or self.context.now - self.context.store_seen_at > constants.STATE_STALE_S
         ):
             return
-        now_ms = self.daytime.now_ms()
+        now_ms = self.wall_clock.now_ms()
         for _ in range(constants.DUE_PER_TICK):
             if not self.heap or self.heap[0][0] > now_ms:
                 break
             _, name, serial = heapq.heappop(self.heap)
             plan = self.plans.get(name)
             if plan is not None and id(plan) == serial:
-                self._now_due(plan)
+                self._mark_due(plan)
         if self.context.now >= self.next_look:
             self.next_look = self.context.now + constants.QUEUED_LOOK_S
             for name in sorted(self.queued):
                 plan = self.plans.get(name)
-                if plan is not None and not self.busy(plan.entry, plan.slot):
-                    self._now_due(plan)
+                if plan is not None and not self.has_unfinished_jobs(plan.entry, plan.slot):
+                    self._mark_due(plan)
         self._write(now_ms)
 
-    def _taken(self, mod_revision: int) -> None:
+    def _on_role_changed(self, mod_revision: int) -> None:
         """The role came or went: what was planned under it is void."""
         self.held = mod_revision
         for held in (
@@ -206,19 +206,19 @@
             self.queued,
             self.to_plan,
             self.in_plan,
-            self.flying,
-            self.not_before,
+            self.shards_in_flight,
+            self.retry_at,
             self.failed,
-            self.tried,
+            self.id_attempts,
         ):
             held.clear()
         if mod_revision:
-            event("clock_taken", entries=len(self.store.entries))
-            self._again(set(self.store.entries))
+            event("clock_acquired", entries=len(self.store.entries))
+            self._replan(set(self.store.entries))
 
     # --- planning ---
 
-    def _again(self, names: set[str]) -> None:
+    def _replan(self, names: set[str]) -> None:
         """Plan entries anew."""
         for name in names:
             self.plans.pop(name, None)
@@ -236,37 +236,37 @@
             if entry is None or slot is None or entry.paused:
                 continue
             try:
-                plan = Plan(entry, slot)
+                plan = FiringPlan(entry, slot)
             except Exception as error:  # one rule that fails must not hold up all others
-                event("turns_failed", entry=name, why=repr(error)[: constants.LOG_TEXT])
+                event("firing_failed", entry=name, why=repr(error)[: constants.LOG_TEXT])
                 continue
-            plan.tries = self.tried.get(name, 0)
+            plan.tries = self.id_attempts.get(name, 0)
             self.plans[name] = plan
             if slot.pending:
                 self.queued.add(name)
-            self._arm(plan)
+            self._schedule_next(plan)
 
-    def _arm(self, plan: Plan) -> None:
+    def _schedule_next(self, plan: FiringPlan) -> None:
         """Wait for a plan's next turn.
 
         A turn is made once our clock says that it is past by all that the clocks of this place
         may differ: none is early by the true time, even if ours is ahead by so much.
         """
-        if plan.turn is not None:
+        if plan.firing is not None:
             heapq.heappush(
-                self.heap, (self._due_ms(plan.entry, plan.turn), plan.entry.name, id(plan))
+                self.heap, (self._due_ms(plan.entry, plan.firing), plan.entry.name, id(plan))
             )
 
-    def _due_ms(self, entry: Entry, turn: Turn) -> int:
-        return policy.planned_ms(entry, turn) + math.ceil(self.context.facts.skew_ms)
+    def _due_ms(self, entry: Entry, firing: Firing) -> int:
+        return policy.planned_ms(entry, firing) + math.ceil(self.context.facts.skew_ms)
 
     # --- writing ---
 
-    def busy(self, entry: Entry, slot: Slot) -> bool:
+    def has_unfinished_jobs(self, entry: Entry, slot: Slot) -> bool:
         """Whether jobs of an earlier turn that we know of are unfinished."""
-        return any(not job.final for job in self.live(entry, slot))
+        return any(not job.final for job in self.known_jobs(entry, slot))
 
-    def live(self, entry: Entry, slot: Slot) -> list[Any]:
+    def known_jobs(self, entry: Entry, slot: Slot) -> list[Any]:
         """Return the jobs of the turns that the slot still knows."""
         jobs, steps = self.context.replica.jobs, self.store.steps(entry)
         return [
@@ -278,30 +278,31 @@
 
     def _write(self, now_ms: int) -> None:
         """Write what is due, shard by shard, the most urgent first."""
-        most = constants.TURNS_IN_FLIGHT - len(self.flying)
+        most = constants.FIRINGS_IN_FLIGHT - len(self.shards_in_flight)
         if most <= 0 or not self.due:
             return
         waiting = [
             (best, number)
             for number, best in self.due.best().items()
-            if number not in self.flying and self.not_before.get(number, 0) <= self.context.now
+            if number not in self.shards_in_flight
+            and self.retry_at.get(number, 0) <= self.context.now
         ]
         if not waiting:
             return
         first = min(waiting)[0][0]
         # While more shards have turns of the highest priority than can be written now, no others
         # go with them: five hundred urgent turns among five thousand went within 32 s, not 10 s.
-        alone = sum(1 for best, _ in waiting if best[0] == first) > most
+        only_most_urgent = sum(1 for best, _ in waiting if best[0] == first) > most
         for _, number in heapq.nsmallest(most, waiting):
-            batch = Batch(number)
+            batch = FiringBatch(number)
             for plan in self.due.of(number):
-                if alone and plan.rank[0] != first:
+                if only_most_urgent and plan.urgency[0] != first:
                     break
                 try:
-                    more = self._take(batch, plan, now_ms)
+                    more = self._add_firings(batch, plan, now_ms)
                 except Exception as error:  # as above: the others go on
                     event(
-                        "turns_failed",
+                        "firing_failed",
                         entry=plan.entry.name,
                         why=repr(error)[: constants.LOG_TEXT],
                     )
@@ -312,19 +313,19 @@
             if batch.slots:
                 self._send(batch)
 
-    def _now_due(self, plan: Plan) -> None:
-        plan.rank = self._rank(plan)
+    def _mark_due(self, plan: FiringPlan) -> None:
+        plan.urgency = self._urgency(plan)
         self.due.put(plan)
 
-    def _rank(self, plan: Plan) -> tuple:
+    def _urgency(self, plan: FiringPlan) -> tuple:
         """Return what orders turns that are due together: priority, deadline, turn."""
         template = self.store.templates.get(plan.entry.template)
         priority = 0 if template is None else max(s.spec.priority for s in template.steps)
-        at = plan.turn.at if plan.turn is not None else plan.slot.pending
+        at = plan.firing.at if plan.firing is not None else plan.slot.pending
         limit = math.inf if plan.entry.deadline_s is None else at + plan.entry.deadline_s
         return -priority, limit, at
 
-    def _take(self, batch: Batch, plan: Plan, now_ms: int) -> bool:
+    def _add_firings(self, batch: FiringBatch, plan: FiringPlan, now_ms: int) -> bool:
         """Add the turns of an entry that are over; False once the transaction is full."""
         entry = plan.entry
         slot = plan.slot
@@ -336,21 +337,21 @@
             heapq.heappush(self.heap, (now_ms + 1000, entry.name, id(plan)))
             return True
         while True:
-            turn, waits = plan.turn, slot.pending
-            if waits and not self.busy(entry, slot):
+            firing, waits = plan.firing, slot.pending
+            if waits and not self.has_unfinished_jobs(entry, slot):
                 made = policy.release(slot, plan.tries)
-                at, turn = waits, None
-            elif turn is not None and self._due_ms(entry, turn) <= now_ms:
+                at, firing = waits, None
+            elif firing is not None and self._due_ms(entry, firing) <= now_ms:
                 made = policy.decide(
                     entry,
                     slot,
-                    turn,
+                    firing,
                     plan.later,
                     now_ms,
-                    partial(self.busy, entry, slot),
+                    partial(self.has_unfinished_jobs, entry, slot),
                     plan.tries,
                 )
-                at = turn.at
+                at = firing.at
             else:
                 self.due.pop(entry.name)
                 return True
@@ -365,12 +366,12 @@
                     ),
                     False,
                 )
-            if not self._fits(batch, plan, made, at, now_ms):
+            if not self._add_jobs(batch, plan, made, at, now_ms):
                 return False
             slot = made.slot
             batch.slots[entry.name] = slot
             batch.guards.update(self.store.guards(records.entry_key(entry.name)))
-            if turn is not None:
+            if firing is not None:
                 plan.advance(slot)
                 if slot.rows[-1][1] == records.MISSED:
                     self._skip_missed(plan, now_ms)
@@ -383,28 +384,30 @@
                 # Turns after this one are decided once its job is in the records.
                 return True
 
-    def _skip_missed(self, plan: Plan, now_ms: int) -> None:
+    def _skip_missed(self, plan: FiringPlan, now_ms: int) -> None:
         """Pass over turns that are long missed: each is counted, but not gone through for ever."""
         count = 0
-        while plan.turn is not None and policy.expired(plan.entry, plan.turn, now_ms):
+        while plan.firing is not None and policy.expired(plan.entry, plan.firing, now_ms):
             count += 1
             slot = plan.slot
             at, outcome, tries, _ = slot.rows[-1]
             row = (at, outcome, tries, f"and {count} more")
-            mark = plan.turn.mark
-            if count >= constants.MISSED_STEPS:
+            mark = plan.firing.mark
+            if count >= constants.MISSED_FIRINGS:
                 row = (at, outcome, tries, f"and over {count} more")
                 since = (now_ms - policy.jitter_ms(plan.entry)) // 1000 - 1
                 mark = max(mark, mark_at(plan.entry.rule, since - policy.window_s(plan.entry)))
             slot = Slot(slot.name, mark, slot.pending, [*slot.rows[:-1], row])
-            if count < constants.MISSED_STEPS:
+            if count < constants.MISSED_FIRINGS:
                 plan.advance(slot)
                 continue
-            again = Plan(plan.entry, slot)
-            plan.slot, plan.run, plan.turn, plan.ahead = slot, again.run, again.turn, []
+            again = FiringPlan(plan.entry, slot)
+            plan.slot, plan.run, plan.firing, plan.ahead = slot, again.run, again.firing, []
             return
 
-    def _fits(self, batch: Batch, plan: Plan, made: policy.Decision, at: int, now_ms: int) -> bool:
+    def _add_jobs(
+        self, batch: FiringBatch, plan: FiringPlan, made: policy.Decision, at: int, now_ms: int
+    ) -> bool:
         """Add the jobs of a decision if there is room in the transaction."""
         limits = self.context.facts.state.least
         if not made.make:
@@ -413,7 +416,7 @@
         template = store.templates[entry.template]
         ids, guards, writes = templates.submission(entry, template, str(at), now_ms, plan.tries)
         if made.replace:
-            for job in self.live(entry, plan.slot):
+            for job in self.known_jobs(entry, plan.slot):
                 if not job.final and job.ready and job.spec is not None:
                     writes.append(
                         (
@@ -432,7 +435,7 @@
         batch.guards.update({key: guards[key] for key, *_ in writes})
         batch.guards.update(store.guards(records.template_key(entry.template)))
         batch.owners.update(dict.fromkeys(ids, entry.name))
-        batch.said.append(
+        batch.logged.append(
             {
                 "entry": entry.name,
                 "turn": at,
@@ -443,23 +446,23 @@
         )
         return True
 
-    def _send(self, batch: Batch) -> None:
+    def _send(self, batch: FiringBatch) -> None:
         number = batch.shard
         write = self.store.shard_write(number, batch.slots)
-        guards = {role_key(CLOCK): self.held, **self.store.guards(write[0]), **batch.guards}
-        self.flying.add(number)
+        guards = {role_key(CLOCK_ROLE): self.held, **self.store.guards(write[0]), **batch.guards}
+        self.shards_in_flight.add(number)
         held = self.held
         self.context.call(
             lambda s, r: self._sent(batch, write[1], held, s, r),
             "txn",
             list(guards.items()),
             [write, *batch.writes],
-            constants.TURN_RANK,
+            constants.FIRING_WRITE_PRIORITY,
         )
 
-    def _sent(self, batch: Batch, value: list, held: int, status: int, result: Any) -> None:
+    def _sent(self, batch: FiringBatch, value: list, held: int, status: int, result: Any) -> None:
         if held == self.held:
-            self.flying.discard(batch.shard)
+            self.shards_in_flight.discard(batch.shard)
         if status != 200:
             if held == self.held:
                 self._failed(batch, status, result)
@@ -468,9 +471,9 @@
         replica, store = self.context.replica, self.store
         for key, row, _ in batch.writes:
             replica.apply(key, row, result[0])
-        for said in batch.said:
-            event("turn", **said)
-            self.served += 1
+        for logged in batch.logged:
+            event("firing", **logged)
+            self.dispatched += 1
         fresh = set(batch.slots) - store.changed
         store.apply(f"m/{batch.shard}", value, result[0])
         if held != self.held:
@@ -480,39 +483,39 @@
             if plan is None or plan.slot != batch.slots[name]:
                 continue
             store.changed.discard(name)
-            self.tried.pop(name, None)
+            self.id_attempts.pop(name, None)
             self.due.pop(name)
             (self.queued.add if plan.slot.pending else self.queued.discard)(name)
-            self._arm(plan)
-        if batch.said and not self.due:
+            self._schedule_next(plan)
+        if batch.logged and not self.due:
             event(
-                "turns_served",
-                count=self.served,
-                last=batch.said[-1]["entry"],
-                late_ms=batch.said[-1]["late_ms"],
+                "firings_dispatched",
+                count=self.dispatched,
+                last=batch.logged[-1]["entry"],
+                late_ms=batch.logged[-1]["late_ms"],
             )
 
-    def _failed(self, batch: Batch, status: int, result: Any) -> None:
+    def _failed(self, batch: FiringBatch, status: int, result: Any) -> None:
         """Try turns again later. 409: the watch brings what was in the way. No answer: they may
         still be written late; then what we try again fails on the shard's version."""
         failures = self.failed.get(batch.shard, 0)
-        pause = min(constants.BACKOFF_MOST_S, constants.TURN_RETRY_S * 2**failures)
+        pause = min(constants.BACKOFF_MOST_S, constants.FIRING_RETRY_S * 2**failures)
         self.failed[batch.shard] = min(failures + 1, 10)
         if status == 400:
-            event("turns_refused", shard=batch.shard, jobs=len(batch.writes))
+            event("firings_refused", shard=batch.shard, jobs=len(batch.writes))
             pause = constants.RETRY_MOST_S
-        self.not_before[batch.shard] = self.context.now + pause
+        self.retry_at[batch.shard] = self.context.now + pause
         if status == 409 and result is not None:
-            self._taken_ids(batch, result)
-        self._again(set(batch.slots))
+            self._resolve_id_conflicts(batch, result)
+        self._replan(set(batch.slots))
 
-    def _taken_ids(self, batch: Batch, result: Any) -> None:
+    def _resolve_id_conflicts(self, batch: FiringBatch, result: Any) -> None:
         """Another job has the id of one of ours, from before such ids were reserved."""
         failed = set(result[1])
-        if {records.shard_key(batch.shard), role_key(CLOCK)} & failed:
+        if {records.shard_key(batch.shard), role_key(CLOCK_ROLE)} & failed:
             return  # perhaps it is our own that was written without our hearing of it
         for name, owner in batch.owners.items():
             if job_key(name) in failed:
-                tries = min(self.tried.get(owner, 0) + 1, constants.ID_TRIES)
-                self.tried[owner] = tries
-                event("id_taken", job=name, entry=owner, tries=tries)
+                tries = min(self.id_attempts.get(owner, 0) + 1, constants.ID_TRIES)
+                self.id_attempts[owner] = tries
+                event("job_id_conflict", job=name, entry=owner, tries=tries)
--- a/oakmux/schedules/turns.py
+++ b/oakmux/schedules/firings.py
@@ -36,7 +36,7 @@
 RULE_PART = re.compile(r"([A-Z]+)=([A-Z0-9+,:-]+)\Z")
 
 
-class BadRule(ValueError):
+class RuleError(ValueError):
     """A rule that can't be kept; the text says why."""
 
 
@@ -56,7 +56,7 @@
     moved: tuple[tuple[int, int | None], ...] = ()
 
 
-class Turn(NamedTuple):
+class Firing(NamedTuple):
     """One turn: what orders it, when it is (s, UTC), and what a change of clocks did to it."""
 
     mark: int
@@ -68,17 +68,17 @@
     """Return the rule of a cron expression or alias; raises BadRule."""
     fields = ALIASES.get(text.strip().lower(), text).split()
     if fields == ["@reboot"]:
-        raise BadRule("@reboot: nothing is booted here; submit a job instead")
+        raise RuleError("@reboot: nothing is booted here; submit a job instead")
     if len(fields) != 5:
-        raise BadRule(f"five fields are needed, not {len(fields)}")
+        raise RuleError(f"five fields are needed, not {len(fields)}")
     # A range of one value with a step, like 0-0/2 among days of the week, is read as an open one.
     made = Rule("cron", zone, " ".join(ONE.sub(r"\1", field) for field in fields))
     try:
-        next(turns(made, 0))
+        next(firings(made, 0))
     except CronSimError as error:
-        raise BadRule(str(error)) from None
+        raise RuleError(str(error)) from None
     except StopIteration:
-        raise BadRule("no such day ever comes") from None
+        raise RuleError("no such day ever comes") from None
     return made
 
 
@@ -92,7 +92,7 @@
     return at if by_instant(rule) else zones.reached(at, rule.zone)
 
 
-def turns(rule: Rule, after: int, explain: bool = False) -> Iterator[Turn]:
+def firings(rule: Rule, after: int, explain: bool = False) -> Iterator[Firing]:
     """Yield the turns whose mark is above `after`, in order.
 
     What a change of clocks did to one is told only if asked for: it takes as long as the turn.
@@ -102,7 +102,7 @@
     return _calendar(rule, after, explain)
 
 
-def _cron(rule: Rule, after: int, explain: bool) -> Iterator[Turn]:
+def _cron(rule: Rule, after: int, explain: bool) -> Iterator[Firing]:
     """Yield the turns of an expression: the library counts on the clock's face alone.
 
     What a change of clocks does is decided here: given a zone, the library lost a star's turn
@@ -111,7 +111,7 @@
     return _stars(rule, after, explain) if by_instant(rule) else _fixed(rule, after, explain)
 
 
-def _fixed(rule: Rule, after: int, explain: bool) -> Iterator[Turn]:
+def _fixed(rule: Rule, after: int, explain: bool) -> Iterator[Firing]:
     last = after
     for moment in CronSim(rule.text, zones.from_wall(after)):
         wall = zones.as_wall(moment)
@@ -125,14 +125,14 @@
             why = FIRST_COUNTS
         if mark > last:
             last = mark
-            yield Turn(mark, at, why)
+            yield Firing(mark, at, why)
 
 
-def _stars(rule: Rule, after: int, explain: bool) -> Iterator[Turn]:
+def _stars(rule: Rule, after: int, explain: bool) -> Iterator[Firing]:
     start = zones.as_wall(zones.local(after, rule.zone))
     if zones.change_near(after, rule.zone):
         start -= int(constants.FOLD_MOST_S)
-    held: list[Turn] = []  # second showings come after first ones of later wall times
+    held: list[Firing] = []  # second showings come after first ones of later wall times
     twice = "clocks show this hour twice: so often runs in both" if explain else ""
     for moment in CronSim(rule.text, zones.from_wall(start)):
         wall = zones.as_wall(moment)
@@ -143,7 +143,7 @@
             yield heapq.heappop(held)
         for at in sorted({first, second}):
             if at > after:
-                heapq.heappush(held, Turn(at, at, twice if first != second else ""))
+                heapq.heappush(held, Firing(at, at, twice if first != second else ""))
     while held:
         yield heapq.heappop(held)
 
@@ -177,27 +177,27 @@
     parts = _parts(text)
     freq = parts.get("FREQ", "")
     if freq not in (*STEPS, "MONTHLY", "YEARLY"):
-        raise BadRule(f"RRULE: FREQ={freq or 'none'}: hours are the finest that is kept")
+        raise RuleError(f"RRULE: FREQ={freq or 'none'}: hours are the finest that is kept")
     rare = {"BYWEEKNO", "BYYEARDAY", "BYEASTER"} & set(parts)
     if rare:
-        raise BadRule(f"RRULE: {min(rare)} is not kept: name months and days")
+        raise RuleError(f"RRULE: {min(rare)} is not kept: name months and days")
     if "COUNT" in parts and "UNTIL" in parts:
-        raise BadRule("RRULE: COUNT and UNTIL exclude each other")
+        raise RuleError("RRULE: COUNT and UNTIL exclude each other")
     for name in ("COUNT", "INTERVAL"):
         value = parts.get(name, "1")
         if not value.isdigit() or not 0 < int(value) <= constants.RRULE_COUNT:
-            raise BadRule(f"RRULE: {name} must be 1 to {constants.RRULE_COUNT}")
+            raise RuleError(f"RRULE: {name} must be 1 to {constants.RRULE_COUNT}")
     if "BYSECOND" in parts or "BYMINUTE" in parts and freq == "HOURLY":
-        raise BadRule("RRULE: minutes are not the finest that is kept")
+        raise RuleError("RRULE: minutes are not the finest that is kept")
     if start < 0:
-        raise BadRule("DTSTART: a rule that recurs begins in 1970 or later")
+        raise RuleError("DTSTART: a rule that recurs begins in 1970 or later")
     try:
         _parse(text, start)
         comes = _comes(parts, start)
     except (ValueError, KeyError, TypeError, AttributeError, IndexError) as error:
-        raise BadRule(f"RRULE: {error}") from None
+        raise RuleError(f"RRULE: {error}") from None
     if not comes:
-        raise BadRule("RRULE: has no instance in years")
+        raise RuleError("RRULE: has no instance in years")
 
 
 def _parts(text: str) -> dict[str, str]:
@@ -206,7 +206,7 @@
     for part in text.upper().split(";"):
         match = RULE_PART.match(part)
         if match is None:
-            raise BadRule(f"RRULE: {part[: constants.LOG_TEXT]!r} is not a part of a rule")
+            raise RuleError(f"RRULE: {part[: constants.LOG_TEXT]!r} is not a part of a rule")
         parts[match[1]] = match[2]
     return parts
 
@@ -319,7 +319,7 @@
         yield wall
 
 
-def _calendar(rule: Rule, after: int, explain: bool) -> Iterator[Turn]:
+def _calendar(rule: Rule, after: int, explain: bool) -> Iterator[Firing]:
     """Yield turns in the order of their instants, each instant once.
 
     The mark is the wall time that clocks show at the turn.
@@ -334,23 +334,23 @@
     regular = _instances(rule, after - reach) if rule.text else iter([rule.start])
     plain = (wall for wall in regular if wall not in moved and wall not in gone)
     last = after
-    held: list[Turn] = []  # one that clocks skip may come after others that are later on paper
+    held: list[Firing] = []  # one that clocks skip may come after others that are later on paper
     for wall in _merge(extra, plain):
         while held and held[0].mark <= wall:
-            turn = heapq.heappop(held)
-            if turn.mark > last:
-                last = turn.mark
-                yield turn
+            firing = heapq.heappop(held)
+            if firing.mark > last:
+                last = firing.mark
+                yield firing
         at = zones.instant(wall, rule.zone)
         shown = zones.as_wall(zones.local(at, rule.zone))
         if shown > last:
             why = _why_wall(wall, shown, at, rule.zone) if explain else ""
-            heapq.heappush(held, Turn(shown, at, why))
+            heapq.heappush(held, Firing(shown, at, why))
     while held:
-        turn = heapq.heappop(held)
-        if turn.mark > last:
-            last = turn.mark
-            yield turn
+        firing = heapq.heappop(held)
+        if firing.mark > last:
+            last = firing.mark
+            yield firing
 
 
 def _merge(extra: list[int], plain: Iterator[int]) -> Iterator[int]:
--- a/oakmux/schedules/plugin.py
+++ b/oakmux/schedules/plugin.py
@@ -11,10 +11,10 @@
 from oakmux import constants, settings
 from oakmux.codec.cbor import Malformed, decode, encode
 from oakmux.core.context import Context
-from oakmux.core.controller import SlotOffer
+from oakmux.core.controller import Subsystem
 from oakmux.schedules import zones
 from oakmux.schedules.dav import tokens
-from oakmux.schedules.part import Schedules
+from oakmux.schedules.subsystem import SchedulesSubsystem
 from oakmux.transport.http import Request
 
 PATH = "/oakmux/schedules/"
@@ -35,7 +35,7 @@
 class Plugin:
     """Schedules, outside the core."""
 
-    parts: Sequence[Callable[[Context], SlotOffer]] = (Schedules,)
+    parts: Sequence[Callable[[Context], Subsystem]] = (SchedulesSubsystem,)
 
     def __init__(self, caldav: CalDav | None) -> None:
         self.caldav = caldav
@@ -90,7 +90,7 @@
         settings.split_addr(row["listen"])
         known = tokens.load(str(Path(path).parent / row["tokens"]))
         context = None if plain else _tls(Path(path).parent, row)
-    except (ValueError, tokens.BadTokens) as error:
+    except (ValueError, tokens.TokenFileError) as error:
         raise settings.SettingsError(f"{path}: [caldav] {error}") from None
     return Plugin(CalDav(row["listen"], known, context))
 
--- a/oakmux/schedules/policy.py
+++ b/oakmux/schedules/policy.py
@@ -6,8 +6,8 @@
 
 from oakmux import constants
 from oakmux.schedules import records
+from oakmux.schedules.firings import Firing
 from oakmux.schedules.records import Entry, Slot
-from oakmux.schedules.turns import Turn
 
 
 class Decision(NamedTuple):
@@ -26,9 +26,9 @@
     return int.from_bytes(digest) % (entry.policy.jitter_s * 1000)
 
 
-def planned_ms(entry: Entry, turn: Turn) -> int:
+def planned_ms(entry: Entry, firing: Firing) -> int:
     """Return when a turn is to be made (ms), apart from how far clocks may differ."""
-    return turn.at * 1000 + jitter_ms(entry)
+    return firing.at * 1000 + jitter_ms(entry)
 
 
 def window_s(entry: Entry) -> int:
@@ -37,16 +37,16 @@
     return min(most, constants.NO_CATCH_UP_S) if entry.policy.catch_up == "none" else most
 
 
-def expired(entry: Entry, turn: Turn, now_ms: int) -> bool:
+def expired(entry: Entry, firing: Firing, now_ms: int) -> bool:
     """Whether a turn is too late to be made."""
-    return now_ms - planned_ms(entry, turn) > window_s(entry) * 1000
+    return now_ms - planned_ms(entry, firing) > window_s(entry) * 1000
 
 
 def decide(
     entry: Entry,
     slot: Slot,
-    turn: Turn,
-    later: Callable[[], Turn | None],
+    firing: Firing,
+    later: Callable[[], Firing | None],
     now_ms: int,
     busy: Callable[[], bool],
     tries: int = 0,
@@ -58,12 +58,12 @@
     """
     following = later() if entry.policy.catch_up == "last" else None
     overtaken = following is not None and planned_ms(entry, following) <= now_ms
-    if overtaken or expired(entry, turn, now_ms):
+    if overtaken or expired(entry, firing, now_ms):
         return Decision(
             slot.noted(
-                turn.mark,
+                firing.mark,
                 slot.pending,
-                turn.at,
+                firing.at,
                 records.MISSED,
                 note="overtaken" if overtaken else "",
             ),
@@ -72,9 +72,9 @@
     overlap = entry.policy.overlap
     if overlap in ("skip", "queue") and (slot.pending or busy()):
         if overlap == "queue" and not slot.pending:
-            return Decision(slot.noted(turn.mark, turn.at, turn.at, records.QUEUED), False)
-        return Decision(slot.noted(turn.mark, slot.pending, turn.at, records.SKIPPED), False)
-    made = slot.noted(turn.mark, slot.pending, turn.at, records.MADE, tries)
+            return Decision(slot.noted(firing.mark, firing.at, firing.at, records.QUEUED), False)
+        return Decision(slot.noted(firing.mark, slot.pending, firing.at, records.SKIPPED), False)
+    made = slot.noted(firing.mark, slot.pending, firing.at, records.MADE, tries)
     return Decision(made, True, overlap == "replace")
 
 
--- a/oakmux/schedules/shows.py
+++ b/oakmux/schedules/queries.py
@@ -9,11 +9,11 @@
 from oakmux.codec.users import job_description
 from oakmux.core.context import Context
 from oakmux.schedules import records, zones
+from oakmux.schedules.firings import firings, mark_at, skipped
 from oakmux.schedules.records import NAME, Entry, Slot, Store, value_of
-from oakmux.schedules.turns import mark_at, skipped, turns
 
 
-class Refused(Exception):
+class RefusedError(Exception):
     """A request that can't be carried out: status and reason."""
 
     def __init__(self, status: int, reason: str) -> None:
@@ -21,7 +21,7 @@
         self.status = status
 
 
-class Shows:
+class ScheduleQueries:
     """Answers questions from the records that have come."""
 
     def __init__(self, context: Context, store: Store) -> None:
@@ -37,14 +37,14 @@
     def team(self, name: Any) -> str:
         """Check a team's name."""
         if not isinstance(name, str) or name not in self.context.teams:
-            raise Refused(422, f"unknown team {str(name)[: constants.LOG_TEXT]!r}")
+            raise RefusedError(422, f"unknown team {str(name)[: constants.LOG_TEXT]!r}")
         return name
 
     def name(self, name: Any) -> str:
         """Check the name of an entry, `team/name` or `team/calendar/object`."""
         parts = name.split("/") if isinstance(name, str) else []
         if not 2 <= len(parts) <= 3 or not all(NAME.match(part) for part in parts):
-            raise Refused(
+            raise RefusedError(
                 422,
                 f"{str(name)[: constants.LOG_TEXT]!r}: a name is TEAM/NAME, "
                 "letters, digits and _.@+=-, 80 at most",
@@ -58,7 +58,7 @@
         name = self.name(args.get("name"))
         entry, slot = self.store.entries.get(name), self.store.slot(name)
         if entry is None or slot is None:
-            raise Refused(404, f"no entry {name}")
+            raise RefusedError(404, f"no entry {name}")
         return entry, slot
 
     # --- entries and calendars ---
@@ -99,23 +99,23 @@
             "template": entry.template,
             "paused": entry.paused,
             "note": entry.note,
-            "next": [] if slot is None or entry.paused else self.turns(entry, slot.mark, 1),
+            "next": [] if slot is None or entry.paused else self.firings(entry, slot.mark, 1),
             "last": None
             if last is None
             else {"turn": last[0], "outcome": records.OUTCOMES[last[1]]},
         }
 
-    def turns(self, entry: Entry, mark: int, count: int) -> list[dict]:
+    def firings(self, entry: Entry, mark: int, count: int) -> list[dict]:
         """Return the turns to come after a mark."""
         found = []
-        for turn in islice(turns(entry.rule, mark, True), count):
-            if entry.until and turn.at > entry.until:
+        for firing in islice(firings(entry.rule, mark, True), count):
+            if entry.until and firing.at > entry.until:
                 break
             found.append(
                 {
-                    "at": turn.at,
-                    "why": turn.why,
-                    "local": zones.local(turn.at, entry.rule.zone).isoformat(),
+                    "at": firing.at,
+                    "why": firing.why,
+                    "local": zones.local(firing.at, entry.rule.zone).isoformat(),
                 }
             )
         return found
@@ -145,7 +145,7 @@
             if "since" in args
             else slot.mark
         )
-        rows = self.turns(entry, mark, count)
+        rows = self.firings(entry, mark, count)
         gaps = []
         for one, other in zip(rows, rows[1:], strict=False):
             gaps += [
@@ -205,7 +205,7 @@
         """Tell a calendar's objects: all, or those named; with their text if asked for."""
         calendar = str(args["calendar"])
         if calendar not in self.store.calendars:
-            raise Refused(404, f"no calendar {calendar}")
+            raise RefusedError(404, f"no calendar {calendar}")
         wanted = args.get("names")
         names = (
             sorted(n for n in self.store.entries if n.startswith(calendar + "/"))
@@ -222,7 +222,7 @@
                 continue
             text = self.store.text(entry) if args.get("text") else ""
             if text is None:
-                raise Refused(503, "not all of an object has come yet")
+                raise RefusedError(503, "not all of an object has come yet")
             rows.append({"name": name.rpartition("/")[2], "etag": entry.etag, "text": text})
         template = self.store.calendars[calendar].template
         self.say(
@@ -248,16 +248,16 @@
         if start is None and end is None:
             return True
         since = int(start) - 1 if start is not None else 0
-        turn = next(turns(entry.rule, mark_at(entry.rule, since)), None)
-        return turn is not None and (end is None or turn.at < int(end))
+        firing = next(firings(entry.rule, mark_at(entry.rule, since)), None)
+        return firing is not None and (end is None or firing.at < int(end))
 
     def changes(self, rid: Any, args: dict) -> None:
         """Tell which objects of a calendar changed since a revision, if that is still known."""
         calendar, since = str(args["calendar"]), int(args["since"])
         if calendar not in self.store.calendars:
-            raise Refused(404, f"no calendar {calendar}")
+            raise RefusedError(404, f"no calendar {calendar}")
         if not self.store.log_since <= since <= self.context.replica.revision:
-            raise Refused(410, "changes since then are not known any more")
+            raise RefusedError(410, "changes since then are not known any more")
         names = dict.fromkeys(
             name
             for mod_revision, name in self.store.log
--- a/oakmux/schedules/records.py
+++ b/oakmux/schedules/records.py
@@ -17,7 +17,7 @@
 from oakmux import constants
 from oakmux.core.model import JobSpec
 from oakmux.core.state.records import PREFIX
-from oakmux.schedules.turns import Rule
+from oakmux.schedules.firings import Rule
 
 KIND = "s"
 NAME = re.compile(r"[A-Za-z0-9_.@+=-]{1,80}\Z")
@@ -94,7 +94,7 @@
 class Slot(msgspec.Struct, array_like=True):
     """How far an entry's turns are decided, and the last decisions.
 
-    `mark` orders turns (see `turns`); `pending` is the turn (s) that waits for the one before.
+    `mark` orders turns (see `firings`); `pending` is the turn (s) that waits for the one before.
     A row is [turn (s), outcome, tries of its id, note].
     """
 
@@ -142,12 +142,12 @@
     return msgspec.to_builtins(record)
 
 
-def job_id(entry: Entry, turn: str, step: int, tries: int) -> str:
+def job_id(entry: Entry, firing: str, step: int, tries: int) -> str:
     """Return the id of a job that a turn makes: it follows from entry and turn alone.
 
     `tries` counts ids that were found taken: by a job from before schedules were switched on.
     """
-    text = f"{entry.name}|{entry.born}|{turn}|{step}|{tries}"
+    text = f"{entry.name}|{entry.born}|{firing}|{step}|{tries}"
     number = int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest()) % 10**16
     return f"{RESERVED}{number:016d}"
 
@@ -157,8 +157,8 @@
     at, outcome, tries, note = row
     if outcome not in (MADE, MANUAL):
         return []
-    turn = note if outcome == MANUAL else str(at)
-    return [job_id(entry, turn, step, tries) for step in range(steps)]
+    firing = note if outcome == MANUAL else str(at)
+    return [job_id(entry, firing, step, tries) for step in range(steps)]
 
 
 class Store:
--- a/oakmux/schedules/replay/model.py
+++ b/oakmux/schedules/replay/model.py
@@ -19,8 +19,8 @@
 from oakmux.core.model import MachineType
 from oakmux.core.state.records import PREFIX, job_value, role_key
 from oakmux.schedules import records
-from oakmux.schedules.clock import CLOCK
-from oakmux.schedules.part import Schedules
+from oakmux.schedules.dispatcher import CLOCK_ROLE
+from oakmux.schedules.subsystem import SchedulesSubsystem
 from oakmux.settings import (
     CloudLimits,
     External,
@@ -71,14 +71,14 @@
         self.cut = False
         self.ahead = 0.0
         self.awake_at = 0.0
-        self.part: Schedules | None = None
+        self.part: SchedulesSubsystem | None = None
 
     def boot(self) -> None:
         """Start anew: read all records."""
         self.incarnation += 1
         self.context = Context(settings_for(self.label), random.Random(self.incarnation), 0)
         self.context.types = {MACHINE.name: MACHINE}
-        self.part = Schedules(self.context)
+        self.part = SchedulesSubsystem(self.context)
         self.context.replica.load(
             [(key, value, mod_revision) for key, (value, mod_revision) in self.model.rows.items()],
             self.model.revision,
@@ -96,20 +96,20 @@
         if self.awake_at <= self.model.now or at < self.awake_at:
             self.awake_at = at
             incarnation = self.incarnation
-            self.model.after(seconds, lambda: self.turn(incarnation, at))
+            self.model.after(seconds, lambda: self.firing(incarnation, at))
 
-    def turn(self, incarnation: int, at: float) -> None:
+    def firing(self, incarnation: int, at: float) -> None:
         """Have a turn as a controller has in every tick."""
         if self.part is None or incarnation != self.incarnation or at != self.awake_at:
             return
-        model, context, clock = self.model, self.context, self.part.clock
+        model, context, dispatcher = self.model, self.context, self.part.dispatcher
         context.now = model.now
         drift = model.rng.uniform(-0.01, 0.01)
         self.ahead = max(-SKEW_S / 2, min(SKEW_S / 2, self.ahead + drift))
         if not (self.cut or model.down):
             context.store_seen_at = model.now
-        self.part.daytime.said = None
-        self.part.daytime.say(int((model.start + model.now + self.ahead) * 1000))
+        self.part.wall_clock.synchronized = None
+        self.part.wall_clock.synchronize(int((model.start + model.now + self.ahead) * 1000))
         begin = time.perf_counter()
         self.part.tick()
         model.tick_s.append(time.perf_counter() - begin)
@@ -117,12 +117,12 @@
         for effect in effects:
             self.send(effect, incarnation)
         self.awake_at = 0.0
-        if clock.due or clock.to_plan or clock.flying:
+        if dispatcher.due or dispatcher.to_plan or dispatcher.shards_in_flight:
             self.wake(constants.TICK_S if context.store_seen_at == model.now else 1.0)
             return
-        rest = 3600.0 if not clock.queued else QUEUED_LOOK_S
-        if clock.heap:
-            rest = min(rest, clock.heap[0][0] / 1000 - model.start - model.now - self.ahead)
+        rest = 3600.0 if not dispatcher.queued else QUEUED_LOOK_S
+        if dispatcher.heap:
+            rest = min(rest, dispatcher.heap[0][0] / 1000 - model.start - model.now - self.ahead)
         self.wake(max(constants.TICK_S, rest))
 
     def send(self, effect: tuple, incarnation: int) -> None:
@@ -145,20 +145,20 @@
         # Cut off, or one in a hundred: carried out long after it was given up, or without a word.
         lost = self.cut or model.rng.random() < LOST
         way = HELD if lost and model.rng.random() < 0.5 else WAY
-        turn = model.queue(len(writes))
-        model.after(turn + model.rng.uniform(*way), arrive)
+        firing = model.queue(len(writes))
+        model.after(firing + model.rng.uniform(*way), arrive)
         if lost or model.down:
-            model.after(turn + constants.STATE_TIMEOUT_S, lambda: answer(0, None))
+            model.after(firing + constants.STATE_TIMEOUT_S, lambda: answer(0, None))
 
     def hear(self, events: list[tuple[str, Any, int]]) -> None:
         """Take news of the watch."""
         if self.part is not None:
             for event in events:
                 self.context.replica.apply(*event)
-            held = self.context.replica.roles.get(CLOCK)
+            held = self.context.replica.roles.get(CLOCK_ROLE)
             mine = held is not None and held[0] == self.label and held[1] == self.incarnation
-            self.context.held_roles = {CLOCK: held[2]} if mine and held is not None else {}
-            if mine != (self.part.clock.held != 0) or self.part.store.changed and mine:
+            self.context.held_roles = {CLOCK_ROLE: held[2]} if mine and held is not None else {}
+            if mine != (self.part.dispatcher.held != 0) or self.part.store.changed and mine:
                 self.wake(0.0)
 
 
@@ -270,13 +270,13 @@
         free = [one for one in self.controllers if one.part is not None and not one.cut]
         if free and not self.down:
             one = self.rng.choice(free)
-            self.put([(role_key(CLOCK), [one.label, one.incarnation])])
+            self.put([(role_key(CLOCK_ROLE), [one.label, one.incarnation])])
         else:
             self.after(1.0, self.elect)
 
     def holder(self) -> Controller | None:
         """Return who holds the role by the records."""
-        row = self.rows.get(role_key(CLOCK))
+        row = self.rows.get(role_key(CLOCK_ROLE))
         return next(
             (one for one in self.controllers if row and row[0] == [one.label, one.incarnation]),
             None,
--- a/oakmux/schedules/replay/oracle.py
+++ b/oakmux/schedules/replay/oracle.py
@@ -1,4 +1,4 @@
-"""Which turns there should be, found slowly: minute by minute, sharing nothing with `turns`.
+"""Which turns there should be, found slowly: minute by minute, sharing nothing with `firings`.
 
 Cron fields are read anew here, recurrences are tried day by day, and a change of clocks is seen
 as what it is: wall minutes that no instant shows, or that two do.
@@ -8,7 +8,7 @@
 from datetime import UTC, date, datetime, timedelta
 from typing import NamedTuple
 
-from oakmux.schedules.turns import Rule
+from oakmux.schedules.firings import Rule
 from oakmux.schedules.zones import zone
 
 RANGES = ((0, 59), (0, 23), (1, 31), (1, 12), (0, 7))
--- a/oakmux/schedules/replay/year.py
+++ b/oakmux/schedules/replay/year.py
@@ -10,10 +10,10 @@
 
 from oakmux.core.model import JobSpec
 from oakmux.schedules import policy, records, zones
+from oakmux.schedules.firings import Rule, cron_rule, mark_at
 from oakmux.schedules.records import Entry, Policy, Slot, Step, Template
 from oakmux.schedules.replay.model import TEAM, Model
 from oakmux.schedules.replay.oracle import expected, minutes
-from oakmux.schedules.turns import Rule, cron_rule, mark_at
 
 ZONES = (
     "UTC",
@@ -36,7 +36,7 @@
     """What a replay found: counts, turns that were lost, doubled, early or besides, lateness."""
 
     entries: int
-    turns: int
+    firings: int
     made: int
     skipped: int
     lost: list[str]
@@ -244,7 +244,7 @@
     """Compare what was decided with what should have been."""
     lost, besides, doubled = [], [], list(model.doubled)
     histogram = HdrHistogram(1, 7 * DAY * 1000, 3)
-    made = skipped = early = turns = 0
+    made = skipped = early = firings = 0
     known = {name: list(minutes(name, start - DAY, end)) for name in ZONES}
     outcomes = {records.MADE, records.SKIPPED}
     jobs = dict(model.made)
@@ -252,7 +252,7 @@
         want = {at for at in expected(entry.rule, known[entry.rule.zone]) if at >= start}
         decided = model.decided.get(entry.name, {})
         got = {at for at, seen in decided.items() if at < end}
-        turns += len(want)
+        firings += len(want)
         lost += [f"{entry.name} {mod_revision(at)}" for at in sorted(want - got)]
         besides += [f"{entry.name} {mod_revision(at)}" for at in sorted(got - want)]
         for at, seen in decided.items():
@@ -279,7 +279,7 @@
     }
     return Result(
         len(entries),
-        turns,
+        firings,
         made,
         skipped,
         lost,
--- a/oakmux/schedules/part.py
+++ b/oakmux/schedules/subsystem.py
@@ -3,26 +3,26 @@
 from collections.abc import Callable
 
 from oakmux.core.context import Context
-from oakmux.schedules.clock import CLOCK, Clock, Daytime
-from oakmux.schedules.desk import JobApi
+from oakmux.schedules.api import ScheduleApi
+from oakmux.schedules.dispatcher import CLOCK_ROLE, FiringDispatcher, WallClock
 from oakmux.schedules.records import KIND, RESERVED, Store
 
 
-class Schedules:
+class SchedulesSubsystem:
     """Joins records, clock and desk to a controller."""
 
     def __init__(self, context: Context) -> None:
         self.store = Store()
-        self.daytime = Daytime(context)
-        self.clock = Clock(context, self.store, self.daytime)
-        self.desk = JobApi(context, self.store, self.daytime)
+        self.wall_clock = WallClock(context)
+        self.dispatcher = FiringDispatcher(context, self.store, self.wall_clock)
+        self.api = ScheduleApi(context, self.store, self.wall_clock)
         self.context = context
         context.replica.namespaces[KIND] = self.store
-        context.extra_roles.append(CLOCK)
+        context.extra_roles.append(CLOCK_ROLE)
         context.reserved = RESERVED
         self.commands: dict[str, Callable[..., None]] = {
-            "time": self.daytime.say,
-            "schedules": self.desk.request,
+            "time": self.wall_clock.synchronize,
+            "schedules": self.api.request,
         }
 
     def tick(self) -> None:
@@ -31,5 +31,5 @@
             return
         if not self.store.log_since:
             self.store.log_since = self.context.replica.revision
-        self.desk.tick()
-        self.clock.tick()
+        self.api.tick()
+        self.dispatcher.tick()
--- a/oakmux/schedules/templates.py
+++ b/oakmux/schedules/templates.py
@@ -15,7 +15,7 @@
 from oakmux.schedules.records import NAME, Entry, Step, Template, job_id, value_of
 
 
-class BadTemplate(ValueError):
+class TemplateError(ValueError):
     """A template that could never run; the text says why."""
 
 
@@ -25,36 +25,36 @@
     A step may wait only on steps before it, so that no chain can come back to itself.
     """
     if not isinstance(rows, list) or not 0 < len(rows) <= MAX_TEXT:
-        raise BadTemplate("a template needs one job or more")
+        raise TemplateError("a template needs one job or more")
     names: dict[str, int] = {}
     steps: list[Step] = []
     for row in rows:
         try:
             name, job, needs = row
         except (TypeError, ValueError):
-            raise BadTemplate("a step is a name, a job and what it waits on") from None
+            raise TemplateError("a step is a name, a job and what it waits on") from None
         if not isinstance(name, str) or not NAME.match(name) or name in names:
-            raise BadTemplate(f"step {str(name)[: constants.LOG_TEXT]!r}: not a name of its own")
+            raise TemplateError(f"step {str(name)[: constants.LOG_TEXT]!r}: not a name of its own")
         if not isinstance(job, dict) or not isinstance(needs, list):
-            raise BadTemplate(f"{name}: not a job")
+            raise TemplateError(f"{name}: not a job")
         if name in needs:
-            raise BadTemplate(f"{name}: waits on itself")
+            raise TemplateError(f"{name}: waits on itself")
         unknown = [need for need in needs if need not in names]
         if unknown:
-            raise BadTemplate(
+            raise TemplateError(
                 f"{name}: waits on {str(unknown[0])[: constants.LOG_TEXT]!r}, which "
                 "is not a step before it"
             )
         try:
             spec = parse_job({**job, "id": "job-0"})
         except Malformed as error:
-            raise BadTemplate(f"{name}: {error}") from None
+            raise TemplateError(f"{name}: {error}") from None
         if spec.waits_on:
-            raise BadTemplate(f"{name}: waits_on names steps, not jobs")
+            raise TemplateError(f"{name}: waits_on names steps, not jobs")
         if spec.team != team:
-            raise BadTemplate(f"{name}: is of team {spec.team}, not {team}")
+            raise TemplateError(f"{name}: is of team {spec.team}, not {team}")
         if any(steps[names[need]].spec.kind == "service" for need in needs):
-            raise BadTemplate(f"{name}: waits on a service, which never ends")
+            raise TemplateError(f"{name}: waits on a service, which never ends")
         names[name] = len(steps)
         steps.append(Step(name, spec, tuple(names[need] for need in needs)))
     return Template(tuple(steps))
@@ -69,21 +69,21 @@
     limits = context.facts.state.least
     if 2 * len(template.steps) + 1 > limits.txn_ops and len(template.steps) > 1:
         most = max(1, (limits.txn_ops - 1) // 2)
-        raise BadTemplate(f"{len(template.steps)} jobs: a turn can make {most} here")
+        raise TemplateError(f"{len(template.steps)} jobs: a turn can make {most} here")
     for step in template.steps:
         why = quotas.infeasible_reason(context, step.spec)
         if why is not None:
-            raise BadTemplate(f"{step.name}: {why}")
+            raise TemplateError(f"{step.name}: {why}")
         waits = tuple("job-" + "9" * 18 for _ in step.needs)
         spec = msgspec.structs.replace(step.spec, waits_on=waits)
         size = value_bytes(job_value("queued", spec.team, spec, 10**13, spec.tasks))
         if size > value_limit(limits):
-            raise BadTemplate(
+            raise TemplateError(
                 f"{step.name}: description of {size} bytes: a record holds {value_limit(limits)}"
             )
     size = value_bytes(value_of(template))
     if size > value_limit(limits):
-        raise BadTemplate(f"template of {size} bytes: a record holds {value_limit(limits)}")
+        raise TemplateError(f"template of {size} bytes: a record holds {value_limit(limits)}")
 
 
 def early(context: Context, template: Template) -> bool:
@@ -103,10 +103,10 @@
 
 
 def jobs(
-    entry: Entry, template: Template, turn: str, tries: int = 0
+    entry: Entry, template: Template, firing: str, tries: int = 0
 ) -> Iterator[tuple[str, JobSpec]]:
     """Yield (id, job) of a turn, each after those that it waits on."""
-    ids = [job_id(entry, turn, n, tries) for n in range(len(template.steps))]
+    ids = [job_id(entry, firing, n, tries) for n in range(len(template.steps))]
     for own, step in zip(ids, template.steps, strict=True):
         changes: dict[str, Any] = {}
         if step.needs:
@@ -117,13 +117,13 @@
 
 
 def submission(
-    entry: Entry, template: Template, turn: str, order: int, tries: int = 0
+    entry: Entry, template: Template, firing: str, order: int, tries: int = 0
 ) -> tuple[list[str], dict[str, int], list[tuple]]:
     """Return the ids of a turn's jobs, the guards that none is there, and their writes."""
     ids: list[str] = []
     guards: dict[str, int] = {}
     writes: list[tuple] = []
-    for name, spec in jobs(entry, template, turn, tries):
+    for name, spec in jobs(entry, template, firing, tries):
         ids.append(name)
         guards[job_key(name)] = 0
         writes.append(
--- a/oakmux/schedules/zones.py
+++ b/oakmux/schedules/zones.py
@@ -9,7 +9,7 @@
 zoneinfo.reset_tzpath(to=[])  # what the machine has installed may be older, or newer
 
 
-class UnknownZone(ValueError):
+class UnknownZoneError(ValueError):
     """A name that tzdata does not know; the text says so."""
 
 
@@ -21,7 +21,7 @@
     try:
         return zoneinfo.ZoneInfo(name)
     except (zoneinfo.ZoneInfoNotFoundError, ValueError, OSError):
-        raise UnknownZone(f"unknown time zone {name[: constants.LOG_TEXT]!r}") from None
+        raise UnknownZoneError(f"unknown time zone {name[: constants.LOG_TEXT]!r}") from None
 
 
 def local(at: int, name: str) -> datetime:
--- a/oakmux/service.py
+++ b/oakmux/service.py
@@ -14,7 +14,7 @@
 
 from oakmux import constants, settings
 from oakmux.core.context import Context
-from oakmux.core.controller import Controller, SlotOffer
+from oakmux.core.controller import Controller, Subsystem
 from oakmux.transport.cloud_client import CloudClient
 from oakmux.transport.http import Request, ServerProtocol
 from oakmux.transport.peer_client import PeerClient
@@ -30,7 +30,7 @@
 class Plugin(Protocol):
     """A subsystem that is switched on, outside the core."""
 
-    parts: Sequence[Callable[[Context], SlotOffer]]
+    parts: Sequence[Callable[[Context], Subsystem]]
 
     def paths(self, offer: Callable[[tuple], bool]) -> dict[str, Callable[[Request, str], None]]:
         """Return who serves further paths of the public address, by how they begin."""
--- a/tests/recorded.py
+++ b/tests/recorded.py
@@ -48,7 +48,7 @@
 )
 from oakmux.core.state.replica import Replica
 from oakmux.schedules import records
-from oakmux.schedules.turns import Rule
+from oakmux.schedules.firings import Rule
 from oakmux.service import Service
 from oakmux.settings import Spread
 from oakmux.transport.cloud_client import CloudClient
@@ -914,8 +914,8 @@
     assert core is not None
     seen = []
     before = plain_core(core)
-    for turn, body in enumerate(decode(data)):
-        now = sim.now + turn * 0.05
+    for firing, body in enumerate(decode(data)):
+        now = sim.now + firing * 0.05
         commands, sent = asked(request_bytes("POST", "/peer", body), internal=True)
         effects = [told(effect) for effect in core.step(now, commands)]
         after = plain_core(core)
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -5,7 +5,7 @@
 import pytest
 
 from oakmux.core.state.records import PREFIX
-from oakmux.schedules import clock, zones
+from oakmux.schedules import dispatcher, zones
 from oakmux.schedules.replay.year import replay
 
 START = zones.instant(zones.as_wall(datetime(2026, 3, 25)), "UTC")
@@ -14,7 +14,7 @@
 def test_every_turn_of_a_short_year_is_made_once():
     result = replay(40, 8, 3, START)
     assert result.good, result
-    assert result.turns > 500 and result.made > 400 and sum(result.troubles.values()) > 30
+    assert result.firings > 500 and result.made > 400 and sum(result.troubles.values()) > 30
     assert result.late_ms["p99"] < 1000
 
 
@@ -22,7 +22,7 @@
 def test_the_replay_notices_what_is_not_guarded(monkeypatch, dropped):
     """Without the guard of the shard and the jobs a deposed holder's late writes do harm; that of
     the role alone is covered by the shard's, which is what makes a turn exactly one."""
-    send = clock.Clock._send
+    send = dispatcher.FiringDispatcher._send
 
     def careless(self, batch):
         call = self.context.call
@@ -43,5 +43,5 @@
         finally:
             self.context.call = call
 
-    monkeypatch.setattr(clock.Clock, "_send", careless)
+    monkeypatch.setattr(dispatcher.FiringDispatcher, "_send", careless)
     assert replay(60, 10, 5, START).good == (dropped == "own/")
--- a/tests/test_schedules.py
+++ b/tests/test_schedules.py
@@ -44,23 +44,23 @@
 
 
 @pytest.mark.parametrize(
-    "start, before, turn",
+    "start, before, firing",
     [
         ("2026-03-29T00:59:30+00:00", "2026-03-29", "03:00"),  # 02:30 is not shown that day
         ("2026-10-25T00:29:30+00:00", "2026-10-25", "02:30"),  # shown twice: the first counts
     ],
 )
-def test_a_change_of_clocks_neither_loses_nor_doubles_a_turn(start, before, turn):
+def test_a_change_of_clocks_neither_loses_nor_doubles_a_turn(start, before, firing):
     sim = settled(start)
     sim.cron("red/night", "30 2 * * *", "Europe/Berlin")
     sim.cron("red/often", "*/30 * * * *", "Europe/Berlin", overlap="allow")
     sim.run(80)
-    assert sim.past("red/night") == [(f"{before}T{turn}", "made")]
+    assert sim.past("red/night") == [(f"{before}T{firing}", "made")]
     sim.crash(sim.holder())  # whoever takes over meets the hour for the second time
     for _ in range(2):
         sim.skip(1740)
         sim.run(60)
-    assert sim.past("red/night") == [(f"{before}T{turn}", "made")]
+    assert sim.past("red/night") == [(f"{before}T{firing}", "made")]
     assert len(sim.past("red/often")) == 3 and len(sim.made) == 4
 
 
@@ -225,7 +225,7 @@
         sim.crash(sim.holder())
         sim.run(35)
     assert len(sim.made) == 18 and len({job for _, job in sim.made}) == 18
-    assert max(sim.misses_objective()) < 8.0
+    assert max(sim.late()) < 8.0
     assert min(Counter(names(sim)).values()) == 6
 
 
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -9,8 +9,8 @@
 
 from oakmux.schedules import calendars, crontab, zones
 from oakmux.schedules.dav import tokens, xml
+from oakmux.schedules.firings import Rule, RuleError, check_recurrence, cron_rule, firings, mark_at
 from oakmux.schedules.replay.oracle import expected, minutes
-from oakmux.schedules.turns import BadRule, Rule, check_recurrence, cron_rule, mark_at, turns
 
 ZONES = [
     "UTC",
@@ -63,10 +63,10 @@
 
 def between(rule: Rule, start: int, end: int) -> set[int]:
     found = set()
-    for turn in turns(rule, mark_at(rule, start - 60)):
-        if turn.at >= end:
+    for firing in firings(rule, mark_at(rule, start - 60)):
+        if firing.at >= end:
             break
-        found.add(turn.at)
+        found.add(firing.at)
     return found
 
 
@@ -81,7 +81,7 @@
     end = start + 2 * 86_400
     try:
         rule = cron_rule(" ".join(fields), zone)
-    except BadRule:
+    except RuleError:
         assume(False)
     assert between(rule, start, end) == expected(rule, known(zone, start, end))
 
@@ -232,7 +232,7 @@
         made = calendars.parse(text, "Asia/Jakarta")
     except calendars.BadCalendar:
         return
-    next(turns(made.rule, 0), None)
+    next(firings(made.rule, 0), None)
 
 
 def calendar(*lines: str, kind: str = "VEVENT", more: str = "") -> str:
@@ -243,8 +243,8 @@
 def locals_of(text: str, count: int, zone: str = "Asia/Jakarta") -> list[str]:
     rule = calendars.parse(text, zone).rule
     return [
-        zones.local(turn.at, rule.zone).isoformat()[:16]
-        for turn, _ in zip(turns(rule, 0), range(count), strict=False)
+        zones.local(firing.at, rule.zone).isoformat()[:16]
+        for firing, _ in zip(firings(rule, 0), range(count), strict=False)
     ]
 
 
@@ -308,7 +308,7 @@
     since = zones.as_wall(datetime(1990, 1, 1, 3, 30))
     rule = Rule("calendar", "Europe/Berlin", "FREQ=HOURLY;INTERVAL=5", since)
     start = int(datetime(2026, 6, 1, tzinfo=UTC).timestamp())
-    first = next(turns(rule, mark_at(rule, start)))
+    first = next(firings(rule, mark_at(rule, start)))
     assert start < first.at <= start + 5 * 3600
     assert (first.mark - since) % (5 * 3600) == 0
 
@@ -326,7 +326,7 @@
 )
 def test_a_recurrence_that_never_comes_is_refused_at_once(text):
     """The library goes to the year 9999 for some of these, while a controller stands still."""
-    with pytest.raises(BadRule, match="no instance"):
+    with pytest.raises(RuleError, match="no instance"):
         check_recurrence(text, zones.as_wall(datetime(1990, 1, 1, 3, 30)))
 
 
@@ -349,6 +349,8 @@
     start = zones.as_wall(datetime(1990, 1, 1, 3, 30))
     check_recurrence(text, start)
     assert (
-        len(list(zip(range(4), turns(Rule("calendar", "UTC", text, start), start), strict=False)))
+        len(
+            list(zip(range(4), firings(Rule("calendar", "UTC", text, start), start), strict=False))
+        )
         == 4
     )
--- a/tests/timed.py
+++ b/tests/timed.py
@@ -6,8 +6,8 @@
 import msgspec
 
 from oakmux.core.model import JobSpec
-from oakmux.schedules.part import Schedules
 from oakmux.schedules.records import RESERVED
+from oakmux.schedules.subsystem import SchedulesSubsystem
 from oakmux.settings import Settings
 from tests.fakes import Sim
 
@@ -47,10 +47,10 @@
         self.offsets: dict[str, float] = {}  # how far a controller's clock is ahead, in s
         self.made: list[tuple[float, str]] = []  # (time of writing, job) of turns
         self.running: dict[str, list] = {}
-        super().__init__(seed, count, parts=(Schedules,), **more)
+        super().__init__(seed, count, parts=(SchedulesSubsystem,), **more)
 
     def boot(self, label: str) -> None:
-        self.parts = () if label in self.off else (Schedules,)
+        self.parts = () if label in self.off else (SchedulesSubsystem,)
         super().boot(label)
 
     def clock_says(self, label: str) -> list[tuple]:
