--- a/oakmux/cli.py
+++ b/oakmux/cli.py
@@ -20,10 +20,9 @@
     CLI_PRIORITIES,
     PATH_HEALTH,
     PATH_JOBS,
-    parse_dependencies,
     parse_job,
     parse_job_id,
-    parse_job_state,
+    parse_job_summary,
     submission_body,
 )
 from oakmux.core.model import JOB_ID
@@ -137,8 +136,8 @@
 
 def line(job: dict) -> str:
     """Return a job's state for people."""
-    text = "{}: {} (done {}, running {})".format(*parse_job_state(job))
-    waits_on = parse_dependencies(job)
+    job_id, state, completed_tasks, running_tasks, waits_on = parse_job_summary(job)
+    text = f"{job_id}: {state} (done {completed_tasks}, running {running_tasks})"
     return f"{text}, waits on {', '.join(waits_on)}" if waits_on else text
 
 
@@ -339,7 +338,7 @@
     end = None if timeout is None else time.monotonic() + timeout
     while True:
         answer = ask_job(context, job_id)
-        state = parse_job_state(answer)[1]
+        state = parse_job_summary(answer).state
         if state in ("done", "cancelled"):
             context.show(answer, line(answer))
             sys.exit(0 if state == "done" else EXIT_FAILED)
--- a/oakmux/codec/answers.py
+++ b/oakmux/codec/answers.py
@@ -1,33 +1,35 @@
-"""Bodies of the controller's answers to requests."""
+"""Bodies of the controller's answers to requests, by the kind of the answer."""
 
+from collections.abc import Callable
 from typing import Any
 
-from oakmux.codec.users import JOB_STATES
+from oakmux.codec.users import error_body, health_body, job_summary_body
+from oakmux.codec.workers import commands_answer_body, report_to_body
+
+
+def _peer_answer_body(*fields: Any) -> list:
+    return ["peer", *fields]
+
+
+def _schedules_answer_body(value: Any) -> Any:
+    return value
+
+
+_BODIES: dict[str, Callable[..., Any]] = {
+    "job": job_summary_body,
+    "orders": commands_answer_body,
+    "report_to": report_to_body,
+    "error": error_body,
+    "health": health_body,
+    "peer": _peer_answer_body,
+    "schedules": _schedules_answer_body,
+}
 
 
 def answer_body(answer: tuple) -> Any:
-    """Turn a tagged answer of the core into a body."""
-    tag = answer[0]
-    if tag == "job":
-        _, job_id, state, done, running, *waits_on = answer
-        body = {"id": job_id, "status": JOB_STATES[state], "done": done, "running": running}
-        return {**body, "waits_on": waits_on[0]} if waits_on else body
-    if tag == "orders":
-        return {"baton": answer[1], "orders": answer[2]}
-    if tag == "report_to":
-        return {"boss": answer[1]} if answer[1] else {}
-    if tag == "error":
-        return {"error": answer[1]}
-    if tag == "health":
-        return {
-            "label": answer[1],
-            "ready": answer[2],
-            "term": answer[3],
-            "teams": answer[4],
-            "machines": answer[5],
-        }
-    if tag == "peer":
-        return list(answer)
-    if tag == "schedules":
-        return answer[1]
-    raise ValueError(f"unknown answer {tag}")
+    """Return the body of an answer, a kind followed by its fields; raises ValueError."""
+    kind, *fields = answer
+    encode_body = _BODIES.get(kind)
+    if encode_body is None:
+        raise ValueError(f"unknown answer {kind}")
+    return encode_body(*fields)
--- a/oakmux/codec/cbor.py
+++ b/oakmux/codec/cbor.py
@@ -5,10 +5,14 @@
 
 import cbor2
 
-# Limits of the values that a message may hold.
 MAX_INT = 2**64
+"""Integers of messages are smaller."""
+
 MAX_TEXT = 200
+"""Length of the longest name, and of an error's text."""
+
 MAX_AMOUNT = 1e12
+"""Quantities are smaller; in seconds, gigabytes or cores."""
 
 
 class Malformed(Exception):
@@ -28,7 +32,6 @@
         raise Malformed("not CBOR") from error
 
 
-def check_amount(name: str, value: float | None) -> None:
-    """Check an optional quantity, finite and not negative; raises Malformed."""
-    if value is not None and not (math.isfinite(value) and 0 <= value < MAX_AMOUNT):
-        raise Malformed(f"{name}: out of range")
+def is_amount(value: float | None) -> bool:
+    """Whether an optional quantity is finite, not negative and below MAX_AMOUNT."""
+    return value is None or (math.isfinite(value) and 0 <= value < MAX_AMOUNT)
--- a/oakmux/codec/cloud.py
+++ b/oakmux/codec/cloud.py
@@ -1,75 +1,94 @@
-"""The cloud's API: the catalogue of machine types, machines, rentals and returns."""
+"""The cloud's API: the catalogue of machine types, instances, rentals and returns."""
 
-from typing import Any
+from typing import Any, NamedTuple
 
 from oakmux.codec.cbor import Malformed
+from oakmux.core.instances import ListedInstance
 from oakmux.core.model import MachineType
 
 PATH_CATALOGUE = "/catalog"
-PATH_MACHINES = "/hosts"
+PATH_INSTANCES = "/hosts"
 PATH_RETURN = "/hosts/return"
 
+NO_CAPACITY = "no capacity"
+"""Error of a rental when the cloud has no such instances."""
 
-def parse_catalogue(value: Any) -> list[MachineType]:
-    """Return the cloud's machine types."""
+
+class InstancePage(NamedTuple):
+    """A part of the list of instances."""
+
+    instances: list[ListedInstance]
+    has_more: bool
+
+
+def parse_catalogue(answer: Any) -> list[MachineType]:
+    """Return the cloud's machine types; raises Malformed."""
     try:
-        return [
-            MachineType(
-                t["sku"],
-                float(t["vcpus"]),
-                float(t["accelerators"]),
-                float(t["memory_gb"]),
-                float(t["local_gb"]),
-                float(t["pull_gb_per_s"]),
-                float(t["hourly"]),
-                float(t["low_price"]),
-                float(t["boot_s"]),
-                [str(z) for z in t["sites"]],
-            )
-            for t in value["flavours"]
-        ]
+        return [_parse_machine_type(row) for row in answer["flavours"]]
     except (TypeError, KeyError, ValueError):
         raise Malformed("catalogue") from None
 
 
-def rent_body(request: str, type_name: str, zone: str, spot: bool, count: int) -> dict:
-    """Return a rental request."""
-    return {"hire": request, "flavour": type_name, "site": zone, "loaner": spot, "count": count}
+def _parse_machine_type(row: dict) -> MachineType:
+    return MachineType(
+        name=row["sku"],
+        cpus=float(row["vcpus"]),
+        gpus=float(row["accelerators"]),
+        memory_gb=float(row["memory_gb"]),
+        cache_gb=float(row["local_gb"]),
+        fetch_gb_per_s=float(row["pull_gb_per_s"]),
+        price=float(row["hourly"]),
+        spot_price=float(row["low_price"]),
+        boot_s=float(row["boot_s"]),
+        zones=[str(zone) for zone in row["sites"]],
+    )
 
 
-def return_body(machines: list[str]) -> dict:
-    """Return the request that gives machines back."""
-    return {"boxes": machines}
+def rental_body(request_id: str, type_name: str, zone: str, spot: bool, count: int) -> dict:
+    """Return the request for a rental; repeated under the same id, it rents once."""
+    return {
+        "hire": request_id,
+        "flavour": type_name,
+        "site": zone,
+        "loaner": spot,
+        "count": count,
+    }
 
 
-def parse_rented(value: Any) -> list[str]:
-    """Return the names of rented machines."""
+def return_body(instances: list[str]) -> dict:
+    """Return the request that gives instances back."""
+    return {"boxes": instances}
+
+
+def parse_rental(answer: Any) -> list[str]:
+    """Return the names of the rented instances; raises Malformed."""
     try:
-        return [str(name) for name in value["boxes"]]
+        return [str(name) for name in answer["boxes"]]
     except (TypeError, KeyError):
         raise Malformed("rental's answer") from None
 
 
-def parse_machines(value: Any) -> tuple[list[tuple], bool]:
-    """Return ([(machine, addr, type, zone, spot, state, age_s)], more) of the machine list."""
+def parse_instance_page(answer: Any) -> InstancePage:
+    """Read a page of the list of instances; raises Malformed."""
     try:
-        rows = [
-            (
-                b["id"],
-                b.get("addr", ""),
-                b["flavour"],
-                b["site"],
-                bool(b["loaner"]),
-                b["status"],
-                float(b["held_s"]),
-            )
-            for b in value["boxes"]
-        ]
-        return rows, bool(value["has_next"])
+        instances = [_parse_instance(row) for row in answer["boxes"]]
+        return InstancePage(instances, bool(answer["has_next"]))
     except (TypeError, KeyError, ValueError, AttributeError):
         raise Malformed("machine list") from None
 
 
-def is_no_capacity(value: Any) -> bool:
-    """Whether a refused rental says that there are no machines."""
-    return isinstance(value, dict) and value.get("error") == "no capacity"
+def _parse_instance(row: dict) -> ListedInstance:
+    return ListedInstance(
+        name=row["id"],
+        address=row.get("addr", ""),
+        type=row["flavour"],
+        zone=row["site"],
+        spot=bool(row["loaner"]),
+        state=row["status"],
+        age_s=float(row["held_s"]),
+    )
+
+
+def is_no_capacity(answer: Any) -> bool:
+    """Whether a rental was refused for lack of instances."""
+    return isinstance(answer, dict) and answer.get("error") == NO_CAPACITY
--- a/oakmux/codec/store.py
+++ b/oakmux/codec/store.py
@@ -1,76 +1,126 @@
 """The store's API: transactions, items, lists, watches and leases."""
 
-from typing import Any
+from collections.abc import Sequence
+from typing import Any, NamedTuple
 
 from oakmux.codec.cbor import Malformed
 
-PATH_KV = "/kv"
-PATH_TXN = "/txn"
+PATH_ITEMS = "/kv"
+PATH_TRANSACTIONS = "/txn"
 PATH_LEASES = "/grants"
 PATH_WATCH = "/watch"
 
+Item = tuple[str, Any, int]
+"""(key, value, mod revision); a plain tuple, since lists and watches hold many."""
 
-def txn_body(guards: list[tuple[str, int]], writes: list[tuple]) -> dict:
-    """Return a transaction; a write is (key, value, lease) or (key,) to delete."""
-    then = []
-    for write in writes:
-        if len(write) == 1:
-            then.append({"delete": write[0]})
-        else:
-            put = {"write": write[0], "v": write[1]}
-            if write[2] is not None:
-                put["permit"] = write[2]
-            then.append(put)
-    return {"guards": [{"path": k, "stamp": s} for k, s in guards], "writes": then}
+Condition = tuple[str, int]
+"""(key, mod revision that it must have); 0 if the key must not exist."""
 
+Write = tuple[Any, ...]
+"""(key, value, lease or None) to put an item, or (key,) to delete it."""
 
-def parse_txn(value: Any) -> tuple[int, list[str]]:
-    """Return (revision, failed keys) of a transaction's answer."""
+
+class TransactionResult(NamedTuple):
+    """The outcome of a transaction."""
+
+    revision: int
+    failed_keys: list[str]
+    """Keys whose conditions did not hold."""
+
+
+class ItemPage(NamedTuple):
+    """A part of a list, with the revision at which it was read."""
+
+    items: list[Item]
+    has_more: bool
+    revision: int
+
+
+class WatchEvents(NamedTuple):
+    """Changes up to a revision; a deleted key has the value None."""
+
+    events: list[Item]
+    revision: int
+
+
+class VersionedValue(NamedTuple):
+    """The value of a key and its mod revision."""
+
+    value: Any
+    mod_revision: int
+
+
+def transaction_body(conditions: Sequence[Condition], writes: Sequence[Write]) -> dict:
+    """Return the request for a transaction."""
+    return {
+        "guards": [{"path": key, "stamp": mod_revision} for key, mod_revision in conditions],
+        "writes": [_write_body(write) for write in writes],
+    }
+
+
+def _write_body(write: Write) -> dict:
+    if len(write) == 1:
+        return {"delete": write[0]}
+    key, value, lease = write
+    body = {"write": key, "v": value}
+    if lease is not None:
+        body["permit"] = lease
+    return body
+
+
+def parse_transaction_result(answer: Any) -> TransactionResult:
+    """Read the answer to a transaction; raises Malformed."""
     try:
-        return int(value["epoch"]), [str(k) for k in value.get("failed", ())]
+        failed_keys = [str(key) for key in answer.get("failed", ())]
+        return TransactionResult(int(answer["epoch"]), failed_keys)
     except (TypeError, KeyError, ValueError, AttributeError):
         raise Malformed("transaction's answer") from None
 
 
-def parse_list(value: Any) -> tuple[list[tuple[str, Any, int]], bool, int]:
-    """Return (items, more, revision) of a list."""
+def parse_item_page(answer: Any) -> ItemPage:
+    """Read a page of a list; raises Malformed."""
     try:
-        rows = [(row["path"], row["v"], row["stamp"]) for row in value["rows"]]
-        return rows, bool(value["has_next"]), int(value["epoch"])
+        items = [(row["path"], row["v"], row["stamp"]) for row in answer["rows"]]
+        return ItemPage(items, bool(answer["has_next"]), int(answer["epoch"]))
     except (TypeError, KeyError, ValueError):
         raise Malformed("list's answer") from None
 
 
-def parse_item(value: Any) -> tuple[Any, int]:
-    """Return (value, version) of a key."""
+def parse_value(answer: Any) -> VersionedValue:
+    """Read the answer to a read of one key; raises Malformed."""
     try:
-        return value["v"], int(value["stamp"])
+        return VersionedValue(answer["v"], int(answer["stamp"]))
     except (TypeError, KeyError, ValueError):
         raise Malformed("key's answer") from None
 
 
-def parse_events(value: Any) -> tuple[list[tuple[str, Any, int]], int]:
-    """Return (events, revision) of a watch; a deleted key has the value None."""
+def parse_watch_events(answer: Any) -> WatchEvents:
+    """Read the answer to a watch; raises Malformed."""
     try:
-        events = []
-        for event in value["events"]:
+        events: list[Item] = []
+        for event in answer["events"]:
             if "delete" in event:
                 events.append((event["delete"], None, event["stamp"]))
             else:
                 events.append((event["write"], event["v"], event["stamp"]))
-        return events, int(value["epoch"])
+        return WatchEvents(events, int(answer["epoch"]))
     except (TypeError, KeyError, ValueError):
         raise Malformed("watch's answer") from None
 
 
-def lease_body(life_s: float) -> dict:
+def parse_missing_key(answer: Any) -> int:
+    """Return the revision at which a read found no such key; raises Malformed."""
+    return parse_transaction_result(answer).revision
+
+
+def lease_body(duration_s: float) -> dict:
     """Return the request for a lease."""
-    return {"life_ms": int(life_s * 1000)}
+    return {"life_ms": int(duration_s * 1000)}
 
 
-def parse_lease(value: Any) -> int:
-    """Return the lease that was granted."""
+def parse_lease(answer: Any) -> int:
+    """Return the lease that was granted; raises Malformed."""
     try:
-        return int(value["permit"])
+        return int(answer["permit"])
     except (TypeError, KeyError, ValueError):
         raise Malformed("lease's answer") from None
--- a/oakmux/codec/users.py
+++ b/oakmux/codec/users.py
@@ -1,30 +1,32 @@
-"""The API for users: submissions, the state of jobs, and the command line's words for both."""
+"""The users' API: submissions, the state of jobs, and the command line's terms for both."""
 
-from typing import Any
+from collections.abc import Callable
+from typing import Any, NamedTuple
 
 import msgspec
 
-from oakmux.codec.cbor import MAX_TEXT, Malformed, check_amount
+from oakmux.codec.cbor import MAX_TEXT, Malformed, is_amount
 from oakmux.core.model import JOB_ID, JobSpec
 
-MAX_TASKS = 100_000
-
 PATH_JOBS = "/api/jobs"
 CANCEL_SUFFIX = "/cancel"
 PATH_HEALTH = "/healthz"
 
-PRIORITIES = {"production": 3, "urgent": 2, "standard": 1, "idle": 0}
-
+MAX_TASKS = 100_000
+MAX_TYPES = 50
 
 KINDS = {"array": "array", "ensemble": "gang", "daemon": "service"}
+"""Kind of a job: the protocol's name, and ours."""
 
+PRIORITIES = {"production": 3, "urgent": 2, "standard": 1, "idle": 0}
+"""Priority of a job: the protocol's name, and the level; higher levels go first."""
 
 JOB_STATES = {"queued": "queued", "running": "running", "done": "done", "cancelled": "aborted"}
+"""State of a job: our name, and the protocol's."""
 
-
-CLI_FIELDS = {
+JOB_FIELDS = {
     "id": "id",
-    "class": "lane",
+    "job_class": "lane",
     "team": "owner",
     "kind": "shape",
     "priority": "rank",
@@ -45,10 +47,15 @@
     "deadline_s": "due_s",
     "waits_on": "waits_on",
 }
+"""Field of a job: our name, and the protocol's."""
 
+CLI_FIELDS = {
+    "class" if ours == "job_class" else ours: theirs for ours, theirs in JOB_FIELDS.items()
+}
+"""Field of a job: the command line's name, and the protocol's."""
 
-CLI_KINDS = {inside: platform for platform, inside in KINDS.items()}
-
+CLI_KINDS = {ours: theirs for theirs, ours in KINDS.items()}
+"""Kind of a job: the command line's name, which is ours, and the protocol's."""
 
 CLI_PRIORITIES = {
     "production": "production",
@@ -56,32 +63,90 @@
     "normal": "standard",
     "low": "idle",
 }
+"""Priority of a job: the command line's name, and the protocol's."""
+
+_CLI_PRIORITY_OF_LEVEL = {PRIORITIES[theirs]: name for name, theirs in CLI_PRIORITIES.items()}
+_STATE_OF_ANSWER = {theirs: ours for ours, theirs in JOB_STATES.items()}
 
 
-class _Submission(msgspec.Struct):
+class _Submission(msgspec.Struct, rename=JOB_FIELDS):
+    """A submission as it is received, with its types checked."""
+
     id: str
-    lane: str
-    owner: str
-    shape: str
-    rank: str
-    pieces: int
-    vcpus: float
-    accelerators: float
+    job_class: str
+    team: str
+    kind: str
+    priority: str
+    tasks: int
+    cpus: float
+    gpus: float
     memory_gb: float
-    bundle: str
-    size_gb: float
-    together: bool
+    image: str
+    image_gb: float
+    one_zone: bool
     spread: bool
-    loaner: bool
-    guess_s: float
-    save_every_s: float
-    save_cost_s: float
-    flavours: list[str] | None = None
-    site: str | None = None
-    due_s: float | None = None
+    spot: bool
+    estimate_s: float
+    checkpoint_s: float
+    save_s: float
+    types: list[str] | None = None
+    zone: str | None = None
+    deadline_s: float | None = None
     waits_on: list[str] | None = None
 
 
+class _Check(NamedTuple):
+    """A check of one field's value and the reason to refuse what fails it."""
+
+    field: str
+    accepts: Callable[[Any], bool]
+    reason: str
+
+
+def _is_name(text: str) -> bool:
+    return 0 < len(text) <= MAX_TEXT
+
+
+def _is_zone(zone: str | None) -> bool:
+    return zone is None or len(zone) <= MAX_TEXT
+
+
+def _are_types(types: list[str] | None) -> bool:
+    return types is None or (
+        len(types) <= MAX_TYPES and all(len(name) <= MAX_TEXT for name in types)
+    )
+
+
+def _is_task_count(tasks: int) -> bool:
+    return 1 <= tasks <= MAX_TASKS
+
+
+def _are_job_ids(job_ids: list[str] | None) -> bool:
+    return all(JOB_ID.match(job_id) for job_id in job_ids or ())
+
+
+# In the order in which a submission with several faults is refused.
+_CHECKS = (
+    _Check("cpus", is_amount, "out of range"),
+    _Check("gpus", is_amount, "out of range"),
+    _Check("memory_gb", is_amount, "out of range"),
+    _Check("image_gb", is_amount, "out of range"),
+    _Check("estimate_s", is_amount, "out of range"),
+    _Check("checkpoint_s", is_amount, "out of range"),
+    _Check("save_s", is_amount, "out of range"),
+    _Check("deadline_s", is_amount, "out of range"),
+    _Check("job_class", _is_name, "out of range"),
+    _Check("team", _is_name, "out of range"),
+    _Check("image", _is_name, "out of range"),
+    _Check("zone", _is_zone, "out of range"),
+    _Check("types", _are_types, "out of range"),
+    _Check("kind", KINDS.__contains__, "unknown"),
+    _Check("priority", PRIORITIES.__contains__, "unknown"),
+    _Check("tasks", _is_task_count, "out of range"),
+    _Check("waits_on", _are_job_ids, "not a job id"),
+)
+
+
 def parse_job_id(value: Any) -> str:
     """Return the job id of a submission; raises Malformed."""
     if not isinstance(value, dict):
@@ -93,118 +158,117 @@
 
 
 def parse_job(value: dict) -> JobSpec:
-    """Check a submission; raises Malformed with a short reason."""
+    """Return the job that a submission describes; raises Malformed with a short reason."""
+    submission = _read_submission(value)
+    for check in _CHECKS:
+        if not check.accepts(getattr(submission, check.field)):
+            raise Malformed(f"{JOB_FIELDS[check.field]}: {check.reason}")
+    return JobSpec(
+        job_class=submission.job_class,
+        team=submission.team,
+        kind=KINDS[submission.kind],
+        priority=PRIORITIES[submission.priority],
+        tasks=submission.tasks,
+        cpus=submission.cpus,
+        gpus=submission.gpus,
+        memory_gb=submission.memory_gb,
+        image=submission.image,
+        image_gb=submission.image_gb,
+        types=submission.types or None,
+        zone=submission.zone,
+        one_zone=submission.one_zone,
+        spread=submission.spread,
+        spot=submission.spot,
+        estimate_s=submission.estimate_s,
+        checkpoint_s=submission.checkpoint_s,
+        save_s=submission.save_s,
+        deadline_s=submission.deadline_s,
+        waits_on=tuple(dict.fromkeys(submission.waits_on or ())),
+    )
+
+
+def _read_submission(value: dict) -> _Submission:
     try:
-        raw = msgspec.convert(value, _Submission)
+        return msgspec.convert(value, _Submission)
     except (msgspec.ValidationError, TypeError, OverflowError) as error:
         raise Malformed(str(error)[:MAX_TEXT]) from None
-    for name in (
-        "vcpus",
-        "accelerators",
-        "memory_gb",
-        "size_gb",
-        "guess_s",
-        "save_every_s",
-        "save_cost_s",
-        "due_s",
-    ):
-        check_amount(name, getattr(raw, name))
-    for name in ("lane", "owner", "bundle"):
-        if not 0 < len(getattr(raw, name)) <= MAX_TEXT:
-            raise Malformed(f"{name}: out of range")
-    if raw.site is not None and len(raw.site) > MAX_TEXT:
-        raise Malformed("site: out of range")
-    if raw.flavours is not None and (
-        len(raw.flavours) > 50 or any(len(name) > MAX_TEXT for name in raw.flavours)
-    ):
-        raise Malformed("flavours: out of range")
-    if raw.shape not in KINDS:
-        raise Malformed("shape: unknown")
-    if raw.rank not in PRIORITIES:
-        raise Malformed("rank: unknown")
-    if not 1 <= raw.pieces <= MAX_TASKS:
-        raise Malformed("pieces: out of range")
-    waits_on = tuple(dict.fromkeys(raw.waits_on or ()))
-    if not all(JOB_ID.match(name) for name in waits_on):
-        raise Malformed("waits_on: not a job id")
-    return JobSpec(
-        raw.lane,
-        raw.owner,
-        KINDS[raw.shape],
-        PRIORITIES[raw.rank],
-        raw.pieces,
-        raw.vcpus,
-        raw.accelerators,
-        raw.memory_gb,
-        raw.bundle,
-        raw.size_gb,
-        raw.flavours or None,
-        raw.site,
-        raw.together,
-        raw.spread,
-        raw.loaner,
-        raw.guess_s,
-        raw.save_every_s,
-        raw.save_cost_s,
-        raw.due_s,
-        waits_on,
-    )
 
 
 def submission_body(job: dict) -> dict:
-    """Translate a job in the command line's words into a submission."""
-    made = {CLI_FIELDS[name]: value for name, value in job.items()}
-    made["shape"] = CLI_KINDS.get(made["shape"], made["shape"])
-    made["rank"] = CLI_PRIORITIES.get(made["rank"], made["rank"])
-    return made
+    """Return the submission of a job that is given in the command line's terms."""
+    body = {CLI_FIELDS[name]: value for name, value in job.items()}
+    kind, priority = JOB_FIELDS["kind"], JOB_FIELDS["priority"]
+    body[kind] = CLI_KINDS.get(body[kind], body[kind])
+    body[priority] = CLI_PRIORITIES.get(body[priority], body[priority])
+    return body
 
 
 def job_description(spec: JobSpec) -> dict:
-    """Return a job in the command line's words, without an id."""
-    priority = {level: name for name, level in PRIORITIES.items()}[spec.priority]
-    row = {
-        "lane": spec.job_class,
-        "owner": spec.team,
-        "pieces": spec.tasks,
-        "vcpus": spec.cpus,
-        "accelerators": spec.gpus,
-        "memory_gb": spec.memory_gb,
-        "bundle": spec.image,
-        "size_gb": spec.image_gb,
-        "flavours": spec.types,
-        "site": spec.zone,
-        "together": spec.one_zone,
-        "spread": spec.spread,
-        "loaner": spec.spot,
-        "guess_s": spec.estimate_s,
-        "save_every_s": spec.checkpoint_s,
-        "save_cost_s": spec.save_s,
-        "due_s": spec.deadline_s,
-    }
-    words = {platform: word for word, platform in CLI_FIELDS.items()}
-    made = {words[name]: value for name, value in row.items() if value is not None}
-    kind = {inside: platform for platform, inside in KINDS.items()}[spec.kind]
-    return {
-        **made,
-        "kind": {v: k for k, v in CLI_KINDS.items()}[kind],
-        "priority": {v: k for k, v in CLI_PRIORITIES.items()}[priority],
+    """Return a job in the command line's terms, without its id and its dependencies."""
+    made = {}
+    for name in CLI_FIELDS:
+        if name not in ("id", "kind", "priority", "waits_on"):
+            value = getattr(spec, "job_class" if name == "class" else name)
+            if value is not None:
+                made[name] = value
+    made["kind"] = spec.kind
+    made["priority"] = _CLI_PRIORITY_OF_LEVEL[spec.priority]
+    return made
+
+
+class JobSummary(NamedTuple):
+    """The state of a job, as a controller answers it."""
+
+    job_id: str
+    state: str
+    completed_tasks: int
+    running_tasks: int
+    waits_on: list[str]
+    """Ids of the jobs that it still waits on."""
+
+
+def job_summary_body(
+    job_id: str, state: str, completed_tasks: int, running_tasks: int, *waits_on: list[str]
+) -> dict:
+    """Return the answer on a job's state; dependencies are in it only if they are given."""
+    body: dict[str, Any] = {
+        "id": job_id,
+        "status": JOB_STATES[state],
+        "done": completed_tasks,
+        "running": running_tasks,
     }
+    if waits_on:
+        body["waits_on"] = waits_on[0]
+    return body
 
 
-def parse_job_state(value: Any) -> tuple[str, str, int, int]:
-    """Return (job, state, done, running) of an answer to a user."""
+def parse_job_summary(value: Any) -> JobSummary:
+    """Read the answer on a job's state; what is missing or unknown is filled in."""
     if not isinstance(value, dict):
-        return "?", "unknown", 0, 0
-    words = {platform: inside for inside, platform in JOB_STATES.items()}
-    return (
+        return JobSummary("?", "unknown", 0, 0, [])
+    waits_on = value.get("waits_on")
+    return JobSummary(
         str(value.get("id")),
-        words.get(value.get("status", ""), "unknown"),
+        _STATE_OF_ANSWER.get(value.get("status", ""), "unknown"),
         value.get("done", 0),
         value.get("running", 0),
+        [str(name) for name in waits_on] if isinstance(waits_on, list) else [],
     )
 
 
-def parse_dependencies(value: Any) -> list[str]:
-    """Return the jobs that a job still waits on, from an answer to a user."""
-    names = value.get("waits_on") if isinstance(value, dict) else None
-    return [str(name) for name in names] if isinstance(names, list) else []
+def health_body(
+    controller_id: str, ready: bool, term: int, roles: list[str], machines: int
+) -> dict:
+    """Return the answer to a health check."""
+    return {
+        "label": controller_id,
+        "ready": ready,
+        "term": term,
+        "teams": roles,
+        "machines": machines,
+    }
+
+
+def error_body(reason: str) -> dict:
+    """Return the answer to a refused request."""
+    return {"error": reason}
--- a/oakmux/codec/workers.py
+++ b/oakmux/codec/workers.py
@@ -1,11 +1,12 @@
-"""Messages of workers: heartbeats, and the commands that they receive."""
+"""The protocol with workers: heartbeats, and the commands that workers receive."""
 
 from typing import Any
 
 import msgspec
 
-from oakmux.codec.cbor import MAX_INT, MAX_TEXT, Malformed, check_amount
+from oakmux.codec.cbor import MAX_INT, MAX_TEXT, Malformed, is_amount
 from oakmux.core.model import Heartbeat, split_task
+from oakmux.task_status import ERROR, EXITED
 
 PATH_HEARTBEAT = "/agent/beat"
 PATH_COMMANDS = "/orders"
@@ -17,9 +18,9 @@
     "flushing": "saving",
     "ended": "exited",
 }
+"""State of a task on its machine: the protocol's name, and ours."""
 
-
-CAUSES = {
+EXIT_REASONS = {
     "done": "done",
     "halted": "stopped",
     "peers": "peers",
@@ -29,79 +30,122 @@
     "in_use": "busy",
     "unknown": "unknown",
 }
-
+"""Reason for which a task exited: the protocol's name, and ours."""
 
 COMMAND_VERBS = {"start": "launch", "stop": "halt", "forget": "forget"}
+"""Command to a worker: our name, and the protocol's."""
+
+_TASK_FIELDS = {
+    "task": "piece",
+    "attempt": "try",
+    "state": "status",
+    "exit_reason": "cause",
+    "saved": "stored",
+}
+_HEARTBEAT_FIELDS = {
+    "machine": "box",
+    "address": "addr",
+    "type": "flavour",
+    "zone": "site",
+    "spot": "loaner",
+    "agent_epoch": "tenure",
+    "sequence": "tick",
+    "fencing_token": "baton",
+    "tasks": "pieces",
+    "notice_s": "warning_s",
+}
 
 
-class _TaskStatus(msgspec.Struct):
-    piece: str
-    attempt: int = msgspec.field(name="try")
-    status: str
-    cause: str | None = None
-    stored: bool | None = None
+class _TaskReport(msgspec.Struct, rename=_TASK_FIELDS):
+    """The status of one attempt at a task, as it is received."""
 
+    task: str
+    attempt: int
+    state: str
+    exit_reason: str | None = None
+    saved: bool | None = None
 
-class _HeartbeatBody(msgspec.Struct):
-    box: str
-    addr: str
-    flavour: str
-    site: str
-    loaner: bool
-    tenure: int
-    tick: int
-    baton: int
-    pieces: list[_TaskStatus]
-    warning_s: float | None = None
+
+class _HeartbeatBody(msgspec.Struct, rename=_HEARTBEAT_FIELDS):
+    """A heartbeat as it is received, with its types checked."""
+
+    machine: str
+    address: str
+    type: str
+    zone: str
+    spot: bool
+    agent_epoch: int
+    sequence: int
+    fencing_token: int
+    tasks: list[_TaskReport]
+    notice_s: float | None = None
 
 
 def parse_heartbeat(value: Any) -> Heartbeat:
-    """Check a worker's report; raises Malformed."""
+    """Check a worker's heartbeat; raises Malformed."""
     try:
-        raw = msgspec.convert(value, _HeartbeatBody)
+        body = msgspec.convert(value, _HeartbeatBody)
     except (msgspec.ValidationError, TypeError, OverflowError) as error:
         raise Malformed(str(error)[:MAX_TEXT]) from None
-    for number in (raw.tenure, raw.tick, raw.baton):
+    for number in (body.agent_epoch, body.sequence, body.fencing_token):
         if not 0 <= number < MAX_INT:
             raise Malformed("integer out of range")
-    check_amount("warning_s", raw.warning_s)
-    if not raw.box or len(raw.box) > MAX_TEXT:
-        raise Malformed("box: out of range")
+    if not is_amount(body.notice_s):
+        raise Malformed(f"{_HEARTBEAT_FIELDS['notice_s']}: out of range")
+    if not 0 < len(body.machine) <= MAX_TEXT:
+        raise Malformed(f"{_HEARTBEAT_FIELDS['machine']}: out of range")
+    return Heartbeat(
+        body.machine,
+        body.address,
+        body.type,
+        body.zone,
+        body.spot,
+        body.agent_epoch,
+        body.sequence,
+        body.fencing_token,
+        body.notice_s,
+        _parse_tasks(body.tasks),
+    )
+
+
+def _parse_tasks(reports: list[_TaskReport]) -> dict[tuple[str, int], tuple[str, str, bool]]:
+    """Return (state, exit reason, saved) of each (task, attempt)."""
     tasks: dict[tuple[str, int], tuple[str, str, bool]] = {}
-    for piece in raw.pieces:
-        state = STATES.get(piece.status)
+    for report in reports:
+        state = STATES.get(report.state)
         if state is None:
-            raise Malformed("status: unknown")
-        if not 0 <= piece.attempt < MAX_INT:
-            raise Malformed("try: out of range")
+            raise Malformed(f"{_TASK_FIELDS['state']}: unknown")
+        if not 0 <= report.attempt < MAX_INT:
+            raise Malformed(f"{_TASK_FIELDS['attempt']}: out of range")
         try:
-            split_task(piece.piece)
+            split_task(report.task)
         except ValueError:
-            raise Malformed("piece: not a task") from None
-        why = CAUSES.get(piece.cause or "", "error" if state == "exited" else "")
-        tasks[(piece.piece, piece.attempt)] = (state, why, bool(piece.stored))
-    return Heartbeat(
-        raw.box,
-        raw.addr,
-        raw.flavour,
-        raw.site,
-        raw.loaner,
-        raw.tenure,
-        raw.tick,
-        raw.baton,
-        raw.warning_s,
-        tasks,
-    )
+            raise Malformed(f"{_TASK_FIELDS['task']}: not a task") from None
+        # A reason that is missing or that we do not know counts as an error of the task.
+        unknown_reason = ERROR if state == EXITED else ""
+        exit_reason = EXIT_REASONS.get(report.exit_reason or "", unknown_reason)
+        tasks[(report.task, report.attempt)] = (state, exit_reason, bool(report.saved))
+    return tasks
+
+
+def command_body(kind: str, task: str, attempt: int, grace_s: float = 0.0) -> dict:
+    """Return one command to a worker: start, stop or forget; only a stop has a grace period."""
+    body: dict[str, Any] = {"verb": COMMAND_VERBS[kind], "piece": task, "try": attempt}
+    if kind == "stop":
+        body["mercy_s"] = grace_s
+    return body
+
+
+def commands_body(fencing_token: int, agent_epoch: int, commands: list[dict]) -> dict:
+    """Return the request that sends commands to a worker."""
+    return {"baton": fencing_token, "tenure": agent_epoch, "orders": commands}
 
 
-def command_body(op: str, task: str, attempt: int, grace_s: float = 0.0) -> dict:
-    """Return one command for a worker."""
-    made: dict[str, Any] = {"verb": COMMAND_VERBS[op], "piece": task, "try": attempt}
-    if op == "stop":
-        made["mercy_s"] = grace_s
-    return made
+def commands_answer_body(fencing_token: int, commands: list[dict]) -> dict:
+    """Return the answer to a heartbeat: commands for the worker."""
+    return {"baton": fencing_token, "orders": commands}
 
 
-def commands_body(fencing_token: int, agent_epoch: int, orders: list[dict]) -> dict:
-    """Return the body of direct orders."""
-    return {"baton": fencing_token, "tenure": agent_epoch, "orders": orders}
+def report_to_body(controller_id: str | None) -> dict:
+    """Return the answer to a heartbeat that names the controller to send heartbeats to."""
+    return {"boss": controller_id} if controller_id else {}
--- a/oakmux/transport/cloud_client.py
+++ b/oakmux/transport/cloud_client.py
@@ -10,13 +10,13 @@
 from oakmux.codec.cbor import Malformed, decode, encode
 from oakmux.codec.cloud import (
     PATH_CATALOGUE,
-    PATH_MACHINES,
+    PATH_INSTANCES,
     PATH_RETURN,
     is_no_capacity,
     parse_catalogue,
-    parse_machines,
-    parse_rented,
-    rent_body,
+    parse_instance_page,
+    parse_rental,
+    rental_body,
     return_body,
 )
 from oakmux.settings import Settings
@@ -69,13 +69,13 @@
         rows: list[tuple] = []
         since = ""
         while True:
-            path = f"{PATH_MACHINES}?page={constants.STATE_PAGE}"
+            path = f"{PATH_INSTANCES}?page={constants.STATE_PAGE}"
             if since:
                 path += f"&since={quote(since)}"
             status, answer = await self._call("GET", path)
             if status != 200:
                 return status, None
-            items, more = parse_machines(answer)
+            items, more = parse_instance_page(answer)
             rows += items
             if not more or not items:
                 return 200, rows
@@ -84,10 +84,10 @@
     async def _rent(
         self, name: str, type_name: str, zone: str, spot: bool, count: int
     ) -> tuple[int, Any]:
-        body = rent_body(name, type_name, zone, spot, count)
-        status, answer = await self._call("POST", PATH_MACHINES, body)
+        body = rental_body(name, type_name, zone, spot, count)
+        status, answer = await self._call("POST", PATH_INSTANCES, body)
         if status == 200:
-            return 200, parse_rented(answer)
+            return 200, parse_rental(answer)
         return status, "no capacity" if is_no_capacity(answer) else None
 
     async def _return(self, names: list[str]) -> tuple[int, Any]:
--- a/oakmux/transport/store_client.py
+++ b/oakmux/transport/store_client.py
@@ -10,17 +10,18 @@
 from oakmux import constants
 from oakmux.codec.cbor import Malformed, decode, encode
 from oakmux.codec.store import (
-    PATH_KV,
+    PATH_ITEMS,
     PATH_LEASES,
-    PATH_TXN,
+    PATH_TRANSACTIONS,
     PATH_WATCH,
     lease_body,
-    parse_events,
-    parse_item,
+    parse_item_page,
     parse_lease,
-    parse_list,
-    parse_txn,
-    txn_body,
+    parse_missing_key,
+    parse_transaction_result,
+    parse_value,
+    parse_watch_events,
+    transaction_body,
 )
 from oakmux.core.state.records import PREFIX, value_bytes
 from oakmux.settings import Settings
@@ -180,8 +181,8 @@
         return status, decode(answer) if answer else None
 
     async def _txn(self, guards: list, writes: list, _: int) -> tuple[int, Any]:
-        body = txn_body(guards, writes)
-        status, answer = await self._call("POST", PATH_TXN, body)
+        body = transaction_body(guards, writes)
+        status, answer = await self._call("POST", PATH_TRANSACTIONS, body)
         if writes and log.isEnabledFor(logging.DEBUG):
             log.debug(
                 "event=txn status=%s changes=%s",
@@ -189,7 +190,7 @@
                 ",".join(write[0] if len(write) > 1 else f"-{write[0]}" for write in writes),
             )
         if status in (200, 409):
-            return status, parse_txn(answer)
+            return status, parse_transaction_result(answer)
         if status in (400, 429):
             self._refused(status, guards, writes, answer)
         return (status if status == 400 else 503 if status in (429, 503) else 0), None
@@ -212,11 +213,11 @@
         )
 
     async def _get(self, key: str, _: int) -> tuple[int, Any]:
-        status, answer = await self._call("GET", f"{PATH_KV}/{quote(key)}")
+        status, answer = await self._call("GET", f"{PATH_ITEMS}/{quote(key)}")
         if status == 200:
-            return 200, parse_item(answer)
+            return 200, parse_value(answer)
         if status == 404:
-            return 404, (None, parse_txn(answer)[0])
+            return 404, (None, parse_missing_key(answer))
         return (503 if status in (429, 503) else 0), None
 
     async def _grant(self, life_s: float) -> tuple[int, Any]:
@@ -252,7 +253,7 @@
                     path, constants.WATCH_BLOCK_S + constants.STATE_TIMEOUT_S
                 )
                 if status == 200:
-                    events, revision = parse_events(answer)
+                    events, revision = parse_watch_events(answer)
                     self.put(("watch", events, revision, asked))
                     tries = 0
                     await asyncio.sleep(max(0.0, asked + self.watch_gap - loop.time()))
@@ -273,13 +274,13 @@
         since, first = "", None
         asked = asyncio.get_running_loop().time()
         while True:
-            path = f"{PATH_KV}?prefix={PREFIX}&page={constants.STATE_PAGE}"
+            path = f"{PATH_ITEMS}?prefix={PREFIX}&page={constants.STATE_PAGE}"
             if since:
                 path += f"&since={quote(since)}"
             status, answer = await self._paced(path, 2 * constants.STATE_TIMEOUT_S)
             if status != 200:
                 raise NoResponse(f"status {status}")
-            items, more, revision = parse_list(answer)
+            items, more, revision = parse_item_page(answer)
             rows += items
             first = revision if first is None else first
             if not more or not items:
--- a/tests/recorded.py
+++ b/tests/recorded.py
@@ -21,11 +21,10 @@
 from oakmux.codec.answers import answer_body
 from oakmux.codec.cbor import decode, encode
 from oakmux.codec.cloud import parse_catalogue
-from oakmux.codec.store import txn_body
+from oakmux.codec.store import transaction_body
 from oakmux.codec.users import (
     job_description,
-    parse_dependencies,
-    parse_job_state,
+    parse_job_summary,
     submission_body,
 )
 from oakmux.codec.workers import command_body, commands_body
@@ -396,7 +395,7 @@
     if kind == "orders":
         return ["orders", effect[2], commands_body(*effect[3:])]
     if kind == "txn":
-        body = txn_body(effect[2], effect[3])
+        body = transaction_body(effect[2], effect[3])
         ordered = {name: sorted(rows, key=encode) for name, rows in body.items()}
         return ["txn", ordered, effect[4]]
     return [kind, *effect[2:]]
@@ -1065,8 +1064,8 @@
         made[f"words/{name}/submission"] = submission_body({"id": "job-1", **said})
     for state in ("queued", "running", "done", "aborted", "x"):
         body = {"id": "job-1", "status": state, "done": 3, "running": 4, "waits_on": ["job-2"]}
-        made[f"words/state/{state}"] = [*parse_job_state(body), parse_dependencies(body)]
-    made["words/state/none"] = [*parse_job_state(None), parse_dependencies(None)]
+        made[f"words/state/{state}"] = [*parse_job_summary(body)]
+    made["words/state/none"] = [*parse_job_summary(None)]
     return made
 
 
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -12,7 +12,7 @@
 from oakmux import constants, settings
 from oakmux.cli import main
 from oakmux.codec.cbor import Malformed, decode, encode
-from oakmux.codec.store import PATH_LEASES, PATH_TXN
+from oakmux.codec.store import PATH_LEASES, PATH_TRANSACTIONS
 from oakmux.codec.users import parse_job, parse_job_id
 from oakmux.codec.workers import parse_heartbeat
 from oakmux.core.state.records import (
@@ -420,7 +420,7 @@
         state.submit("txn", 1, [], [("k", 1, None)], 1)
         state.submit("txn", 2, [], [("user", 1, None)], 0)
         await turns()
-        assert sent == [PATH_TXN] and state.changes.level < -state.changes.rate
+        assert sent == [PATH_TRANSACTIONS] and state.changes.level < -state.changes.rate
         state.changes.level = -3 * state.changes.rate
         state.submit("txn", 3, [], [("user", 1, None)], 0)
         await turns()
@@ -480,7 +480,7 @@
         assert put[0][0] == "short" and not sent
         state.credit(2e6)
         await turns()
-        assert sent == [PATH_TXN]
+        assert sent == [PATH_TRANSACTIONS]
 
     with_state(play)
 
--- a/tools/scale/cloud.py
+++ b/tools/scale/cloud.py
@@ -8,7 +8,7 @@
 from urllib.parse import parse_qs, urlsplit
 
 from oakmux.codec.cbor import decode, encode
-from oakmux.codec.cloud import PATH_CATALOGUE, PATH_MACHINES, PATH_RETURN
+from oakmux.codec.cloud import PATH_CATALOGUE, PATH_INSTANCES, PATH_RETURN
 from oakmux.transport.http import Client, NoResponse, Request, RequestNotSent
 from oakmux.transport.rate_limit import TokenBucket
 from tools.scale.config import RunConfig
@@ -99,9 +99,9 @@
             answer(request, 200, {"flavours": [self.flavour()]})
         elif parts.path == PATH_RETURN:
             self.spawn(self._return(request))
-        elif parts.path == PATH_MACHINES and request.method == "POST":
+        elif parts.path == PATH_INSTANCES and request.method == "POST":
             self._rent(request)
-        elif parts.path == PATH_MACHINES:
+        elif parts.path == PATH_INSTANCES:
             query = {name: row[0] for name, row in parse_qs(parts.query).items()}
             self._list(request, query.get("since", ""), int(query.get("page", MOST_LISTED)))
         else:
--- a/tools/scale/state_service.py
+++ b/tools/scale/state_service.py
@@ -6,7 +6,7 @@
 from urllib.parse import parse_qs, unquote, urlsplit
 
 from oakmux.codec.cbor import Malformed, decode
-from oakmux.codec.store import PATH_KV, PATH_LEASES, PATH_TXN, PATH_WATCH
+from oakmux.codec.store import PATH_ITEMS, PATH_LEASES, PATH_TRANSACTIONS, PATH_WATCH
 from oakmux.transport.http import Request
 from tools.scale.plan import Plan
 from tools.scale.serving import answer, listen, write_summary
@@ -137,7 +137,7 @@
         parts = urlsplit(request.path)
         query = {name: values[0] for name, values in parse_qs(parts.query).items()}
         path, method = parts.path, request.method
-        if path == PATH_TXN and method == "POST":
+        if path == PATH_TRANSACTIONS and method == "POST":
             body = decode(request.body)
             revision = self.store.transact(now, body.get("guards") or [], body.get("writes") or [])
             answer(request, 200, {"epoch": revision})
@@ -148,7 +148,7 @@
             watch = Watch(request, query["prefix"], int(query["since"]), until)
             if not self._told(watch, now):
                 self.watches[label].append(watch)
-        elif path == PATH_KV and method == "GET":
+        elif path == PATH_ITEMS and method == "GET":
             answer(
                 request,
                 200,
@@ -156,8 +156,8 @@
                     query["prefix"], query.get("since", ""), int(query.get("page", 1000))
                 ),
             )
-        elif path.startswith(PATH_KV + "/") and method == "GET":
-            answer(request, 200, self.store.get(unquote(path[len(PATH_KV) + 1 :])))
+        elif path.startswith(PATH_ITEMS + "/") and method == "GET":
+            answer(request, 200, self.store.get(unquote(path[len(PATH_ITEMS) + 1 :])))
         elif path.startswith(PATH_LEASES):
             self._lease(request, path, method, now)
         else:
