--- a/oakmux/codec/answers.py
+++ b/oakmux/codec/answers.py
@@ -28,8 +28,7 @@
 
 def answer_body(answer: tuple) -> Any:
     """Return the body of an answer, a kind followed by its fields; raises ValueError."""
-    kind, *fields = answer
-    encode_body = _BODIES.get(kind)
-    if encode_body is None:
-        raise ValueError(f"unknown answer {kind}")
-    return encode_body(*fields)
+    body_of = _BODIES.get(answer[0])
+    if body_of is None:
+        raise ValueError(f"unknown answer {answer[0]}")
+    return body_of(*answer[1:])
--- a/oakmux/codec/users.py
+++ b/oakmux/codec/users.py
@@ -160,9 +160,9 @@
 def parse_job(value: dict) -> JobSpec:
     """Return the job that a submission describes; raises Malformed with a short reason."""
     submission = _read_submission(value)
-    for check in _CHECKS:
-        if not check.accepts(getattr(submission, check.field)):
-            raise Malformed(f"{JOB_FIELDS[check.field]}: {check.reason}")
+    for field, accepts, reason in _CHECKS:
+        if not accepts(getattr(submission, field)):
+            raise Malformed(f"{JOB_FIELDS[field]}: {reason}")
     return JobSpec(
         job_class=submission.job_class,
         team=submission.team,
