--- a/oakmux/core/autoscaling/scale_in.py
+++ b/oakmux/core/autoscaling/scale_in.py
@@ -61,7 +61,7 @@
             machine.idle_since is not None
             and is_reachable(machine)
             and self.returns.is_empty(machine.name)
-            and not context.backfill.names(machine.name)
+            and not context.backfill.is_reserved(machine.name)
             # During an outage of the store no task can start, so idle time counts from its end.
             and context.now - max(machine.idle_since, context.store_recovered_at)
             > constants.IDLE_KEEP_S
--- a/oakmux/core/controller.py
+++ b/oakmux/core/controller.py
@@ -81,7 +81,7 @@
             "move": self.agents.commands.move,
             "drain": self._drain,
             "gone": self._gone,
-            "opening": self.context.backfill.take,
+            "opening": self.context.backfill.announced,
             "borrow": lambda label, wanted: self.context.emit("lend", label, wanted),
             "lent": lambda given: self.context.emit("credit", given),
         }
--- a/oakmux/core/resources.py
+++ b/oakmux/core/resources.py
@@ -38,13 +38,13 @@
     )
 
 
-def task_capacity(free: Resources, spec: JobSpec) -> int:
-    """Return how many tasks of a job fit into the free resources; 1 if a task needs nothing."""
+def task_capacity(free: Resources, need: JobSpec | Resources) -> int:
+    """Return how many tasks fit into the free resources; 1 if a task needs nothing."""
     most = math.inf
-    if spec.gpus > 0:
-        most = (free.gpus + constants.EPSILON) / spec.gpus
-    if spec.cpus > 0:
-        most = min(most, (free.cpus + constants.EPSILON) / spec.cpus)
-    if spec.memory_gb > 0:
-        most = min(most, (free.memory_gb + constants.EPSILON) / spec.memory_gb)
+    if need.gpus > 0:
+        most = (free.gpus + constants.EPSILON) / need.gpus
+    if need.cpus > 0:
+        most = min(most, (free.cpus + constants.EPSILON) / need.cpus)
+    if need.memory_gb > 0:
+        most = min(most, (free.memory_gb + constants.EPSILON) / need.memory_gb)
     return 1 if most == math.inf else max(0, math.floor(most))
--- a/oakmux/core/scheduling/backfill_candidates.py
+++ b/oakmux/core/scheduling/backfill_candidates.py
@@ -1,71 +1,78 @@
-"""Machines as an opening sees them: when what is on them ends, and what a stop would lose."""
+"""Machines as candidates for a backfill reservation: when their tasks end, and what preempting
+them loses."""
 
 import math
 from collections.abc import Iterable
+from typing import NamedTuple
 
 from oakmux import constants
 from oakmux.core.agents.capacity import free_resources
 from oakmux.core.context import Context, Machine, Task
 from oakmux.core.model import JobSpec
+from oakmux.core.resources import Resources
 from oakmux.core.scheduling import quotas
-from oakmux.core.scheduling.backfill_plan import BackfillCandidate, Held
+from oakmux.core.scheduling.backfill_plan import BackfillCandidate, CandidateTask
 from oakmux.core.state.records import Binding, Job
+from oakmux.task_status import RUNNING
 
 
-def left_s(context: Context, machine: Machine, task: Task, spec: JobSpec) -> float:
-    """Return the seconds until a task ends by itself, by its owner's estimate."""
+class BoundTask(NamedTuple):
+    """A task of another job, bound to a machine."""
+
+    job: Job
+    spec: JobSpec
+    task_index: int
+    binding: Binding
+
+    @property
+    def task(self) -> Task:
+        """The task's name and attempt."""
+        return f"{self.job.id}/{self.task_index}", self.binding.attempt
+
+
+def remaining_s(context: Context, machine: Machine, task: Task, spec: JobSpec) -> float:
+    """Return the seconds until a task ends by itself, by the job's estimate."""
     if spec.kind == "service":
         return math.inf
     state = machine.tasks.get(task, ("",))[0]
-    ran = context.now - machine.since.get(task, context.now)
-    if state != "running":  # it has yet to fetch its image, or to meet its gang
+    if state != RUNNING:  # it has yet to fetch its image, or waits for the rest of its gang
         return spec.estimate_s + context.fetch_s(spec, machine.type)
-    overrun = max(constants.OVERRUN_LEAST_S, constants.OVERRUN_SHARE * ran)
-    return max(spec.estimate_s - ran, overrun if ran > spec.estimate_s else 0.0)
+    ran_s = context.now - machine.since.get(task, context.now)
+    overrun_s = max(constants.OVERRUN_LEAST_S, constants.OVERRUN_SHARE * ran_s)
+    return max(spec.estimate_s - ran_s, overrun_s if ran_s > spec.estimate_s else 0.0)
 
 
-def sites(
+def candidates_for(
     context: Context, job: Job, spec: JobSpec, machines: Iterable[Machine]
 ) -> list[BackfillCandidate]:
-    """Return machines for a job that looks for room on them."""
-    beyond = quotas.beyond(context, job, spec, quotas.usage(context))
-    found = []
+    """Return machines as candidates for a job's backfill reservation."""
+    over_guarantee = quotas.beyond(context, job, spec, quotas.usage(context))
+    candidates = []
     for machine in machines:
-        held = []
-        for (name, index), binding in context.replica.by_machine.get(machine.name, {}).items():
-            other = context.replica.jobs.get(name)
-            if other is not None and other.spec is not None and name != job.id:
-                held.append(
-                    _held(context, job, machine, other, other.spec, index, binding, beyond)
-                )
+        tasks = []
+        for (job_id, index), binding in context.replica.by_machine.get(machine.name, {}).items():
+            other = context.replica.jobs.get(job_id)
+            if other is not None and other.spec is not None and job_id != job.id:
+                bound = BoundTask(other, other.spec, index, binding)
+                tasks.append(_candidate_task(context, job, machine, bound, over_guarantee))
         free = free_resources(context, machine)
-        found.append(
-            BackfillCandidate(
-                machine.name, machine.zone, (free.cpus, free.gpus, free.memory_gb), tuple(held)
-            )
-        )
-    return found
+        candidates.append(BackfillCandidate(machine.name, machine.zone, free, tuple(tasks)))
+    return candidates
 
 
-def _held(
-    context: Context,
-    job: Job,
-    machine: Machine,
-    other: Job,
-    spec: JobSpec,
-    index: int,
-    binding: Binding,
-    beyond: list[str],
-) -> Held:
-    task = (f"{other.id}/{index}", binding.attempt)
-    takes = (spec.cpus, spec.gpus, spec.memory_gb)
+def _candidate_task(
+    context: Context, job: Job, machine: Machine, bound: BoundTask, over_guarantee: list[str]
+) -> CandidateTask:
+    other, spec, _, binding = bound
+    resources = Resources(spec.cpus, spec.gpus, spec.memory_gb)
     if binding.stop or other.final:
-        return Held(takes, 0.0, 0.0)
-    if (
+        return CandidateTask(resources, 0.0, 0.0)
+    is_preemptible = (
         spec.kind != "service"
         and not spec.joint
-        and (other.priority < job.priority or other.team in beyond)
-    ):
-        ran = context.now - machine.since.get(task, context.now)
-        return Held(takes, 0.0, min(ran, spec.save_s) if spec.checkpoint_s else ran)
-    return Held(takes, left_s(context, machine, task, spec), 0.0)
+        and (other.priority < job.priority or other.team in over_guarantee)
+    )
+    if not is_preemptible:
+        return CandidateTask(resources, remaining_s(context, machine, bound.task, spec), 0.0)
+    ran_s = context.now - machine.since.get(bound.task, context.now)
+    return CandidateTask(resources, 0.0, min(ran_s, spec.save_s) if spec.checkpoint_s else ran_s)
--- a/oakmux/core/scheduling/backfill_plan.py
+++ b/oakmux/core/scheduling/backfill_plan.py
@@ -1,10 +1,11 @@
-"""Which machines to open for a gang that finds no room: chosen so that all are free soonest.
-
-A gang of many tasks once waited until chance left it room: what ended on one machine was taken by
-younger gangs before the next machine was free, and holding free room for it let that stand idle.
-An opening names the machines in advance. Nothing that could not be stopped for the gang goes there
-any more; arrays still may, since they give way at the moment when all is ready. So nothing stands
-idle, nothing is moved that ends in time, and a plan that is dropped leaves nothing half done.
+"""Plans a backfill reservation: which machines to keep for a gang so that all are free soonest.
+
+Without it a gang of many tasks waits until it finds enough capacity by chance: younger gangs take
+what ends on one machine before the next machine is free, and holding free capacity leaves that
+idle. A reservation names the machines in advance. Work that can't be preempted for the gang is no
+longer placed there unless it ends in time. Arrays still are, since they are preempted when all is
+ready. So no capacity stands idle, nothing that ends in time is moved, and a plan that is dropped
+leaves nothing half done.
 """
 
 import heapq
@@ -13,14 +14,14 @@
 from typing import NamedTuple
 
 from oakmux import constants
+from oakmux.core.resources import NO_RESOURCES, Resources, task_capacity
 
-Resources = tuple[float, float, float]
-"""CPUs, GPUs, memory (GB)."""
 
+class CandidateTask(NamedTuple):
+    """A task on a machine, and when its resources can be had.
 
-class Held(NamedTuple):
-    """A task that is on a machine: what it takes, in how many seconds its room can be had, and the
-    seconds of work that are lost thereby. Infinite: never."""
+    `ready_s`: in how many seconds; infinite if never. `lost_s`: seconds of work that are lost.
+    """
 
     resources: Resources
     ready_s: float
@@ -28,16 +29,20 @@
 
 
 class BackfillCandidate(NamedTuple):
-    """A machine as far as an opening is concerned."""
+    """A machine that may become part of a backfill reservation."""
 
     name: str
     zone: str
     free: Resources
-    held: tuple[Held, ...]
+    tasks: tuple[CandidateTask, ...]
 
 
 class BackfillPlan(NamedTuple):
-    """Machines to open, with the tasks that each is for; when all are ready, and what is lost."""
+    """The number of tasks that each machine is reserved for.
+
+    All are ready in `ready_s` seconds, at the loss of `lost_s` seconds of work. `zone` is None
+    where the gang may use several.
+    """
 
     zone: str | None
     machines: dict[str, int]
@@ -45,130 +50,164 @@
     lost_s: float
 
 
-class SlotOffer(NamedTuple):
-    """Room for one task more on a machine: when it is ready, what is lost for it."""
+class TaskSlot(NamedTuple):
+    """Capacity for one more task on a machine: ready in `ready_s` at the loss of `lost_s`."""
 
     ready_s: float
     lost_s: float
-    name: str
+    machine: str
 
 
-def fits(need: Resources, free: Resources) -> int:
-    """Return how many tasks fit into free room; as many as there may be if they need nothing."""
-    counts = [
-        math.floor((have + constants.EPSILON) / want)
-        for want, have in zip(need, free, strict=True)
-        if want > 0
-    ]
-    return max(0, min(counts, default=constants.CHUNK_TASKS))
-
-
-def parts(need: Resources, site: BackfillCandidate, most: int) -> list[SlotOffer]:
-    """Return the room for one task after another on a machine, the soonest first: what ends or can
-    be stopped goes in that order, and what was not needed for the room stays."""
-    rows: list[SlotOffer] = []
-    gone: list[Held] = []
-    free = site.free
-    found = fits(need, free)
-    rows += [SlotOffer(0.0, 0.0, site.name)] * min(found, most)
-    for held in sorted(site.held, key=lambda held: (held.ready_s, held.lost_s)):
-        if len(rows) >= most or held.ready_s == math.inf:
+class PlanRank(NamedTuple):
+    """Order of plans; the least is chosen. Keeping the previous machines lowers `ready_s`."""
+
+    ready_s: float
+    lost_s: float
+
+
+class SlotRank(NamedTuple):
+    """Order of the slots that are ready in time; the least is chosen first."""
+
+    new_machine: bool
+    lost_s: float
+    ready_s: float
+    machine: str
+
+
+def tasks_that_fit(need: Resources, free: Resources) -> int:
+    """Return how many tasks fit into free resources; as many as a record can hold if a task needs
+    nothing."""
+    if need == NO_RESOURCES:
+        return constants.CHUNK_TASKS
+    return task_capacity(free, need)
+
+
+def task_slots(need: Resources, candidate: BackfillCandidate, most: int) -> list[TaskSlot]:
+    """Return up to `most` slots on a machine, the soonest first.
+
+    Tasks end or are preempted in the order in which that is possible. Those that turn out not to
+    be needed stay.
+    """
+    free = candidate.free
+    found = tasks_that_fit(need, free)
+    slots = [TaskSlot(0.0, 0.0, candidate.name)] * min(found, most)
+    ended: list[CandidateTask] = []
+    for task in sorted(candidate.tasks, key=lambda task: (task.ready_s, task.lost_s)):
+        if len(slots) >= most or task.ready_s == math.inf:
             break
-        gone.append(held)
-        count = fits(need, _plus(free, gone))
+        ended.append(task)
+        free_after = _released(free, ended)
+        count = tasks_that_fit(need, free_after)
         if count > found:
-            needed = _needed(need, gone, _plus(free, gone), count)
-            free = _plus(free, needed)
-            gone = [held for held in gone if held not in needed]
-            rows.append(
-                SlotOffer(
-                    max(held.ready_s for held in needed),
-                    sum(held.lost_s for held in needed),
-                    site.name,
-                )
-            )
-            rows += [SlotOffer(rows[-1].ready_s, 0.0, site.name)] * (count - found - 1)
+            needed = _needed_tasks(need, ended, free_after, count)
+            free = _released(free, needed)
+            ended = [task for task in ended if task not in needed]
+            ready_s = max(task.ready_s for task in needed)
+            lost_s = sum(task.lost_s for task in needed)
+            slots.append(TaskSlot(ready_s, lost_s, candidate.name))
+            slots += [TaskSlot(ready_s, 0.0, candidate.name)] * (count - found - 1)
             found = count
-    return rows[:most]
+    return slots[:most]
+
 
+def _needed_tasks(
+    need: Resources, ended: list[CandidateTask], free: Resources, count: int
+) -> list[CandidateTask]:
+    """Return the tasks that must end so that `count` tasks fit; the costliest are spared first.
 
-def _needed(need: Resources, gone: list[Held], free: Resources, count: int) -> list[Held]:
-    """Spare what the room does not need, the dearest first."""
-    needed = list(gone)
-    for held in sorted(gone, key=lambda held: (-held.ready_s, -held.lost_s)):
-        less = (
-            free[0] - held.resources[0],
-            free[1] - held.resources[1],
-            free[2] - held.resources[2],
+    `free` is what is free once all of `ended` have ended.
+    """
+    needed = list(ended)
+    for task in sorted(ended, key=lambda task: (-task.ready_s, -task.lost_s)):
+        less = Resources(
+            free.cpus - task.resources.cpus,
+            free.gpus - task.resources.gpus,
+            free.memory_gb - task.resources.memory_gb,
         )
-        if len(needed) > 1 and fits(need, less) >= count:
-            needed.remove(held)
+        if len(needed) > 1 and tasks_that_fit(need, less) >= count:
+            needed.remove(task)
             free = less
     return needed
 
 
-def _plus(free: Resources, held: Iterable[Held]) -> Resources:
-    for one in held:
-        free = (free[0] + one.resources[0], free[1] + one.resources[1], free[2] + one.resources[2])
-    return free
+def _released(free: Resources, tasks: Iterable[CandidateTask]) -> Resources:
+    """Return what is free once tasks have ended."""
+    cpus, gpus, memory_gb = free.cpus, free.gpus, free.memory_gb
+    for task in tasks:
+        cpus += task.resources.cpus
+        gpus += task.resources.gpus
+        memory_gb += task.resources.memory_gb
+    return Resources(cpus, gpus, memory_gb)
 
 
-def choose(
+def choose_plan(
     need: Resources,
     tasks: int,
-    sites: Iterable[BackfillCandidate],
+    candidates: Iterable[BackfillCandidate],
     one_zone: bool,
-    kept: Mapping[str, int] | None = None,
+    previous: Mapping[str, int] | None = None,
 ) -> BackfillPlan | None:
-    """Return the machines to open for all tasks of a gang, or None if there never is room.
+    """Return the machines to reserve for all tasks of a gang, or None if they never suffice.
 
-    The zone (or the whole fleet) whose room is ready first is taken; in it, of all room that is
-    ready by then, what costs least. `kept` is what was chosen before: it stays unless other room
-    is ready sooner by OPENING_MARGIN_S, so that the plan does not go back and forth.
+    The zone (or all zones together) with capacity for all tasks soonest is chosen; in it, of the
+    capacity that is ready by then, what costs least. The `previous` plan's machines are kept
+    unless others are ready sooner by OPENING_MARGIN_S, so that plans don't alternate.
     """
-    groups: dict[str | None, list[SlotOffer]] = {}
-    was = kept or {}
-    for site in sites:
-        groups.setdefault(site.zone if one_zone else None, []).extend(parts(need, site, tasks))
-    best: tuple[float, float, BackfillPlan] | None = None
-    for zone, rows in groups.items():
-        if len(rows) < tasks:
-            continue
-        by = heapq.nsmallest(tasks, (row.ready_s for row in rows))[-1]
-        chosen = _cheapest(rows, tasks, by, was)
-        machines: dict[str, int] = {}
-        for row in chosen:
-            machines[row.name] = machines.get(row.name, 0) + 1
-        lost = sum(row.lost_s for row in chosen)
-        ready = max(row.ready_s for row in chosen)
-        staying = sum(min(count, was.get(name, 0)) for name, count in machines.items())
-        rank = ready - constants.OPENING_MARGIN_S * staying / tasks
-        if best is None or (rank, lost) < best[:2]:
-            best = rank, lost, BackfillPlan(zone, machines, ready, lost)
-    return None if best is None else best[2]
-
-
-def _cheapest(
-    rows: list[SlotOffer], tasks: int, by: float, kept: Mapping[str, int]
-) -> list[SlotOffer]:
-    """Take the cheapest room that is ready in time, of each machine what comes first there."""
-    by += min(by, constants.OPENING_MARGIN_S)
-    waiting: dict[str, list[SlotOffer]] = {}
-    for row in reversed(rows):
-        if row.ready_s <= by:
-            waiting.setdefault(row.name, []).append(row)
-
-    def key(row: SlotOffer) -> tuple[bool, float, float, str]:
-        return row.name not in kept, row.lost_s, row.ready_s, row.name
-
-    heap = [(key(line[-1]), line) for line in waiting.values()]
+    previous = previous or {}
+    groups: dict[str | None, list[TaskSlot]] = {}
+    for candidate in candidates:
+        zone = candidate.zone if one_zone else None
+        groups.setdefault(zone, []).extend(task_slots(need, candidate, tasks))
+    plans = [
+        _plan_in_zone(zone, slots, tasks, previous)
+        for zone, slots in groups.items()
+        if len(slots) >= tasks
+    ]
+    return min(plans, key=lambda plan: _plan_rank(plan, tasks, previous), default=None)
+
+
+def _plan_in_zone(
+    zone: str | None, slots: list[TaskSlot], tasks: int, previous: Mapping[str, int]
+) -> BackfillPlan:
+    ready_s = heapq.nsmallest(tasks, (slot.ready_s for slot in slots))[-1]
+    chosen = _cheapest_slots(slots, tasks, ready_s, previous)
+    machines: dict[str, int] = {}
+    for slot in chosen:
+        machines[slot.machine] = machines.get(slot.machine, 0) + 1
+    return BackfillPlan(
+        zone,
+        machines,
+        max(slot.ready_s for slot in chosen),
+        sum(slot.lost_s for slot in chosen),
+    )
+
+
+def _plan_rank(plan: BackfillPlan, tasks: int, previous: Mapping[str, int]) -> PlanRank:
+    kept = sum(min(count, previous.get(name, 0)) for name, count in plan.machines.items())
+    return PlanRank(plan.ready_s - constants.OPENING_MARGIN_S * kept / tasks, plan.lost_s)
+
+
+def _cheapest_slots(
+    slots: list[TaskSlot], tasks: int, ready_s: float, previous: Mapping[str, int]
+) -> list[TaskSlot]:
+    """Choose the cheapest slots that are ready in time, on each machine in their order."""
+    deadline_s = ready_s + min(ready_s, constants.OPENING_MARGIN_S)
+    by_machine: dict[str, list[TaskSlot]] = {}  # the next slot of a machine is the last
+    for slot in reversed(slots):
+        if slot.ready_s <= deadline_s:
+            by_machine.setdefault(slot.machine, []).append(slot)
+
+    def rank(slot: TaskSlot) -> SlotRank:
+        return SlotRank(slot.machine not in previous, slot.lost_s, slot.ready_s, slot.machine)
+
+    heap = [(rank(remaining[-1]), remaining) for remaining in by_machine.values()]
     heapq.heapify(heap)
-    chosen: list[SlotOffer] = []
+    chosen: list[TaskSlot] = []
     while heap and len(chosen) < tasks:
-        _, line = heap[0]
-        chosen.append(line.pop())
-        if line:
-            heapq.heapreplace(heap, (key(line[-1]), line))
+        _, remaining = heap[0]
+        chosen.append(remaining.pop())
+        if remaining:
+            heapq.heapreplace(heap, (rank(remaining[-1]), remaining))
         else:
             heapq.heappop(heap)
     return chosen
--- /dev/null
+++ b/oakmux/core/scheduling/backfill_planner.py
@@ -0,0 +1,127 @@
+"""Keeps the backfill reservations of the shard's gangs up to date and announces them to peers."""
+
+import math
+
+from oakmux import constants
+from oakmux.core.context import Context, event
+from oakmux.core.model import JobSpec
+from oakmux.core.resources import Resources
+from oakmux.core.scheduling.backfill_candidates import candidates_for
+from oakmux.core.scheduling.backfill_plan import BackfillPlan, choose_plan
+from oakmux.core.scheduling.machine_index import MachineIndex
+from oakmux.core.scheduling.minimum_share import machine_share
+from oakmux.core.scheduling.pending_job import PendingJob
+from oakmux.core.scheduling.queue_order import is_starving
+from oakmux.core.state.records import FORMAT_COMPACT, Job
+
+
+class BackfillPlanner:
+    """Plans which machines are reserved for a gang until capacity for all its tasks is free."""
+
+    def __init__(self, context: Context, index: MachineIndex) -> None:
+        self.context = context
+        self.index = index
+
+    def is_required(self, job: Job, spec: JobSpec) -> bool:
+        """Whether a gang gets a backfill reservation although the setting is off.
+
+        That is so for a large gang that starves. Smaller gangs find capacity without, and many
+        reservations at a time cost other work more than they gain.
+        """
+        if not is_starving(self.context, job):
+            return False
+        machines = max(
+            (
+                spec.tasks * machine_share(spec, kind)
+                for kind in self.context.types.values()
+                if self.context.fits_type(spec, kind.name)
+            ),
+            default=0.0,
+        )
+        large = min(
+            constants.OPENING_MACHINES,
+            constants.OPENING_SHARE * len(self.index.feasible(spec, self.context.facts.zones)),
+        )
+        return machines >= large
+
+    def update(self, job: Job, spec: JobSpec, state: PendingJob) -> bool:
+        """Plan a gang's backfill reservation anew and announce it; return whether it has one.
+
+        Called where there is no capacity for all tasks even with preemption. With a reservation
+        the gang holds nothing, and requests all capacity at once when all of it is ready.
+        """
+        context = self.context
+        if not self._is_eligible(job, spec):
+            return False
+        if context.now < state.next_backfill_at:  # the announcement is valid for longer than that
+            return bool(state.backfill_machines)
+        state.next_backfill_at = context.now + constants.OPENING_EVERY_S
+        plan = self._plan(job, spec, state)
+        if plan is None:
+            return False
+        if set(plan.machines) != set(state.backfill_machines):
+            event(
+                "backfill_reservation",
+                job=job.id,
+                zone=plan.zone,
+                machines=len(plan.machines),
+                ready_s=round(plan.ready_s),
+                lost_s=round(plan.lost_s),
+                kept=len(plan.machines.keys() & state.backfill_machines.keys()),
+            )
+        state.backfill_machines = plan.machines
+        self._announce(job, list(plan.machines), plan.ready_s)
+        return True
+
+    def _is_eligible(self, job: Job, spec: JobSpec) -> bool:
+        """Whether a gang may have a backfill reservation at all."""
+        return (
+            (self.context.settings.spread.openings or self.is_required(job, spec))
+            and self.context.replica.format >= FORMAT_COMPACT
+            and spec.tasks >= constants.OPENING_TASKS
+            and not spec.spread
+            and self.context.wall_clock_ms - job.since >= 1000 * constants.OPENING_AFTER_S
+        )
+
+    def _plan(self, job: Job, spec: JobSpec, state: PendingJob) -> BackfillPlan | None:
+        """Choose the machines to reserve, with spare ones if there are enough; None if there is
+        no acceptable plan."""
+        context = self.context
+        feasible = self.index.feasible(spec, context.facts.zones)
+        reserved = self.index.bitmap(context.backfill.reserved_before(job))
+        candidates = candidates_for(
+            context,
+            job,
+            spec,
+            self.index.sample(
+                feasible - reserved, constants.OPENING_LOOKS, state.excluded_machines
+            ),
+        )
+        need = Resources(spec.cpus, spec.gpus, spec.memory_gb)
+        spare = math.ceil(spec.tasks * constants.OPENING_SPARE)
+        plan = choose_plan(
+            need, spec.tasks + spare, candidates, spec.one_zone, state.backfill_machines
+        ) or choose_plan(need, spec.tasks, candidates, spec.one_zone, state.backfill_machines)
+        if plan is None or plan.ready_s > constants.OPENING_MOST_S:
+            return None
+        # The first reservation is always allowed; further ones must leave enough for other work.
+        if reserved and len(reserved) + len(plan.machines) > constants.OPENING_SHARE * len(
+            feasible
+        ):
+            return None
+        return plan
+
+    def end(self, job: Job, state: PendingJob) -> bool:
+        """End a job's backfill reservation; return whether it had one."""
+        if not state.backfill_machines:
+            return False
+        state.backfill_machines = {}
+        self._announce(job, [], 0.0)
+        return True
+
+    def _announce(self, job: Job, machines: list[str], ready_s: float) -> None:
+        """Send a backfill reservation to all controllers; without machines it ends."""
+        for label in (self.context.label, *(m.label for m in self.context.settings.members)):
+            self.context.emit(
+                "send", label, ("opening", job.id, job.priority, job.since, machines, ready_s)
+            )
--- a/oakmux/core/scheduling/backfill_reservations.py
+++ b/oakmux/core/scheduling/backfill_reservations.py
@@ -1,4 +1,4 @@
-"""Openings that stand: what every controller knows of machines that wait for a gang."""
+"""Backfill reservations of all controllers: which machines are kept for which gang."""
 
 from typing import NamedTuple
 
@@ -10,75 +10,102 @@
 
 
 class BackfillReservation(NamedTuple):
-    """An opening as its owner last said it; without word of it, it ends by itself."""
+    """A gang's reservation as last announced; it expires unless it is announced again.
+
+    `submitted_ms` is the gang's submission time; `until` and `ready_at` are local times (s).
+    """
 
     priority: int
-    since: float
+    submitted_ms: float
     until: float
     ready_at: float
     machines: frozenset[str]
 
 
 class BackfillReservations:
-    """Openings of all owners. The older gang has a machine that two of them name."""
+    """Reservations by job and by machine. Of two for one machine, the older gang's counts."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
         self.by_job: dict[str, BackfillReservation] = {}
         self.by_machine: dict[str, str] = {}
 
-    def take(
-        self, job_id: str, priority: int, since: float, names: list[str], ready_s: float
+    def announced(
+        self, job_id: str, priority: int, submitted_ms: float, machines: list[str], ready_s: float
     ) -> None:
-        """Take an owner's word; no names end the opening."""
+        """Replace a gang's reservation by what its controller announced; no machines end it."""
         now = self.context.now
         self.by_job.pop(job_id, None)
-        for other in [o for o, row in self.by_job.items() if row.until <= now]:
+        for other in [other for other, row in self.by_job.items() if row.until <= now]:
             del self.by_job[other]
-        if names and len(self.by_job) < constants.OPENINGS_MOST:
+        if machines and len(self.by_job) < constants.OPENINGS_MOST:
             self.by_job[job_id] = BackfillReservation(
-                priority, since, now + constants.OPENING_S, now + ready_s, frozenset(names)
+                priority,
+                submitted_ms,
+                now + constants.OPENING_S,
+                now + ready_s,
+                frozenset(machines),
             )
         self.by_machine = {}
         for other, row in sorted(
-            self.by_job.items(), key=lambda entry: (entry[1].priority, -entry[1].since, entry[0])
+            self.by_job.items(),
+            key=lambda entry: (entry[1].priority, -entry[1].submitted_ms, entry[0]),
         ):
             self.by_machine.update(dict.fromkeys(row.machines, other))
 
     def blocks_job(self, machine: str, job: Job, spec: JobSpec) -> bool:
-        """Whether an opening keeps a job off a machine: what is younger, could not be stopped for
-        it and may not end in time; and what could be stopped but would have to be very soon."""
-        name = self.by_machine.get(machine)
-        row = self.by_job.get(name or "")
-        if row is None or name == job.id or row.until <= self.context.now:
-            return False
-        if job.priority > row.priority:
+        """Whether a reservation keeps a job off a machine.
+
+        Jobs that come before the gang are not kept off. Of the others, preemptible ones are kept
+        off if the gang is ready so soon that they would be preempted at once, and the rest unless
+        they end in time.
+        """
+        gang_id = self.by_machine.get(machine)
+        reservation = self.by_job.get(gang_id or "")
+        if (
+            gang_id is None
+            or reservation is None
+            or gang_id == job.id
+            or reservation.until <= self.context.now
+            or self._precedes(job, gang_id, reservation)
+        ):
             return False
-        if job.priority == row.priority and (job.since, job.id) < (row.since, name):
-            # Older work goes first, but not on and on: what has begun lets the others begin.
-            other = self.context.replica.jobs.get(name or "")
-            if not job.begun or other is None or not is_starving(self.context, other):
-                return False
-        left = row.ready_at - self.context.now
-        if job.priority < row.priority and spec.kind != "service" and not spec.joint:
-            return left < constants.OPENING_SOON_S
-        ends = spec.estimate_s * constants.OPENING_ERROR + max(
+        left_s = reservation.ready_at - self.context.now
+        if job.priority < reservation.priority and spec.kind != "service" and not spec.joint:
+            return left_s < constants.OPENING_SOON_S
+        fetch_s = max(
             (self.context.fetch_s(spec, name) for name in self.context.types), default=0.0
         )
-        return spec.kind == "service" or ends > left
-
-    def names(self, machine: str) -> bool:
-        """Whether a machine waits for a gang: it is empty for that, not for want of work."""
-        row = self.by_job.get(self.by_machine.get(machine, ""))
-        return row is not None and row.until > self.context.now
-
-    def held(self, job: Job) -> set[str]:
-        """Return the machines that openings of jobs before this one name. What younger ones wait
-        for it may have: else the oldest finds nothing where several smaller ones wait."""
-        mine = (job.priority, -job.since, job.id)
-        before = {
-            name
-            for name, row in self.by_job.items()
-            if name != job.id and (row.priority, -row.since, name) > mine
+        ends_s = spec.estimate_s * constants.OPENING_ERROR + fetch_s
+        return spec.kind == "service" or ends_s > left_s
+
+    def _precedes(self, job: Job, gang_id: str, reservation: BackfillReservation) -> bool:
+        """Whether a job comes before a gang with a reservation."""
+        if job.priority != reservation.priority:
+            return job.priority > reservation.priority
+        if (job.since, job.id) >= (reservation.submitted_ms, gang_id):
+            return False
+        # An older job does, but not for ever: once some of it has started, a starving gang is not
+        # kept waiting by the rest.
+        gang = self.context.replica.jobs.get(gang_id)
+        return not job.begun or gang is None or not is_starving(self.context, gang)
+
+    def is_reserved(self, machine: str) -> bool:
+        """Whether a machine is kept for a gang; if idle, it is so for that and not for lack of
+        work."""
+        reservation = self.by_job.get(self.by_machine.get(machine, ""))
+        return reservation is not None and reservation.until > self.context.now
+
+    def reserved_before(self, job: Job) -> set[str]:
+        """Return the machines reserved for gangs that come before a job.
+
+        It may take those of later ones. Otherwise the oldest gang finds no machines where several
+        smaller ones wait.
+        """
+        own_rank = (job.priority, -job.since, job.id)
+        earlier = {
+            gang_id
+            for gang_id, row in self.by_job.items()
+            if gang_id != job.id and (row.priority, -row.submitted_ms, gang_id) > own_rank
         }
-        return {machine for machine, name in self.by_machine.items() if name in before}
+        return {machine for machine, gang_id in self.by_machine.items() if gang_id in earlier}
--- a/oakmux/core/scheduling/binding.py
+++ b/oakmux/core/scheduling/binding.py
@@ -1,4 +1,8 @@
-"""Offers, bindings and their end. `_bind` is the only maker of bindings, `_unbind` ends them."""
+"""Binding of tasks to offered capacity, and the end of bindings.
+
+`Binder._bind` is the only place that creates a binding and `Binder._unbind` the only one that
+ends it.
+"""
 
 import math
 
@@ -6,18 +10,22 @@
 from oakmux.core.agents.capacity import free_resources, is_schedulable
 from oakmux.core.agents.manager import AgentManager
 from oakmux.core.agents.termination import Termination, prove_termination
-from oakmux.core.context import Context, Machine, event
+from oakmux.core.context import Context, Machine, Task, event
 from oakmux.core.model import JobSpec
-from oakmux.core.scheduling.gangs import stop_rest
-from oakmux.core.scheduling.pending_job import PendingJob
-from oakmux.core.scheduling.placement import choose_gang, preference, zone_allowed
+from oakmux.core.scheduling.gangs import stop_attempt
+from oakmux.core.scheduling.pending_job import CapacityOffer, PendingJob
+from oakmux.core.scheduling.placement import choose_gang_offers, preference, zone_allowed
 from oakmux.core.scheduling.sampling_schedule import SamplingSchedule
 from oakmux.core.state.records import FORMAT_COMPACT, Binding, Job
 from oakmux.core.state.write_buffer import WriteBuffer
+from oakmux.task_status import DONE, ERROR, RUNNING
+
+NOT_ACCEPTED = frozenset(("unknown", "busy", "no_room"))
+"""Termination reasons of tasks that the worker could not take; the next attempt waits a moment."""
 
 
 class Binder:
-    """Binds tasks to offered room, and unbinds what is proven gone."""
+    """Binds tasks of the shard to offered capacity, and unbinds those with a termination proof."""
 
     def __init__(
         self,
@@ -32,11 +40,13 @@
         self.buffer = buffer
         self.open = open_jobs
         self.schedule = schedule
-        # Jobs that hold offers of which the best are taken soon, in the order of the first.
+        # Jobs that collect offers, of which the best are taken soon, by their first offer.
         self.collecting: dict[str, None] = {}
 
+    # --- changes of the records ---
+
     def on_role_acquired(self) -> None:
-        """Begin with the records of a team just won."""
+        """Start to schedule the jobs of a team whose role was acquired."""
         for job in list(self.context.replica.active.values()):
             if self.buffer.owns(job):
                 self.changed(job.id)
@@ -44,119 +54,136 @@
                     self.buffer.shrink(job)
                 self.context.changed_workers.update(b.machine for b in job.bindings())
 
+    def drop_lost(self, held: set[str]) -> None:
+        """Forget the jobs of teams that are not among those held without a break."""
+        jobs = self.context.replica.jobs
+        for job_id in [job_id for job_id in self.open if jobs[job_id].team not in held]:
+            self.schedule.leave(job_id)
+            del self.open[job_id]
+            self.buffer.finished_jobs.pop(job_id, None)
+
     def changed(self, job_id: str) -> None:
-        """The records of a job changed."""
+        """Follow a change of a job's records."""
         job = self.context.replica.jobs.get(job_id)
         if job is None or not self.buffer.owns(job):
             return
         if job.final:
-            self.schedule.leave(job_id)
-            state = self.open.pop(job_id, None)
-            if state is not None:
-                self.release(state)
-            self.buffer.finished_jobs.pop(job_id, None)
-            for number in list(job.blocks):
-                if not self.buffer.block(job, number).bound and number not in self.buffer.work.get(
-                    job_id, ()
-                ):
-                    # A finished job needs no chunks any more.
-                    in_batch = job.blocks[number].batch is not None
-                    due = self.context.now + self.buffer.coalesce_s if in_batch else 0.0
-                    self.buffer.edit(job, number, due)
+            self._close_job(job)
         elif not job.ready:
-            return  # no reservations while it waits on others
+            return  # no reservations while it waits for its dependencies
         elif job_id not in self.open:
             self.open[job_id] = PendingJob()
             self.schedule.due(job)
         elif self.open[job_id].next_sample_at == math.inf:
             self.schedule.defer(job_id, self.context.now + constants.RESAMPLE_S)
         else:
-            self.schedule.moved(job)
+            self.schedule.reposition(job)
+
+    def _close_job(self, job: Job) -> None:
+        """Stop scheduling a finished job, and have its task blocks without bindings deleted."""
+        self.schedule.leave(job.id)
+        state = self.open.pop(job.id, None)
+        if state is not None:
+            self.release(state)
+        self.buffer.finished_jobs.pop(job.id, None)
+        for number in list(job.blocks):
+            if not self.buffer.block(job, number).bound and number not in self.buffer.work.get(
+                job.id, ()
+            ):
+                in_batch = job.blocks[number].batch is not None
+                due = self.context.now + self.buffer.coalesce_s if in_batch else 0.0
+                self.buffer.edit(job, number, due)
+
+    # --- offers ---
 
     def offer(
         self, name: str, job_id: str, offer_id: int, agent_epoch: int, term: int, manager: str
     ) -> None:
-        """Bind a task to offered room, or decline."""
+        """Accept an agent manager's offer of capacity on a machine, or decline it."""
         context = self.context
-        job = context.replica.jobs.get(job_id)
         machine = context.machines.get(name)
+        if machine is None or not self._accept_offer(
+            job_id,
+            machine,
+            CapacityOffer(context.now, name, offer_id, agent_epoch, term, manager, machine.zone),
+        ):
+            context.emit("send", manager, ("decline", name, offer_id))
+
+    def _accept_offer(self, job_id: str, machine: Machine, offer: CapacityOffer) -> bool:
+        """Accept an offer unless the job or the machine can't use it any more."""
+        context = self.context
+        job = context.replica.jobs.get(job_id)
         state = self.open.get(job_id)
+        if job is None or job.spec is None or state is None:
+            return False
         if (
-            job is None
-            or job.spec is None
-            or state is None
-            or machine is None
-            or job.final
+            job.final
             or not job.ready
             or not self.buffer.owns(job)
-            or machine.agent_epoch != agent_epoch
-            or context.now < state.retry_at
-            or not is_schedulable(context, machine)
-            or name in state.excluded_machines
-            or not context.fits(job.spec, machine)
             or job_id in self.agents.cancellations.cancelled
             or job_id in self.buffer.finished_jobs
-            or not self._take_offer(
-                job,
-                job.spec,
-                state,
-                machine,
-                (context.now, name, offer_id, agent_epoch, term, manager, machine.zone),
-            )
         ):
-            context.emit("send", manager, ("decline", name, offer_id))
+            return False
+        if (
+            machine.agent_epoch != offer.agent_epoch
+            or not is_schedulable(context, machine)
+            or machine.name in state.excluded_machines
+            or not context.fits(job.spec, machine)
+            or context.now < state.retry_at
+        ):
+            return False
+        if self.buffer.exceeds_limit(job, job.spec, job.spec.tasks if job.spec.joint else 1):
+            return False
+        if job.spec.joint:
+            return self._accept_gang_offer(job, job.spec, state, offer)
+        return self._collect_offer(job, job.spec, state, offer)
 
-    def _take_offer(
-        self, job: Job, spec: JobSpec, state: PendingJob, machine: Machine, offer: tuple
+    def _collect_offer(
+        self, job: Job, spec: JobSpec, state: PendingJob, offer: CapacityOffer
     ) -> bool:
-        gang = spec.joint
-        bound = self.buffer.bindings(job)
-        if gang and bound:
+        """Keep an offer until the best of the collected offers are taken."""
+        zones = [binding.zone for binding in self.buffer.bindings(job)]
+        if not zone_allowed(spec, zones, offer.zone) or not self.buffer.unstarted(job):
             return False
-        if self.buffer.exceeds_limit(job, spec, spec.tasks if gang else 1):
+        state.offers.append(offer)
+        self.collecting[job.id] = None
+        return True
+
+    def _accept_gang_offer(
+        self, job: Job, spec: JobSpec, state: PendingJob, offer: CapacityOffer
+    ) -> bool:
+        """Keep an offer to a gang; once there are enough for all tasks, bind them all."""
+        if self.buffer.bindings(job):
             return False
-        if not gang:
-            if not zone_allowed(
-                spec, [b.zone for b in bound], machine.zone
-            ) or not self.buffer.unstarted(job):
-                return False
-            state.offers.append(offer)
-            self.collecting[job.id] = None
-            return True
-        if machine.name not in state.requested:
-            return False  # left over from a gathering that was given up
+        if offer.machine not in state.requested:
+            return False  # it answers a reservation of an earlier, abandoned gathering
         state.offers.append(offer)
         if len(state.offers) < spec.tasks:
             return True
-        chosen = choose_gang(spec, state.offers)
+        chosen = choose_gang_offers(spec, state.offers)
         size = self.buffer.tasks_per_record
         if chosen is not None and all(
             self.buffer.holds(job, first // size, chosen[first : first + size])
             for first in range(0, spec.tasks, size)
         ):
-            spare = [o for o in state.offers if o not in chosen]
-            state.offers = spare
+            state.offers = [offer for offer in state.offers if offer not in chosen]
             self.release(state)
             self._bind(job, list(range(spec.tasks)), chosen)
         return True
 
     def choose(self, job: Job, spec: JobSpec, state: PendingJob) -> None:
-        """Bind tasks to the best of the offers that came in; decline the others."""
-        offers = [
-            (
-                preference(
-                    self.context, job, spec, machine, free_resources(self.context, machine)
-                ),
-                offer,
-            )
+        """Bind tasks to the best of the collected offers and decline the others."""
+        context = self.context
+        ranked = [
+            (preference(context, job, spec, machine, free_resources(context, machine)), offer)
             for offer in state.offers
-            if (machine := self.context.machines.get(offer[1])) is not None
+            if (machine := context.machines.get(offer.machine)) is not None
         ]
-        # Offers of one machine stay together: its tasks share one fetch.
-        offers.sort(key=lambda row: (row[0], row[1][1]))
-        for _, offer in offers:
-            zones = [b.zone for b in self.buffer.bindings(job)]
-            if not zone_allowed(spec, zones, offer[6]):
+        # Offers of one machine stay together: its tasks share one image fetch.
+        ranked.sort(key=lambda entry: (entry[0], entry[1].machine))
+        for _, offer in ranked:
+            zones = [binding.zone for binding in self.buffer.bindings(job)]
+            if not zone_allowed(spec, zones, offer.zone):
                 continue
             if self.buffer.exceeds_limit(job, spec):
                 break
@@ -170,24 +197,30 @@
     def release(self, state: PendingJob) -> None:
         """Decline all offers that a job holds."""
         for offer in state.offers:
-            self.context.emit("send", offer[5], ("decline", offer[1], offer[2]))
+            self.context.emit("send", offer.manager, ("decline", offer.machine, offer.offer_id))
         state.offers = []
 
-    def _bind(self, job: Job, indexes: list[int], offers: list[tuple]) -> None:
-        """Bind tasks to offered room. Guards against too_early: no other place writes a binding,
-        and none is written before the record of every job that this one needs is done."""
+    def _bind(self, job: Job, indexes: list[int], offers: list[CapacityOffer]) -> None:
+        """Bind tasks to offered capacity.
+
+        No binding is written before the records of all the job's dependencies are done
+        (R too_early); nothing else writes bindings.
+        """
         if not job.ready:
             return
         attempt = self.buffer.next_attempt(job)
         for index, offer in zip(indexes, offers, strict=True):
-            _, name, _, agent_epoch, term, _, zone = offer
             block = self.buffer.edit(job, index // self.buffer.tasks_per_record)
             block.last = attempt
-            block.bound[index] = Binding(attempt, name, agent_epoch, term, zone)
-            event("bind", task=f"{job.id}/{index}", attempt=attempt, machine=name)
+            block.bound[index] = Binding(
+                attempt, offer.machine, offer.agent_epoch, offer.term, offer.zone
+            )
+            event("bind", task=f"{job.id}/{index}", attempt=attempt, machine=offer.machine)
+
+    # --- ends of bindings ---
 
     def machine_changed(self, name: str) -> None:
-        """Go through our bindings on a machine whose news changed."""
+        """End the shard's bindings on a machine for which there is a termination proof now."""
         context = self.context
         bound = context.replica.by_machine.get(name)
         if not bound:
@@ -200,35 +233,36 @@
             job = context.replica.jobs.get(job_id)
             if job is None or not self.buffer.owns(job):
                 continue
-            number = index // self.buffer.tasks_per_record
-            current = self.buffer.block(job, number).bound.get(index)
+            block = self.buffer.block(job, index // self.buffer.tasks_per_record)
+            current = block.bound.get(index)
             if current is None or current.attempt != binding.attempt:
                 continue
             task = (f"{job_id}/{index}", binding.attempt)
             termination = prove_termination(context, machine, task, binding, visible_tasks)
             if termination is not None:
                 self._unbind(job, index, current, termination)
-            elif (
-                machine is not None
-                and machine.notice_at is not None
-                and job.spec is not None
-                and job.spec.joint
-                and job.spec.checkpoint_s
-                and visible_tasks.get(task, ("",))[0] == "running"
-            ):
-                # The cloud takes this machine: the gang saves while all its tasks still can.
-                stop_rest(self.buffer, job, job.spec, binding.attempt)
+            elif machine is not None and machine.notice_at is not None:
+                self._stop_gang_on_notice(job, task, visible_tasks)
+
+    def _stop_gang_on_notice(
+        self, job: Job, task: Task, visible_tasks: dict[Task, tuple[str, str, bool]]
+    ) -> None:
+        """Stop a gang of which the cloud is about to reclaim a machine, so that its checkpoint is
+        saved while all its tasks still run."""
+        spec = job.spec
+        if (
+            spec is not None
+            and spec.joint
+            and spec.checkpoint_s
+            and visible_tasks.get(task, ("",))[0] == RUNNING
+        ):
+            stop_attempt(self.buffer, job, spec, task[1])
 
     def _unbind(self, job: Job, index: int, binding: Binding, termination: Termination) -> None:
-        context = self.context
-        why, saved = termination
-        number, bit = divmod(index, self.buffer.tasks_per_record)
-        # Starts go first; the ends of an array's tasks wait a little for one another, and so do
-        # all of a page's: that a job is done is written at once, its row may go later.
-        in_batch = self.buffer.block(job, number).batch is not None
-        array = job.spec is not None and job.spec.kind == "array"
-        lazy = (why == "done" and (array or in_batch)) or (job.final and in_batch)
-        due = context.now + (self.buffer.coalesce_s if lazy else 0.0)
+        """End a binding of a task that certainly does not run and never will."""
+        reason, saved = termination
+        number = index // self.buffer.tasks_per_record
+        due = self._unbind_due(job, number, reason)
         block = self.buffer.edit(job, number, due)
         del block.bound[index]
         event(
@@ -236,45 +270,63 @@
             task=f"{job.id}/{index}",
             attempt=binding.attempt,
             machine=binding.machine,
-            why=why,
+            why=reason,
             saved=int(saved),
         )
         state = self.open.get(job.id)
         spec = job.spec
         if spec is None or job.final:
             return
-        if why == "done" and spec.kind != "service":
-            if spec.kind == "gang":  # the tasks of a gang complete together
-                for other in range(spec.tasks):
-                    part = self.buffer.edit(job, other // self.buffer.tasks_per_record, due)
-                    part.done |= 1 << other % self.buffer.tasks_per_record
-            else:
-                block.done |= 1 << bit
-            if sum(c.done.bit_count() for c in self.buffer.blocks(job)) >= spec.tasks:
-                self.buffer.finished_jobs[job.id] = None
-                self.buffer.edit(job, number, due if in_batch else context.now)
+        if reason == DONE and spec.kind != "service":
+            self._complete(job, spec, index, due)
         elif spec.kind == "gang":
-            stop_rest(self.buffer, job, spec, binding.attempt)
+            stop_attempt(self.buffer, job, spec, binding.attempt)
         if state is not None:
-            if why != "done":
-                self.schedule.due(job)
-            state.next_task = min(state.next_task, index)
-            if why == "error":
-                state.failures += 1
-                state.excluded_machines.add(binding.machine)
-                if len(state.excluded_machines) > max(1, len(context.machines) // 2):
-                    state.excluded_machines.clear()
-                pause = min(
-                    constants.RETRY_FIRST_S * 2 ** (state.failures - 1), constants.RETRY_MOST_S
-                )
-                state.retry_at = context.now + (pause if state.failures > 1 else 0.0)
-            elif why in ("unknown", "busy", "no_room"):
-                state.retry_at = context.now + constants.RETRY_FIRST_S
+            self._schedule_retry(job, state, index, binding.machine, reason)
 
-    def drop_lost(self, held: set[str]) -> None:
-        """Forget jobs but of teams that we hold all the while."""
-        jobs = self.context.replica.jobs
-        for job_id in [j for j in self.open if jobs[j].team not in held]:
-            self.schedule.leave(job_id)
-            del self.open[job_id]
-            self.buffer.finished_jobs.pop(job_id, None)
+    def _unbind_due(self, job: Job, number: int, reason: str) -> float:
+        """Return the time (s) by which the end of a binding in a task block is written.
+
+        Starts are written first. Completed tasks of arrays, and all in binding batches, are
+        written together with others a little later. That a job is done is written at once.
+        """
+        in_batch = self.buffer.block(job, number).batch is not None
+        is_array = job.spec is not None and job.spec.kind == "array"
+        coalesces = (reason == DONE and (is_array or in_batch)) or (job.final and in_batch)
+        return self.context.now + (self.buffer.coalesce_s if coalesces else 0.0)
+
+    def _complete(self, job: Job, spec: JobSpec, index: int, due: float) -> None:
+        """Record that a task completed, or a whole gang: its tasks complete together."""
+        size = self.buffer.tasks_per_record
+        for completed in range(spec.tasks) if spec.kind == "gang" else (index,):
+            block = self.buffer.edit(job, completed // size, due)
+            block.done |= 1 << completed % size
+        if sum(block.done.bit_count() for block in self.buffer.blocks(job)) >= spec.tasks:
+            self.buffer.finished_jobs[job.id] = None
+            number = index // size
+            in_batch = self.buffer.block(job, number).batch is not None
+            self.buffer.edit(job, number, due if in_batch else self.context.now)
+
+    def _schedule_retry(
+        self, job: Job, state: PendingJob, index: int, machine: str, reason: str
+    ) -> None:
+        """Decide when, and on which machines, a task that ended may start again."""
+        if reason != DONE:
+            self.schedule.due(job)
+        state.next_task = min(state.next_task, index)
+        if reason == ERROR:
+            self._back_off(state, machine)
+        elif reason in NOT_ACCEPTED:
+            state.retry_at = self.context.now + constants.RETRY_FIRST_S
+
+    def _back_off(self, state: PendingJob, machine: str) -> None:
+        """Avoid a machine on which a task failed; after repeated failures, wait longer each time.
+
+        Once half of the machines are excluded, none is: the failures are the job's own.
+        """
+        state.failures += 1
+        state.excluded_machines.add(machine)
+        if len(state.excluded_machines) > max(1, len(self.context.machines) // 2):
+            state.excluded_machines.clear()
+        pause_s = min(constants.RETRY_FIRST_S * 2 ** (state.failures - 1), constants.RETRY_MOST_S)
+        state.retry_at = self.context.now + (pause_s if state.failures > 1 else 0.0)
--- a/oakmux/core/scheduling/capacity_claims.py
+++ b/oakmux/core/scheduling/capacity_claims.py
@@ -1,16 +1,16 @@
-"""Room that jobs of ours have asked for and that is not answered yet."""
+"""Capacity that pending jobs have requested and that has not been granted yet."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from oakmux import constants
 from oakmux.core.context import Context, Machine
 from oakmux.core.model import JobSpec
-from oakmux.core.resources import Resources, subtract
+from oakmux.core.resources import NO_RESOURCES, Resources, subtract
+from oakmux.core.state.records import Job
 
 
 class Claim(NamedTuple):
-    """Room for so many tasks of a job, until a time (s)."""
+    """Capacity for a number of tasks of a job, claimed until a local time (s)."""
 
     until: float
     tasks: int
@@ -18,38 +18,77 @@
 
 
 class CapacityClaims:
-    """What an owner's jobs have asked for counts as taken for its other jobs, until the task is
-    bound there by the records or the job may ask elsewhere. Without that, all jobs that are
-    sampled in a tick ask for the same few machines, and most of them in vain."""
+    """Counts capacity that one job of the shard has requested as taken for the shard's other jobs.
 
-    def __init__(self, context: Context) -> None:
+    Without claims all jobs sampled in one tick request the same few machines, and most of them in
+    vain. Two gangs that see the same capacity as free each get a part of it and both start over;
+    in a full fleet this went on for minutes.
+
+    With `until_bound` a claim also ends once the records show a task of the job bound on the
+    machine.
+    """
+
+    def __init__(self, context: Context, *, until_bound: bool) -> None:
         self.context = context
+        self.until_bound = until_bound
         self.by_machine: dict[str, dict[str, Claim]] = {}
 
-    def ask(self, job_id: str, spec: JobSpec, chosen: Mapping[str, int], wanted: int) -> None:
-        """Note that a job, which needs room for `wanted` tasks, asked for it on machines."""
-        until = self.context.now + constants.RESAMPLE_S
-        if len(self.by_machine) > 2 * len(self.context.machines):  # of machines that are gone
-            self.by_machine = {
-                name: claims
-                for name, claims in self.by_machine.items()
-                if name in self.context.machines
-            }
-        for name, tasks in chosen.items():
-            count = min(tasks, wanted)
-            wanted -= count
+    def add(
+        self,
+        job_id: str,
+        spec: JobSpec,
+        tasks_by_machine: Mapping[str, int],
+        until: float,
+        wanted: int | None = None,
+    ) -> None:
+        """Claim capacity on machines for tasks of a job.
+
+        A job may request more than the `wanted` tasks that it needs, to have a choice; only the
+        first `wanted` are claimed. None claims all.
+        """
+        self._prune()
+        for name, tasks in tasks_by_machine.items():
+            count = tasks
+            if wanted is not None:
+                count = min(tasks, wanted)
+                wanted -= count
             if count:
                 self.by_machine.setdefault(name, {})[job_id] = Claim(until, count, spec)
 
-    def left(self, job_id: str, machine: Machine, free: Resources) -> Resources:
-        """Return the room on a machine that other jobs of ours have not asked for."""
+    def _prune(self) -> None:
+        """Drop the claims on vanished machines once they make up half of all."""
+        machines = self.context.machines
+        if len(self.by_machine) > 2 * len(machines):
+            self.by_machine = {
+                name: claims for name, claims in self.by_machine.items() if name in machines
+            }
+
+    def release(self, job_id: str, machine_name: str) -> None:
+        """End a job's claim on a machine, if it has one."""
+        claims = self.by_machine.get(machine_name, {})
+        claims.pop(job_id, None)
+        if not claims:
+            self.by_machine.pop(machine_name, None)
+
+    def remaining(self, job_id: str, machine: Machine, free: Resources) -> Resources:
+        """Return what other jobs' claims leave of a machine's free resources."""
         claims = self.by_machine.get(machine.name)
         if not claims:
             return free
-        bound = {other for other, _ in self.context.replica.by_machine.get(machine.name, ())}
+        bound: set[str] = set()
+        if self.until_bound:
+            bindings = self.context.replica.by_machine.get(machine.name, ())
+            bound = {other for other, _ in bindings}
         for other, claim in list(claims.items()):
             if claim.until <= self.context.now or other in bound:
                 del claims[other]
             elif other != job_id:
                 free = subtract(free, claim.spec, claim.tasks)
         return free
+
+    def available(self, job: Job, spec: JobSpec, machine: Machine, free: Resources) -> Resources:
+        """Return what backfill reservations and other jobs' claims leave a job on a machine."""
+        backfill = self.context.backfill
+        if backfill.by_machine and backfill.blocks_job(machine.name, job, spec):
+            return NO_RESOURCES
+        return self.remaining(job.id, machine, free)
--- a/oakmux/core/scheduling/machine_index.py
+++ b/oakmux/core/scheduling/machine_index.py
@@ -1,14 +1,14 @@
-"""Which machines have room, by what tells them apart, kept up to date with what changes.
+"""Index of machines by free capacity, kept up to date with changes.
 
-Sampling draws from here a number of machines that depends on the job, not on the fleet. Sets of
-machines are bitmaps over small numbers; a machine's place is computed anew only after its report,
-bindings or images changed.
+Batch sampling draws from it a number of machines that depends on the job and not on the size of
+the fleet. Sets of machines are bitmaps over small numbers. A machine is classified anew only
+after its heartbeat, its bindings or its images changed.
 """
 
 import math
 import random
-from collections.abc import Callable, Collection, Iterable
-from typing import NamedTuple
+from collections.abc import Callable, Collection, Hashable, Iterable, Iterator
+from typing import NamedTuple, TypeVar
 
 from pyroaring import BitMap
 
@@ -20,12 +20,17 @@
 from oakmux.core.resources import Resources, task_capacity
 from oakmux.core.state.records import Job
 
+KeyT = TypeVar("KeyT", bound=Hashable)
+
+AvailableResources = Callable[[Machine, Resources], Resources]
+"""Returns what of a machine's free resources a job may use."""
+
 
 class CapacityClass(NamedTuple):
     """Machines that are alike for sampling.
 
-    `gpus` are whole GPUs free; the levels say which part of CPUs and of memory is free, in steps
-    of 1 / ROOM_LEVELS; `idle` machines have nothing to do.
+    `gpus` are whole free GPUs. The levels are the free shares of CPUs and of memory, in steps of
+    1 / ROOM_LEVELS, rounded down. `idle` machines run nothing.
     """
 
     type: str
@@ -38,11 +43,16 @@
 
     @property
     def level(self) -> int:
-        """Which part is free of the scarcer of CPUs and memory."""
+        """The free share of the scarcer of CPUs and memory."""
         return min(self.cpu_level, self.memory_level)
 
-    def more_than(self, other: "CapacityClass") -> bool:
-        """Whether it has more free of anything than another class."""
+    @property
+    def kind(self) -> InstanceKind:
+        """The type, zone and spot flag."""
+        return InstanceKind(self.type, self.zone, self.spot)
+
+    def has_more_than(self, other: "CapacityClass") -> bool:
+        """Whether more is free of any resource than in another class."""
         return (
             self.gpus > other.gpus
             or self.cpu_level > other.cpu_level
@@ -50,106 +60,140 @@
         )
 
 
+class OrderKey(NamedTuple):
+    """The fields of a job that decide the order of classes to draw from."""
+
+    types: tuple[str, ...] | None
+    zone: str | None
+    spot: bool
+    cpus: float
+    gpus: float
+    memory_gb: float
+
+
+class ClassRank(NamedTuple):
+    """Order of capacity classes for a task; the least is drawn from first."""
+
+    costs_more: bool
+    free_gpus: int
+    idle: bool
+    free_share: float
+
+
+class PreemptibleWork(NamedTuple):
+    """Priorities and teams of the tasks on a machine that may be preempted at all."""
+
+    priorities: set[int]
+    teams: set[str]
+
+
+class SampledMachine(NamedTuple):
+    """A machine that was drawn, its available resources, and whether it holds the job's image."""
+
+    machine: Machine
+    free: Resources
+    has_image: bool
+
+
 def capacity_class(
     kind: MachineType, zone: str, spot: bool, free: Resources, idle: bool
 ) -> CapacityClass:
-    """Return the class of a machine with so much room."""
+    """Return the class of a machine with these free resources."""
     return CapacityClass(
         kind.name,
         zone,
         spot,
         math.floor(free.gpus + constants.EPSILON),
-        _level(free.cpus / kind.cpus),
-        _level(free.memory_gb / kind.memory_gb),
+        free_level(free.cpus / kind.cpus),
+        free_level(free.memory_gb / kind.memory_gb),
         idle,
     )
 
 
-def _level(part: float) -> int:
-    """Return a free part as whole steps."""
-    return math.floor(part * constants.ROOM_LEVELS + constants.EPSILON)
+def free_level(share: float) -> int:
+    """Return a free share in steps of 1 / ROOM_LEVELS, rounded down."""
+    return math.floor(share * constants.ROOM_LEVELS + constants.EPSILON)
+
 
+def required_level(share: float) -> int:
+    """Return a required share in steps of 1 / ROOM_LEVELS, rounded up."""
+    return math.ceil(share * constants.ROOM_LEVELS - constants.EPSILON)
 
-def may_fit(spec: JobSpec, kind: MachineType, place: CapacityClass) -> bool:
-    """Whether a machine of a class may have room for a task; if not, none has.
 
-    Both CPUs and memory are asked for: machines whose CPUs were all taken, more of them than a
-    draw looks at, once hid all that had room.
+def may_fit(spec: JobSpec, kind: MachineType, capacity: CapacityClass) -> bool:
+    """Whether a machine of a class may have capacity for a task; if not, none has.
+
+    CPUs and memory are compared one by one. By the scarcer alone, machines whose CPUs were all
+    taken, more of them than a draw looks at, once hid all machines that had capacity.
     """
     return (
-        spec.gpus < place.gpus + 1
-        and spec.cpus / kind.cpus * constants.ROOM_LEVELS < place.cpu_level + 1
-        and spec.memory_gb / kind.memory_gb * constants.ROOM_LEVELS < place.memory_level + 1
+        spec.gpus < capacity.gpus + 1
+        and spec.cpus / kind.cpus * constants.ROOM_LEVELS < capacity.cpu_level + 1
+        and spec.memory_gb / kind.memory_gb * constants.ROOM_LEVELS < capacity.memory_level + 1
     )
 
 
-class SampledMachine(NamedTuple):
-    """A machine with room that was drawn, and whether it holds the job's image."""
-
-    machine: Machine
-    free: Resources
-    held: bool
-
-
-def pick(rng: random.Random, ids: BitMap, count: int) -> list[int]:
-    """Return up to `count` members, at random and in random order."""
-    have = len(ids)
-    return [ids[i] for i in rng.sample(range(have), min(have, count))]
+def sample_members(rng: random.Random, ids: BitMap, count: int) -> list[int]:
+    """Return up to `count` members of a set, in random order."""
+    size = len(ids)
+    return [ids[position] for position in rng.sample(range(size), min(size, count))]
 
 
 class MachineIndex:
-    """Sets of machines for one controller."""
+    """Sets of machines by what batch sampling and preemption look for."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
+        # Machines by number; the numbers of vanished machines are used again.
         self.ids: dict[str, int] = {}
         self.machines: list[Machine | None] = []
-        self.spare: list[int] = []
+        self.free_ids: list[int] = []
         self.classes: dict[CapacityClass, BitMap] = {}
         self.kinds: dict[InstanceKind, BitMap] = {}
-        self.holders: dict[str, BitMap] = {}
-        # Machines with work that may be stopped for others: by its priority, and by its team.
-        self.weak: dict[int, BitMap] = {}
-        self.teams: dict[str, BitMap] = {}
-        # Where each machine stands: its class, its images, and what may be stopped on it.
-        self.place: dict[int, CapacityClass] = {}
-        self.images: dict[int, set[str]] = {}
-        self.victims: dict[int, tuple[set[int], set[str]]] = {}
-        # The classes where a task finds room, by what it needs, as long as neither these nor the
-        # machine types change.
-        self.orders: dict[tuple, list[CapacityClass]] = {}
+        self.image_holders: dict[str, BitMap] = {}
+        # Machines with work that may be preempted, by the work's priority and by its team.
+        self.preemptible_by_priority: dict[int, BitMap] = {}
+        self.preemptible_by_team: dict[str, BitMap] = {}
+        # The reverse: by machine, its class, its images, and its preemptible work.
+        self.class_of: dict[int, CapacityClass] = {}
+        self.images_of: dict[int, set[str]] = {}
+        self.preemptible_of: dict[int, PreemptibleWork] = {}
+        # Classes to draw from, valid until the classes or the machine types change.
+        self.class_orders: dict[OrderKey, list[CapacityClass]] = {}
         self.types = context.types
-        # Classes that a machine with more room than before has come to, until somebody takes note.
+        # Classes that a machine has entered by gaining capacity, until the sampler resets this.
         self.gained: set[CapacityClass] = set()
 
-    # --- keeping up ---
+    # --- updates ---
 
     def refresh(self) -> None:
-        """Find the place of every machine of which something changed."""
+        """Classify anew every machine of which something changed."""
         if self.types is not self.context.types:
             self.types = self.context.types
-            self.orders.clear()
+            self.class_orders.clear()
         stale, self.context.replica.stale_machines = self.context.replica.stale_machines, set()
         for name in stale:
             machine = self.context.machines.get(name)
             if machine is None or machine.type not in self.context.types:
-                self._drop(name)
+                self._remove(name)
             else:
-                self._set(machine)
+                self._update(machine)
 
-    def _drop(self, name: str) -> None:
+    def _remove(self, name: str) -> None:
+        """Forget a machine and free its number."""
         number = self.ids.pop(name, None)
         if number is not None:
-            self._leave(number)
-            self._hold(number, set())
+            self._withdraw(number)
+            self._update_images(number, set())
             self.machines[number] = None
-            self.spare.append(number)
+            self.free_ids.append(number)
 
     def _number(self, machine: Machine) -> int:
+        """Return a machine's number; a new machine gets one."""
         number = self.ids.get(machine.name)
         if number is None:
-            if self.spare:
-                number = self.spare.pop()
+            if self.free_ids:
+                number = self.free_ids.pop()
             else:
                 number = len(self.machines)
                 self.machines.append(None)
@@ -157,66 +201,80 @@
         self.machines[number] = machine
         return number
 
-    def _set(self, machine: Machine) -> None:
+    def _update(self, machine: Machine) -> None:
         number = self._number(machine)
-        self._hold(number, set(machine.images))
+        self._update_images(number, set(machine.images))
         if not is_schedulable(self.context, machine):
-            self._leave(number)
+            self._withdraw(number)
             self.context.unresponsive.add(machine.name)
             return
-        place = capacity_class(
+        self._update_preemptible(number, machine)
+        self._update_class(number, machine)
+
+    def _update_class(self, number: int, machine: Machine) -> None:
+        new = capacity_class(
             self.context.types[machine.type],
             machine.zone,
             machine.spot,
             free_resources(self.context, machine),
             machine.idle_since is not None,
         )
-        self._weigh(number, machine)
-        old = self.place.get(number)
-        if old == place:
+        old = self.class_of.get(number)
+        if old == new:
             return
         if old is not None:
-            self._take_out(number, old)
-        if old is None or place.more_than(old):
-            self.gained.add(place)
-        self.place[number] = place
-        members = self.classes.get(place)
+            self._leave_class(number, old)
+        if old is None or new.has_more_than(old):
+            self.gained.add(new)
+        self.class_of[number] = new
+        members = self.classes.get(new)
         if members is None:
-            members = self.classes[place] = BitMap()
-            self.orders.clear()
+            members = self.classes[new] = BitMap()
+            self.class_orders.clear()
         members.add(number)
-        self.kinds.setdefault(InstanceKind(*place[:3]), BitMap()).add(number)
+        self.kinds.setdefault(new.kind, BitMap()).add(number)
 
-    def _take_out(self, number: int, place: CapacityClass) -> None:
-        members = self.classes[place]
+    def _leave_class(self, number: int, old: CapacityClass) -> None:
+        members = self.classes[old]
         members.discard(number)
         if not members:
-            del self.classes[place]
-            self.orders.clear()
-        self.kinds[InstanceKind(*place[:3])].discard(number)
-
-    def _leave(self, number: int) -> None:
-        """Take a machine out of all that may be drawn from."""
-        place = self.place.pop(number, None)
-        if place is not None:
-            self._take_out(number, place)
-        priorities, teams = self.victims.pop(number, (set(), set()))
-        _discard(self.weak, priorities, number)
-        _discard(self.teams, teams, number)
-
-    def _hold(self, number: int, images: set[str]) -> None:
-        old = self.images.get(number, set())
-        if old != images:
-            _discard(self.holders, old - images, number)
-            for image in images - old:
-                self.holders.setdefault(image, BitMap()).add(number)
-            self.images[number] = images
+            del self.classes[old]
+            self.class_orders.clear()
+        self.kinds[old.kind].discard(number)
 
-    def _weigh(self, number: int, machine: Machine) -> None:
-        """Note what of a machine's work may be stopped at all, by priority and team."""
+    def _withdraw(self, number: int) -> None:
+        """Take a machine out of all sets that are drawn from."""
+        old = self.class_of.pop(number, None)
+        if old is not None:
+            self._leave_class(number, old)
+        work = self.preemptible_of.pop(number, None)
+        if work is not None:
+            _discard(self.preemptible_by_priority, work.priorities, number)
+            _discard(self.preemptible_by_team, work.teams, number)
+
+    def _update_images(self, number: int, images: set[str]) -> None:
+        old = self.images_of.get(number, set())
+        if old != images:
+            _discard(self.image_holders, old - images, number)
+            _add(self.image_holders, images - old, number)
+            self.images_of[number] = images
+
+    def _update_preemptible(self, number: int, machine: Machine) -> None:
+        """Record which of a machine's work may be preempted at all."""
+        work = self._preemptible_work(machine)
+        old = self.preemptible_of.get(number)
+        if old == work:
+            return
+        old = old or PreemptibleWork(set(), set())
+        _discard(self.preemptible_by_priority, old.priorities - work.priorities, number)
+        _discard(self.preemptible_by_team, old.teams - work.teams, number)
+        _add(self.preemptible_by_priority, work.priorities - old.priorities, number)
+        _add(self.preemptible_by_team, work.teams - old.teams, number)
+        self.preemptible_of[number] = work
+
+    def _preemptible_work(self, machine: Machine) -> PreemptibleWork:
         replica = self.context.replica
-        priorities: set[int] = set()
-        teams: set[str] = set()
+        work = PreemptibleWork(set(), set())
         for job_id, _ in replica.by_machine.get(machine.name, ()):
             job = replica.jobs.get(job_id)
             if (
@@ -225,109 +283,119 @@
                 and job.spec.kind != "service"
                 and not job.spec.joint
             ):
-                priorities.add(job.priority)
-                teams.add(job.team)
-        old = self.victims.get(number)
-        if old != (priorities, teams):
-            was = old or (set(), set())
-            _discard(self.weak, was[0] - priorities, number)
-            _discard(self.teams, was[1] - teams, number)
-            for priority in priorities - was[0]:
-                self.weak.setdefault(priority, BitMap()).add(number)
-            for team in teams - was[1]:
-                self.teams.setdefault(team, BitMap()).add(number)
-            self.victims[number] = (priorities, teams)
-
-    # --- drawing ---
-
-    def _order(self, spec: JobSpec) -> list[CapacityClass]:
-        """Return the classes where a task may find room, the best first: spot where it is
-        cheaper for the job, in use rather than idle, fullest."""
-        key = (
-            spec.types and tuple(spec.types),
+                work.priorities.add(job.priority)
+                work.teams.add(job.team)
+        return work
+
+    # --- draws ---
+
+    def _class_order(self, spec: JobSpec) -> list[CapacityClass]:
+        """Return the classes that may fit a task, the best first.
+
+        Preferred are the cheaper of spot and on-demand for the job, machines in use, and the
+        fullest.
+        """
+        key = OrderKey(
+            None if spec.types is None else tuple(spec.types),
             spec.zone,
             spec.spot,
             spec.cpus,
             spec.gpus,
             spec.memory_gb,
         )
-        order = self.orders.get(key)
+        order = self.class_orders.get(key)
         if order is None:
-            if len(self.orders) >= constants.MAX_QUEUE:
-                self.orders.clear()
-            rows = []
-            for place in self.classes:
-                kind = self.context.types.get(place.type)
-                if (
-                    kind is None
-                    or not self.context.fits_type(spec, place.type)
-                    or spec.zone not in (None, place.zone)
-                    or (place.spot and not spec.spot)
-                    or not may_fit(spec, kind, place)
-                ):
-                    continue
-                dearer = not place.spot if spec.gpus else place.spot
-                left = max(place.gpus / (kind.gpus or 1.0), place.level / constants.ROOM_LEVELS)
-                rows.append(((dearer, 0 if spec.gpus else place.gpus, place.idle, left), place))
-            rows.sort()
-            order = self.orders[key] = [place for _, place in rows]
+            if len(self.class_orders) >= constants.MAX_QUEUE:
+                self.class_orders.clear()
+            ranked = [
+                (rank, capacity)
+                for capacity in self.classes
+                if (rank := self._class_rank(spec, capacity)) is not None
+            ]
+            ranked.sort()
+            order = self.class_orders[key] = [capacity for _, capacity in ranked]
         return order
 
+    def _class_rank(self, spec: JobSpec, capacity: CapacityClass) -> ClassRank | None:
+        """Return the rank of a class for a task, or None if the task never fits it."""
+        kind = self.context.types.get(capacity.type)
+        if (
+            kind is None
+            or not self.context.fits_type(spec, capacity.type)
+            or spec.zone not in (None, capacity.zone)
+            or (capacity.spot and not spec.spot)
+            or not may_fit(spec, kind, capacity)
+        ):
+            return None
+        return ClassRank(
+            not capacity.spot if spec.gpus else capacity.spot,
+            0 if spec.gpus else capacity.gpus,
+            capacity.idle,
+            max(capacity.gpus / (kind.gpus or 1.0), capacity.level / constants.ROOM_LEVELS),
+        )
+
     def draw(
         self,
         spec: JobSpec,
         zones: Collection[str],
-        avoid: Collection[str],
+        excluded: Collection[str],
         wanted: int,
-        left: Callable[[Machine, Resources], Resources] | None = None,
+        available: AvailableResources | None = None,
     ) -> list[SampledMachine]:
-        """Draw machines with room for `wanted` tasks and some more, at random from the best
-        classes first, those that hold the image before all others. `left` may take off what is
-        promised of a machine's room."""
-        enough = wanted * constants.DRAW_RATIO + constants.DRAW_MORE
-        looks = constants.DRAW_LOOKS + math.ceil(enough)
-        rows: list[SampledMachine] = []
-        held = self.holders.get(spec.image)
-        for with_image in (True, False):
-            if with_image and held is None:
-                continue
-            for place in self._order(spec):
-                if place.zone not in zones:
+        """Draw machines at random with capacity for `wanted` tasks and some more.
+
+        Machines that hold the image come before all others, better classes before worse ones.
+        `available` may reduce a machine's free resources by what is promised to others.
+        """
+        missing = wanted * constants.DRAW_RATIO + constants.DRAW_MORE
+        probes_left = constants.DRAW_LOOKS + math.ceil(missing)
+        drawn: list[SampledMachine] = []
+        for members, has_image in self._member_sets(spec, zones):
+            for number in sample_members(self.context.rng, members, probes_left):
+                probes_left -= 1
+                machine = self._schedulable(number)
+                if machine is None or machine.name in excluded:
                     continue
-                members = self.classes.get(place)
-                if members is None:
-                    continue  # its last machine fell silent while we drew
-                if held is not None:
-                    members = members & held if with_image else members - held
-                for number in pick(self.context.rng, members, looks):
-                    looks -= 1
-                    machine = self._fresh(number)
-                    if machine is None or machine.name in avoid:
-                        continue
-                    free = free_resources(self.context, machine)
-                    if left is not None:
-                        free = left(machine, free)
-                    count = task_capacity(free, spec)
-                    if count:
-                        rows.append(SampledMachine(machine, free, with_image))
-                        enough -= count
-                        if enough <= 0:
-                            return rows
-                if looks <= 0:
-                    return rows
-        return rows
-
-    def _fresh(self, number: int) -> Machine | None:
-        """Return a machine unless it fell silent meanwhile: then it stays out until it speaks."""
+                free = free_resources(self.context, machine)
+                if available is not None:
+                    free = available(machine, free)
+                count = task_capacity(free, spec)
+                if count:
+                    drawn.append(SampledMachine(machine, free, has_image))
+                    missing -= count
+                    if missing <= 0:
+                        return drawn
+            if probes_left <= 0:
+                return drawn
+        return drawn
+
+    def _member_sets(self, spec: JobSpec, zones: Collection[str]) -> Iterator[tuple[BitMap, bool]]:
+        """Yield the sets to draw from in order, and whether their machines hold the image.
+
+        Each set is read when its turn comes: the draw may have withdrawn machines meanwhile.
+        """
+        holders = self.image_holders.get(spec.image)
+        for has_image in (True, False) if holders is not None else (False,):
+            for capacity in self._class_order(spec):
+                members = self.classes.get(capacity)
+                if members is None or capacity.zone not in zones:
+                    continue
+                if holders is not None:
+                    members = members & holders if has_image else members - holders
+                yield members, has_image
+
+    def _schedulable(self, number: int) -> Machine | None:
+        """Return a machine, or None after withdrawing it until its next heartbeat if it can't be
+        scheduled on any more."""
         machine = self.machines[number]
         if machine is not None and not is_schedulable(self.context, machine):
-            self._leave(number)
+            self._withdraw(number)
             self.context.unresponsive.add(machine.name)
             return None
         return machine
 
-    def fitting(self, spec: JobSpec, zones: Collection[str]) -> BitMap:
-        """Return the machines that a job allows, with room or not."""
+    def feasible(self, spec: JobSpec, zones: Collection[str]) -> BitMap:
+        """Return the machines that satisfy a job's constraints, full ones included."""
         return BitMap.union(
             BitMap(),
             *(
@@ -340,41 +408,55 @@
             ),
         )
 
-    def holding(self, spec: JobSpec, zones: Collection[str]) -> BitMap:
-        """Return the machines that a job allows and that hold its image."""
-        held = self.holders.get(spec.image)
-        return BitMap() if held is None else held & self.fitting(spec, zones)
+    def feasible_with_image(self, spec: JobSpec, zones: Collection[str]) -> BitMap:
+        """Return the machines that satisfy a job's constraints and hold its image."""
+        holders = self.image_holders.get(spec.image)
+        return BitMap() if holders is None else holders & self.feasible(spec, zones)
 
-    def yielding(self, job: Job, beyond: Iterable[str]) -> BitMap:
-        """Return machines with work that may give way to a job: of lower priority, or of the
-        teams in `beyond`."""
+    def preemptible(self, job: Job, over_guarantee: Iterable[str]) -> BitMap:
+        """Return the machines with work that a job may preempt: of lower priority, or of the
+        teams in `over_guarantee`."""
         return BitMap.union(
             BitMap(),
-            *(ids for priority, ids in self.weak.items() if priority < job.priority),
-            *(self.teams[team] for team in beyond if team in self.teams),
+            *(
+                ids
+                for priority, ids in self.preemptible_by_priority.items()
+                if priority < job.priority
+            ),
+            *(
+                self.preemptible_by_team[team]
+                for team in over_guarantee
+                if team in self.preemptible_by_team
+            ),
         )
 
-    def freed(self, names: Iterable[str]) -> None:
-        """Room on machines that was promised is free for others again."""
-        for number in self.numbers(names):
-            if number in self.place:
-                self.gained.add(self.place[number])
+    def capacity_released(self, names: Iterable[str]) -> None:
+        """Count machines as having gained capacity: claims on them have ended."""
+        for number in self.bitmap(names):
+            if number in self.class_of:
+                self.gained.add(self.class_of[number])
 
-    def numbers(self, names: Iterable[str]) -> BitMap:
-        """Return a set of machines as a bitmap."""
+    def bitmap(self, names: Iterable[str]) -> BitMap:
+        """Return a set of machine names as a bitmap."""
         return BitMap(self.ids[name] for name in names if name in self.ids)
 
-    def some(self, ids: BitMap, count: int, avoid: Collection[str] = ()) -> list[Machine]:
-        """Return up to `count` usable machines of a set, at random."""
+    def sample(self, ids: BitMap, count: int, excluded: Collection[str] = ()) -> list[Machine]:
+        """Return up to `count` schedulable machines of a set, in random order."""
         return [
             machine
-            for number in pick(self.context.rng, ids, count)
-            if (machine := self._fresh(number)) is not None and machine.name not in avoid
+            for number in sample_members(self.context.rng, ids, count)
+            if (machine := self._schedulable(number)) is not None and machine.name not in excluded
         ]
 
 
-def _discard(sets: dict, keys: Iterable, number: int) -> None:
-    """Take a machine out of the sets under these keys; empty ones go."""
+def _add(sets: dict[KeyT, BitMap], keys: Iterable[KeyT], number: int) -> None:
+    """Add a machine to the sets under these keys."""
+    for key in keys:
+        sets.setdefault(key, BitMap()).add(number)
+
+
+def _discard(sets: dict[KeyT, BitMap], keys: Iterable[KeyT], number: int) -> None:
+    """Take a machine out of the sets under these keys and delete those that become empty."""
     for key in keys:
         members = sets[key]
         members.discard(number)
--- a/oakmux/core/scheduling/minimum_share.py
+++ b/oakmux/core/scheduling/minimum_share.py
@@ -10,7 +10,7 @@
 from oakmux.core.state.records import Job
 
 
-def weight(spec: JobSpec, kind: MachineType) -> float:
+def machine_share(spec: JobSpec, kind: MachineType) -> float:
     """Return the part of a machine that a task takes, of what it takes most of."""
     return max(
         spec.cpus / kind.cpus,
@@ -46,13 +46,13 @@
             and is_aged(self.context, job, job.spec)
         ]
         job = min(due, key=lambda job: (job.since, job.id), default=None)
-        if job is None or job.spec is None or weight(job.spec, kind) > self.owed:
+        if job is None or job.spec is None or machine_share(job.spec, kind) > self.owed:
             return None
         return job
 
     def gave(self, spec: JobSpec, kind: MachineType, by_age: bool) -> None:
         """A task was offered room: by its age, or by its rank."""
-        part = weight(spec, kind)
+        part = machine_share(spec, kind)
         if by_age:
             self.owed -= part
         else:
--- a/oakmux/core/scheduling/pending_job.py
+++ b/oakmux/core/scheduling/pending_job.py
@@ -1,41 +1,55 @@
-"""What an owner remembers of an unfinished job, without the records."""
-
-
-class PendingJob:
-    """What an owner remembers of an unfinished job; nothing here outlives it."""
-
-    __slots__ = (
-        "next_sample_at",
-        "offers",
-        "next_task",
-        "failures",
-        "retry_at",
-        "excluded_machines",
-        "backoff_until",
-        "preempt_at",
-        "next_wide_sample_at",
-        "image_wait_until",
-        "requested",
-        "hold_until",
-        "backfill_machines",
-        "next_backfill_at",
-    )
-
-    def __init__(self) -> None:
-        self.next_sample_at = 0.0
-        self.offers: list[tuple] = []
-        self.next_task = 0
-        self.failures = 0
-        self.retry_at = 0.0
-        self.excluded_machines: set[str] = set()
-        self.backoff_until = 0.0
-        self.preempt_at = 0.0
-        self.next_wide_sample_at = 0.0
-        self.image_wait_until: float | None = None
-        # Of a gang: machines asked for room, until when an answer may come and for how many
-        # tasks; and when it lets go of what it has gathered.
-        self.requested: dict[str, tuple[float, int]] = {}
-        self.hold_until = 0.0
-        # Machines that are being opened for it, with the tasks that each is for.
-        self.backfill_machines: dict[str, int] = {}
-        self.next_backfill_at = 0.0
+"""Scheduling state of an unfinished job that is not part of the stored records."""
+
+from typing import NamedTuple
+
+import msgspec
+
+
+class CapacityOffer(NamedTuple):
+    """Capacity for one task that an agent manager offers to a job.
+
+    `received_at` is a local time (s). `agent_epoch` and `term` become part of the binding.
+    """
+
+    received_at: float
+    machine: str
+    offer_id: int
+    agent_epoch: int
+    term: int
+    manager: str
+    zone: str
+
+
+class CapacityRequest(NamedTuple):
+    """Capacity for `tasks` tasks that a gang requested; an offer may arrive until `until` (s)."""
+
+    until: float
+    tasks: int
+
+
+class PendingJob(msgspec.Struct, eq=False):
+    """What the shard scheduler remembers of an unfinished job; lost with the process.
+
+    Fields that end in `_at` or `_until` are local times in seconds.
+    """
+
+    next_sample_at: float = 0.0
+    offers: list[CapacityOffer] = []
+    # The search for a task that is neither done nor bound begins at this index.
+    next_task: int = 0
+    failures: int = 0
+    retry_at: float = 0.0
+    # Machines on which a task of the job ended with an error.
+    excluded_machines: set[str] = set()
+    backoff_until: float = 0.0
+    # Capacity that preemption was requested for may be offered until then.
+    preempt_at: float = 0.0
+    next_wide_sample_at: float = 0.0
+    # How long to wait for machines that hold the image; None until the first such wait.
+    image_wait_until: float | None = None
+    # Gangs only: requests by machine, and when the offers gathered so far are declined.
+    requested: dict[str, CapacityRequest] = {}
+    hold_until: float = 0.0
+    # Backfill reservation: the number of tasks that each machine is reserved for.
+    backfill_machines: dict[str, int] = {}
+    next_backfill_at: float = 0.0
--- a/oakmux/core/scheduling/pending_queues.py
+++ b/oakmux/core/scheduling/pending_queues.py
@@ -1,20 +1,18 @@
-"""Jobs that wait, in lines: in each stand jobs for which the same room is room.
+"""Pending queues: jobs that wait for capacity, one queue for each shape of job.
 
-What none of a line's jobs finds, the next would not find either, so that the cost of waiting
-follows the number of lines and not that of jobs.
+Where the first job of a queue finds no capacity, the next would not find any either. So the cost
+of waiting depends on the number of queues and not on the number of jobs.
 """
 
 import heapq
-import math
 from collections.abc import Iterator
 from typing import NamedTuple
 
 from sortedcontainers import SortedList
 
-from oakmux import constants
 from oakmux.core.context import Context
 from oakmux.core.model import JobSpec
-from oakmux.core.scheduling.machine_index import CapacityClass
+from oakmux.core.scheduling.machine_index import CapacityClass, required_level
 from oakmux.core.scheduling.queue_order import (
     effective_submission_ms,
     is_starving,
@@ -24,72 +22,99 @@
 from oakmux.core.state.records import Job
 
 
-class Need(NamedTuple):
-    """A machine type that a task fits, with the parts of its CPUs and its memory that the task
-    takes, in steps of 1 / ROOM_LEVELS, rounded up."""
+class Requirement(NamedTuple):
+    """What a task takes of a machine type that it fits.
+
+    The levels are shares of CPUs and of memory in steps of 1 / ROOM_LEVELS, rounded up.
+    """
 
     type: str
     cpu_level: int
     memory_level: int
 
-    def may_fit(self, place: CapacityClass) -> bool:
-        """Whether a machine of a class may have as much."""
+    def may_fit(self, capacity: CapacityClass) -> bool:
+        """Whether a machine of a class may have as much free."""
         return (
-            self.type == place.type
-            and self.cpu_level <= place.cpu_level + 1
-            and self.memory_level <= place.memory_level + 1
+            self.type == capacity.type
+            and self.cpu_level <= capacity.cpu_level + 1
+            and self.memory_level <= capacity.memory_level + 1
         )
 
 
-Needs = tuple[Need, ...]
-
-
 class Shape(NamedTuple):
-    """What decides which room suits a job. `tasks` is 0 for work that starts one by one."""
+    """What decides which capacity suits a job.
+
+    `tasks` is the size of a gang, and 0 where tasks start one by one.
+    """
 
     team: str
     priority: int
     kind: str
     tasks: int
-    needs: Needs
+    requirements: tuple[Requirement, ...]
     gpus: float
     zone: str | None
     spot: bool
     one_zone: bool
     spread: bool
 
-    def may_fit(self, place: CapacityClass) -> bool:
-        """Whether a machine of a class may have room for a task; if not, none has."""
+    def may_fit(self, capacity: CapacityClass) -> bool:
+        """Whether a machine of a class may have capacity for a task; if not, none has."""
         return (
-            self.gpus < place.gpus + 1
-            and self.zone in (None, place.zone)
-            and (self.spot or not place.spot)
-            and any(need.may_fit(place) for need in self.needs)
+            self.gpus < capacity.gpus + 1
+            and self.zone in (None, capacity.zone)
+            and (self.spot or not capacity.spot)
+            and any(requirement.may_fit(capacity) for requirement in self.requirements)
         )
 
 
-def needs_of(context: Context, spec: JobSpec) -> Needs:
+class QueuePosition(NamedTuple):
+    """Order of the jobs in a pending queue; the least comes first. Times are in ms."""
+
+    not_starving: bool
+    latest_start_ms: float
+    misses_objective: bool
+    effective_submission_ms: float
+    job_id: str
+
+
+class QueueEntry(NamedTuple):
+    """Where a job is queued. `submitted_ms` orders the jobs of a queue by age."""
+
+    shape: Shape
+    position: QueuePosition
+    submitted_ms: float
+
+
+class TypeSize(NamedTuple):
+    """The resources of a machine type."""
+
+    cpus: float
+    gpus: float
+    memory_gb: float
+
+
+def requirements_of(context: Context, spec: JobSpec) -> tuple[Requirement, ...]:
     """Return what a task takes of each machine type that it fits."""
     return tuple(
-        Need(kind.name, _level(spec.cpus / kind.cpus), _level(spec.memory_gb / kind.memory_gb))
+        Requirement(
+            kind.name,
+            required_level(spec.cpus / kind.cpus),
+            required_level(spec.memory_gb / kind.memory_gb),
+        )
         for kind in context.types.values()
         if context.fits_type(spec, kind.name)
     )
 
 
-def _level(part: float) -> int:
-    """Return a needed part as steps, rounded up."""
-    return math.ceil(part * constants.ROOM_LEVELS - constants.EPSILON)
-
-
 def shape_of(context: Context, job: Job, spec: JobSpec) -> Shape:
-    """Return the line where a job stands."""
+    """Return the shape of a job, which selects its queue."""
     return Shape(
         job.team,
         job.priority,
         spec.kind,
         spec.tasks if spec.joint else 0,
-        needs_of(context, spec),
+        requirements_of(context, spec),
         spec.gpus,
         spec.zone,
         spec.spot,
@@ -98,114 +123,134 @@
     )
 
 
-Place = tuple[bool, float, bool, float, str]
-"""Where a job stands in its line: whether it is no elder, by when a chain's deadline has it start
-(ms), whether its aim is lost, its turn (ms), and its name."""
+def position_of(context: Context, job: Job, spec: JobSpec) -> QueuePosition:
+    """Return the position in its queue that a job has now."""
+    return QueuePosition(
+        not is_starving(context, job),
+        job.latest_start_ms,
+        misses_objective(context, job, spec),
+        effective_submission_ms(context, job, spec),
+        job.id,
+    )
 
 
 class PendingQueues:
-    """Lines of jobs by their shape."""
+    """Pending jobs in queues by shape. Empty queues are deleted."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
         self.by_shape: dict[Shape, SortedList] = {}
-        self.ages: dict[Shape, SortedList] = {}
-        self.where: dict[str, tuple[Shape, Place, float]] = {}
-        self.sizes: dict[str, tuple[float, float, float]] = {}
-        # When each job that stood in a line becomes an elder, the first of them first; each is
-        # there once, however often it leaves its line and comes back.
+        # The jobs of each queue by age: (submission time in ms, job id).
+        self.by_age: dict[Shape, SortedList] = {}
+        self.entries: dict[str, QueueEntry] = {}
+        self.type_sizes: dict[str, TypeSize] = {}
+        # Heap of the times (ms) at which jobs begin to starve. A job is in it at most once,
+        # however often it leaves its queue and comes back.
         self.starving_at: list[tuple[float, str]] = []
-        self.growing: set[str] = set()
+        self.in_starving_heap: set[str] = set()
 
     def resize(self) -> bool:
-        """Line all jobs up anew if the machine types changed, and with them the shapes; return
-        whether they did."""
-        sizes = {
-            kind.name: (kind.cpus, kind.gpus, kind.memory_gb)
+        """Queue all jobs anew if the machine types, and with them the shapes, changed.
+
+        Returns whether they did.
+        """
+        type_sizes = {
+            kind.name: TypeSize(kind.cpus, kind.gpus, kind.memory_gb)
             for kind in self.context.types.values()
         }
-        if sizes == self.sizes:
+        if type_sizes == self.type_sizes:
             return False
-        self.sizes = sizes
-        names = list(self.where)
+        self.type_sizes = type_sizes
+        job_ids = list(self.entries)
         self.clear()
-        for name in names:
-            job = self.context.replica.jobs[name]
+        for job_id in job_ids:
+            job = self.context.replica.jobs[job_id]
             if job.spec is not None:
                 self.put(job, job.spec)
         return True
 
     def put(self, job: Job, spec: JobSpec) -> Shape:
-        """Put a job where it belongs now; return its line."""
-        shape = shape_of(self.context, job, spec)
-        place = (
-            not is_starving(self.context, job),
-            job.latest_start_ms,
-            misses_objective(self.context, job, spec),
-            effective_submission_ms(self.context, job, spec),
-            job.id,
+        """Queue a job, or move it to its current position; return the shape of its queue."""
+        entry = QueueEntry(
+            shape_of(self.context, job, spec), position_of(self.context, job, spec), job.since
         )
-        if self.where.get(job.id) != (shape, place, job.since):
+        if self.entries.get(job.id) != entry:
             self.drop(job.id)
-            line = self.by_shape.get(shape)
-            if line is None:
-                line = self.by_shape[shape] = SortedList()
-                self.ages[shape] = SortedList()
-            line.add(place)
-            self.ages[shape].add((job.since, job.id))
-            self.where[job.id] = (shape, place, job.since)
-            at = job.since + 1000 * starvation_s(job)
-            if at >= self.context.wall_clock_ms and job.id not in self.growing:
-                self.growing.add(job.id)
-                heapq.heappush(self.starving_at, (at, job.id))
-        return shape
+            self._insert(entry)
+            self._watch_starvation(job)
+        return entry.shape
+
+    def _insert(self, entry: QueueEntry) -> None:
+        shape, position, submitted_ms = entry
+        queue = self.by_shape.get(shape)
+        if queue is None:
+            queue = self.by_shape[shape] = SortedList()
+            self.by_age[shape] = SortedList()
+        queue.add(position)
+        self.by_age[shape].add((submitted_ms, position.job_id))
+        self.entries[position.job_id] = entry
+
+    def _watch_starvation(self, job: Job) -> None:
+        """Have `promote_starving` move the job once it begins to starve."""
+        at_ms = job.since + 1000 * starvation_s(job)
+        if at_ms >= self.context.wall_clock_ms and job.id not in self.in_starving_heap:
+            self.in_starving_heap.add(job.id)
+            heapq.heappush(self.starving_at, (at_ms, job.id))
 
     def promote_starving(self) -> None:
-        """Put those anew that have waited for so long that they come first: their place in line
-        was found when they were younger."""
+        """Move jobs that have begun to starve to the front of their queues."""
         while self.starving_at and self.starving_at[0][0] < self.context.wall_clock_ms:
             _, job_id = heapq.heappop(self.starving_at)
-            self.growing.discard(job_id)
+            self.in_starving_heap.discard(job_id)
             job = self.context.replica.jobs[job_id]
-            if job_id in self.where and job.spec is not None and is_starving(self.context, job):
+            if job_id in self.entries and job.spec is not None and is_starving(self.context, job):
                 self.put(job, job.spec)
 
     def drop(self, job_id: str) -> None:
-        """Take a job out. An empty line goes."""
-        known = self.where.pop(job_id, None)
-        if known is None:
+        """Take a job out of its queue."""
+        entry = self.entries.pop(job_id, None)
+        if entry is None:
             return
-        shape, place, since = known
-        line = self.by_shape[shape]
-        line.remove(place)
-        self.ages[shape].remove((since, job_id))
-        if not line:
+        shape, position, submitted_ms = entry
+        queue = self.by_shape[shape]
+        queue.remove(position)
+        self.by_age[shape].remove((submitted_ms, job_id))
+        if not queue:
             del self.by_shape[shape]
-            del self.ages[shape]
+            del self.by_age[shape]
 
     def oldest(self, shape: Shape) -> str:
-        """Return the oldest job of a line that is not empty."""
-        return self.ages[shape][0][1]
-
-    def head(self, shape: Shape) -> Place | None:
-        """Return who stands first in a line, or None."""
-        while line := self.by_shape.get(shape):  # it is another once its only job was put anew
-            place: Place = line[0]
-            job = self.context.replica.jobs[place[4]]
-            if place[2] or job.spec is None or not misses_objective(self.context, job, job.spec):
-                return place
-            self.put(job, job.spec)  # its aim was lost meanwhile: it goes behind the others
+        """Return the id of the oldest job of an existing queue."""
+        job_id: str = self.by_age[shape][0][1]
+        return job_id
+
+    def head(self, shape: Shape) -> QueuePosition | None:
+        """Return the position of a queue's first job, or None if there is no such queue.
+
+        A job that can't meet its finish objective any more is first moved behind those that can.
+        """
+        # Moving the only job of a queue deletes the queue and makes a new one.
+        while queue := self.by_shape.get(shape):
+            head: QueuePosition = queue[0]
+            job = self.context.replica.jobs[head.job_id]
+            if (
+                head.misses_objective
+                or job.spec is None
+                or not misses_objective(self.context, job, job.spec)
+            ):
+                return head
+            self.put(job, job.spec)
         return None
 
     def first(self, shape: Shape, count: int) -> Iterator[str]:
-        """Return the jobs that stand first in a line."""
-        line = self.by_shape.get(shape)
-        return iter(()) if line is None else (place[4] for place in line.islice(0, count))
+        """Return the ids of up to `count` jobs at the front of a queue."""
+        queue = self.by_shape.get(shape)
+        return iter(()) if queue is None else (head.job_id for head in queue.islice(0, count))
 
     def clear(self) -> None:
-        """Forget all."""
+        """Drop all jobs."""
         self.by_shape.clear()
-        self.ages.clear()
-        self.where.clear()
+        self.by_age.clear()
+        self.entries.clear()
         self.starving_at.clear()
-        self.growing.clear()
+        self.in_starving_heap.clear()
--- a/oakmux/core/scheduling/placement.py
+++ b/oakmux/core/scheduling/placement.py
@@ -1,6 +1,8 @@
-"""Which machine suits a task: constraints, preference, and room made by stopping other work."""
+"""Placement rules: which machine suits a task, and which running work may be preempted for it."""
 
 import math
+from collections.abc import Iterable
+from typing import NamedTuple
 
 from pyroaring import BitMap
 
@@ -11,16 +13,63 @@
 from oakmux.core.resources import Resources, task_capacity
 from oakmux.core.scheduling import quotas
 from oakmux.core.scheduling.machine_index import MachineIndex, SampledMachine
-from oakmux.core.scheduling.pending_job import PendingJob
+from oakmux.core.scheduling.pending_job import CapacityOffer, PendingJob
 from oakmux.core.state.records import Job
 
 
-def fetches(context: Context, spec: JobSpec, machine: Machine) -> tuple[bool, list[Job]]:
-    """Return whether a machine will have an image without a fetch of its own, and the jobs whose
-    other images it fetches: by its report, and by bindings that it has not reported yet. Tasks
-    bound one after the other to a fresh machine once fetched side by side, each for twice as
-    long."""
-    held = spec.image in machine.images
+class ImageFetches(NamedTuple):
+    """Whether a machine will have an image without another fetch, and which jobs' other images it
+    fetches."""
+
+    has_image: bool
+    others: list[Job]
+
+
+class Preference(NamedTuple):
+    """Order of machines for a task; the least comes first. True is worse than False."""
+
+    strands_gpus: bool
+    lacks_image: bool
+    shares_fetch: bool
+    costs_more: bool
+    idle: bool
+    free_share: float
+
+
+class PreemptionRequest(NamedTuple):
+    """A job's request to preempt work on `wanted` of the `candidates`.
+
+    Only machines where that costs less than `max_cost_s` seconds of lost work and image fetch
+    are asked.
+    """
+
+    job: Job
+    spec: JobSpec
+    state: PendingJob
+    candidates: BitMap
+    wanted: int
+    max_cost_s: float
+
+
+class PreemptionOption(NamedTuple):
+    """A machine where work can be preempted, ordered by cost (s), then at random.
+
+    `save_s` is how long the preempted tasks take to save a checkpoint.
+    """
+
+    cost_s: float
+    tie_break: float
+    machine: Machine
+    save_s: float
+
+
+def image_fetches(context: Context, spec: JobSpec, machine: Machine) -> ImageFetches:
+    """Return what a machine fetches by its heartbeat and by bindings not in the heartbeat yet.
+
+    Without these bindings, tasks bound in succession to a new machine fetched side by side, each
+    for twice as long.
+    """
+    has_image = spec.image in machine.images
     others: list[Job] = []
     for (job_id, index), binding in context.replica.by_machine.get(machine.name, {}).items():
         state = machine.tasks.get((f"{job_id}/{index}", binding.attempt))
@@ -28,24 +77,26 @@
         if job is None or job.spec is None or binding.agent_epoch != machine.agent_epoch:
             continue
         if state is None and job.spec.image == spec.image:
-            held = True
+            has_image = True
         elif (
             state[0] == "fetching" if state is not None else (job.spec.image not in machine.images)
         ):
             others.append(job)
-    return held, others
+    return ImageFetches(has_image, others)
 
 
 def fetch_s(context: Context, spec: JobSpec, machine: Machine) -> float:
-    """Return the seconds until a machine has the job's image, as far as we know: fetches at the
-    same time share the machine's rate."""
-    held, others = fetches(context, spec, machine)
-    return 0.0 if held else context.fetch_s(spec, machine.type) * (1 + len(others))
+    """Estimate the seconds until a machine has the job's image.
+
+    Concurrent fetches share the machine's bandwidth.
+    """
+    has_image, others = image_fetches(context, spec, machine)
+    return 0.0 if has_image else context.fetch_s(spec, machine.type) * (1 + len(others))
 
 
 def strands_gpus(spec: JobSpec, kind: MachineType, free: Resources) -> bool:
-    """Whether a task without GPUs would take CPUs that a machine's free GPUs need, by the share
-    that falls to each."""
+    """Whether a task without GPUs would leave a machine's free GPUs less than their share of its
+    CPUs."""
     return (
         not spec.gpus
         and free.gpus > constants.EPSILON
@@ -54,7 +105,7 @@
 
 
 def zone_allowed(spec: JobSpec, zones: list[str], zone: str) -> bool:
-    """Whether one more task may start in a zone, given where the job's others may be."""
+    """Whether one more task may start in a zone, given the zones of the job's other tasks."""
     if spec.one_zone and any(other != zone for other in zones):
         return False
     return not spec.spread or zones.count(zone) + 1 <= math.ceil(spec.tasks / 2)
@@ -62,36 +113,41 @@
 
 def preference(
     context: Context, job: Job, spec: JobSpec, machine: Machine, free: Resources
-) -> tuple:
-    """Return what orders machines for a task: for one without GPUs, CPUs that the free GPUs
-    can spare; image held, no other fetch under way where either is urgent (they would share
-    the rate), spot if allowed, fullest. Spot machines are cheaper, but what needs no GPU takes
-    what is left over on any, and may be lost with them."""
+) -> Preference:
+    """Return the rank of a machine for a task.
+
+    A fetch under way counts only where either job is urgent, since fetches share the machine's
+    bandwidth. Spot machines are cheaper; a task without GPUs nevertheless prefers on-demand
+    machines, since it uses up leftovers on any machine and may be lost with a spot machine. Of
+    equals, the fullest machine comes first.
+    """
     kind = context.types[machine.type]
     urgent = job.priority >= constants.URGENT
-    left = max(free.cpus / kind.cpus, free.gpus / (kind.gpus or 1.0))
-    held, others = fetches(context, spec, machine)
-    fetching = not held and any(urgent or other.priority >= constants.URGENT for other in others)
-    dearer = spec.spot and not machine.spot if spec.gpus else machine.spot
-    return (
+    has_image, others = image_fetches(context, spec, machine)
+    shares_fetch = not has_image and any(
+        urgent or other.priority >= constants.URGENT for other in others
+    )
+    return Preference(
         strands_gpus(spec, kind, free),
-        not held,
-        fetching,
-        dearer,
+        not has_image,
+        shares_fetch,
+        spec.spot and not machine.spot if spec.gpus else machine.spot,
         machine.idle_since is not None,
-        left,
+        max(free.cpus / kind.cpus, free.gpus / (kind.gpus or 1.0)),
     )
 
 
-def best(
-    context: Context, job: Job, spec: JobSpec, rows: list[SampledMachine], count: int
+def choose_machines(
+    context: Context, job: Job, spec: JobSpec, sampled: list[SampledMachine], count: int
 ) -> dict[str, int]:
-    """Choose among drawn machines with room: image held, spot if allowed, fullest; chance
-    decides between equals."""
+    """Choose the preferred of the sampled machines for `count` tasks: {machine: tasks}.
+
+    Equals are ordered at random.
+    """
     ranked = sorted(
         (
             (preference(context, job, spec, row.machine, row.free), context.rng.random(), row)
-            for row in rows
+            for row in sampled
         ),
         key=lambda entry: entry[:2],
     )
@@ -104,15 +160,18 @@
     return chosen
 
 
-def reserve(context: Context, job: Job, chosen: dict[str, int]) -> None:
-    """Send reservations {machine: tasks} to the agent managers of the machines."""
-    for name, number in chosen.items():
+def reserve(context: Context, job: Job, tasks_by_machine: dict[str, int]) -> None:
+    """Send a reservation for each machine to the machine's agent manager."""
+    for name, number in tasks_by_machine.items():
         context.emit("send", context.machines[name].manager, ("reserve", name, job.id, number))
 
 
 def preemption_budget_s(context: Context, spec: JobSpec, machine: Machine) -> float:
-    """Return the lost work that is worth sparing a job the fetch on a machine: the fetch, and
-    more if only without it an aim for starting this class can be met."""
+    """Return how many seconds of lost work are worth sparing a job the fetch on a machine.
+
+    That is the duration of the fetch, and more if the fetch alone would miss a start objective of
+    the job's class.
+    """
     fetch = fetch_s(context, spec, machine)
     slow = fetch * constants.FETCH_SPREAD
     if any(within < slow for within in context.start_objectives.get(spec.job_class, ())):
@@ -121,52 +180,65 @@
 
 
 def request_preemption(
-    context: Context,
-    index: MachineIndex,
-    job: Job,
-    spec: JobSpec,
-    state: PendingJob,
-    among: BitMap,
-    wanted: int,
-    most: float,
+    context: Context, index: MachineIndex, request: PreemptionRequest
 ) -> list[str]:
-    """Ask the agent managers of as many machines as tasks wait to stop work of less right, where
-    that costs less than `most` seconds; return which were asked. For a gang, all its
-    tasks must find room so. Looked at are some machines drawn from `among`, those that hold
-    the image before others. Until `state.preempt_at` what was asked for may come."""
+    """Ask agent managers to preempt work for a job; return the machines that were asked.
+
+    A random sample of the candidates is considered, those that hold the image first. For a gang,
+    either all wanted tasks get a machine or none is asked. Until `state.preempt_at` the capacity
+    may be offered, and no further request is made.
+    """
+    job, spec, state, _, wanted, _ = request
     if context.now < state.preempt_at or context.failures.suspect(job):
         return []
-    used = quotas.usage(context)
-    among = among & index.yielding(job, quotas.beyond(context, job, spec, used))
-    looks = math.ceil(constants.PREEMPT_LOOKS * wanted) + constants.DRAW_LOOKS
-    held = among & index.holders.get(spec.image, BitMap())
-    machines = index.some(held, looks, state.excluded_machines)
-    machines += index.some(among - held, looks - len(machines), state.excluded_machines)
-    rows = []
-    for machine in machines:
-        found = preemption_candidates(context, machine, job, spec, used)
-        if found is not None:
-            cost = found[0] + fetch_s(context, spec, machine)
-            if cost < most:
-                rows.append((cost, context.rng.random(), machine, save_s(context, found[1])))
-    rows.sort(key=lambda row: row[:2])
-    if spec.kind == "gang" and len(rows) < wanted:
+    options = _preemption_options(context, index, request)
+    if spec.kind == "gang" and len(options) < wanted:
         return []
-    for _, _, machine, saving in rows[:wanted]:
+    for _, _, machine, saving in options[:wanted]:
         state.preempt_at = max(state.preempt_at, context.now + constants.PREEMPT_S + saving)
         context.emit("send", machine.manager, ("reserve", machine.name, job.id, 1, True))
-    return [machine.name for _, _, machine, _ in rows[:wanted]]
+    return [option.machine.name for option in options[:wanted]]
 
 
-def choose_gang(spec: JobSpec, offers: list[tuple]) -> list[tuple] | None:
-    """Return offers for all tasks of a gang that keep its constraints, or None."""
-    groups = [offers]
+def _preemption_options(
+    context: Context, index: MachineIndex, request: PreemptionRequest
+) -> list[PreemptionOption]:
+    """Return the sampled machines where preemption is worth its cost, the cheapest first."""
+    job, spec, state, candidates, wanted, max_cost_s = request
+    used = quotas.usage(context)
+    candidates = candidates & index.preemptible(job, quotas.beyond(context, job, spec, used))
+    limit = math.ceil(constants.PREEMPT_LOOKS * wanted) + constants.DRAW_LOOKS
+    with_image = candidates & index.image_holders.get(spec.image, BitMap())
+    machines = index.sample(with_image, limit, state.excluded_machines)
+    machines += index.sample(
+        candidates - with_image, limit - len(machines), state.excluded_machines
+    )
+    options: list[PreemptionOption] = []
+    for machine in machines:
+        found = preemption_candidates(context, machine, job, spec, used)
+        if found is None:
+            continue
+        lost_s, tasks = found
+        cost_s = lost_s + fetch_s(context, spec, machine)
+        if cost_s < max_cost_s:
+            options.append(
+                PreemptionOption(cost_s, context.rng.random(), machine, save_s(context, tasks))
+            )
+    options.sort(key=lambda option: option[:2])
+    return options
+
+
+def choose_gang_offers(spec: JobSpec, offers: list[CapacityOffer]) -> list[CapacityOffer] | None:
+    """Return offers for all tasks of a gang that satisfy its zone constraints, or None."""
+    groups: Iterable[list[CapacityOffer]] = [offers]
     if spec.one_zone:
-        groups = [[o for o in offers if o[6] == zone] for zone in {o[6] for o in offers}]
+        zones = {offer.zone for offer in offers}
+        groups = [[offer for offer in offers if offer.zone == zone] for zone in zones]
     for group in groups:
-        chosen: list[tuple] = []
+        chosen: list[CapacityOffer] = []
         for offer in group:
-            if len(chosen) < spec.tasks and zone_allowed(spec, [o[6] for o in chosen], offer[6]):
+            zones_so_far = [other.zone for other in chosen]
+            if len(chosen) < spec.tasks and zone_allowed(spec, zones_so_far, offer.zone):
                 chosen.append(offer)
         if len(chosen) == spec.tasks:
             return chosen
--- a/oakmux/core/scheduling/sampling.py
+++ b/oakmux/core/scheduling/sampling.py
@@ -1,13 +1,14 @@
-"""Batch sampling: which machines get a reservation for which job, and when again."""
+"""Batch sampling: sends reservations for pending jobs to sampled machines."""
 
+import functools
 import heapq
 import math
-from collections.abc import Callable
+from typing import NamedTuple
 
 from oakmux import constants
 from oakmux.core.context import Context, Machine
 from oakmux.core.model import JobSpec
-from oakmux.core.resources import NO_RESOURCES, Resources, task_capacity
+from oakmux.core.resources import task_capacity
 from oakmux.core.scheduling.binding import Binder
 from oakmux.core.scheduling.capacity_claims import CapacityClaims
 from oakmux.core.scheduling.gangs import GangScheduler
@@ -15,7 +16,8 @@
 from oakmux.core.scheduling.pending_job import PendingJob
 from oakmux.core.scheduling.pending_queues import Shape
 from oakmux.core.scheduling.placement import (
-    best,
+    PreemptionRequest,
+    choose_machines,
     preemption_budget_s,
     request_preemption,
     reserve,
@@ -27,8 +29,24 @@
 from oakmux.core.state.write_buffer import WriteBuffer
 
 
+class Sample(NamedTuple):
+    """One attempt to find capacity for `wanted` tasks of a job.
+
+    `zones` are those that the job's other tasks leave it. `probes` reservations are sent to have
+    a choice between offers.
+    """
+
+    job: Job
+    spec: JobSpec
+    state: PendingJob
+    shape: Shape
+    zones: list[str]
+    wanted: int
+    probes: int
+
+
 class Sampler:
-    """Draws machines for the jobs of the teams that we own."""
+    """Samples machines for the pending jobs of the shard."""
 
     def __init__(
         self,
@@ -46,62 +64,63 @@
         self.binder = binder
         self.gangs = gangs
         self.schedule = schedule
-        self.claims = CapacityClaims(context)
+        self.claims = CapacityClaims(context, until_bound=True)
         self.team_usage: dict[str, tuple[float, float]] = {}
 
     def sample(self) -> None:
-        """Send out reservations for jobs whose turn it is."""
-        context, schedule = self.context, self.schedule
+        """Sample machines for the jobs that are due.
+
+        With thousands of pending jobs, the work of one tick stays bounded: those of higher
+        priority and those that waited longest come first, and a few others are drawn at random.
+        """
         self._bind_collected()
-        schedule.enqueue_due()
+        self.schedule.enqueue_due()
         self.index.refresh()
         gained, self.index.gained = self.index.gained, set()
-        schedule.reopen_fitting(gained)
-        schedule.reopen_limited(self._teams_with_less_usage())
-        gathering, schedule.gathering = schedule.gathering, []
+        self.schedule.reopen_fitting(gained)
+        self.schedule.reopen_limited(self._teams_with_less_usage())
+        gathering, self.schedule.gathering = self.schedule.gathering, []
         for job_id in gathering:
             self._sample(job_id)
-        # With thousands of jobs waiting, those of higher priority and those that waited longest
-        # go first; the work of one tick stays bounded.
-        turns = schedule.turns()
+        heads = self.schedule.heads()
         for _ in range(constants.SAMPLES_PER_TICK - len(gathering)):
-            if not turns:
+            if not heads:
                 break
-            *_, job_id, shape = turns[0]
-            self._sample(job_id)
-            turn = schedule.turn(shape)
-            if turn is None:
-                heapq.heappop(turns)
+            head = heads[0]
+            self._sample(head.position.job_id)
+            next_head = self.schedule.head(head.shape)
+            if next_head is None:
+                heapq.heappop(heads)
             else:
-                heapq.heapreplace(turns, turn)
-        for *_, job_id, _ in context.rng.sample(turns, min(len(turns), constants.SAMPLES_LOWER)):
-            self._sample(job_id)  # nor do lines of lower priority go without
+                heapq.heapreplace(heads, next_head)
+        others = self.context.rng.sample(heads, min(len(heads), constants.SAMPLES_LOWER))
+        for head in others:
+            self._sample(head.position.job_id)
 
     def _bind_collected(self) -> None:
-        """Bind tasks to the offers that were gathered for long enough."""
+        """Bind tasks of the jobs whose offers were collected for long enough."""
         for job_id in list(self.binder.collecting):
             state = self.open.get(job_id)
             job = self.context.replica.jobs[job_id]
             if state is None or not state.offers or job.spec is None:
                 del self.binder.collecting[job_id]
-            elif self.context.now - state.offers[0][0] >= constants.GATHER_S:
+            elif self.context.now - state.offers[0].received_at >= constants.GATHER_S:
                 del self.binder.collecting[job_id]
                 self.binder.choose(job, job.spec, state)
 
     def _teams_with_less_usage(self) -> list[str]:
-        """Return the teams of ours that use less than at the last tick."""
-        used = {
+        """Return the shard's teams that use less than at the last tick."""
+        usage = {
             team: self.buffer.team_use(team)
             for team in self.context.held_roles
             if team in self.context.teams
         }
-        fell = [
-            team
-            for team, use in used.items()
-            if use[0] < self.team_usage.get(team, use)[0]
-            or use[1] < self.team_usage.get(team, use)[1]
-        ]
-        self.team_usage = used
+        fell = []
+        for team, (cpus, gpus) in usage.items():
+            old_cpus, old_gpus = self.team_usage.get(team, (cpus, gpus))
+            if cpus < old_cpus or gpus < old_gpus:
+                fell.append(team)
+        self.team_usage = usage
         return fell
 
     def _sample(self, job_id: str) -> None:
@@ -111,84 +130,70 @@
             self._sample_job(job, job.spec, state)
 
     def _sample_job(self, job: Job, spec: JobSpec, state: PendingJob) -> None:
-        """Look for room for one job. After this it is idle, waits for a time, or stands in its
-        line, which is shut."""
+        """Look for capacity for one job.
+
+        Afterwards the job is idle, deferred to a time, or in its queue, which is then closed.
+        """
         context, schedule = self.context, self.schedule
         if state.hold_until and context.now >= state.hold_until:
-            self.binder.release(state)
-            self.gangs.end(job, state)
-            state.backoff_until = context.now + context.rng.uniform(0, constants.GANG_BACKOFF_S)
-        if context.now < max(state.backoff_until, state.retry_at):
-            schedule.defer(job.id, max(state.backoff_until, state.retry_at))
+            self._give_up_gathering(job, state)
+        not_before = max(state.backoff_until, state.retry_at)
+        if context.now < not_before:
+            schedule.defer(job.id, not_before)
             return
-        wanted = self.buffer.unstarted(job)
-        zones = [b.zone for b in self.buffer.bindings(job)]
-        if spec.kind == "gang" and zones:
-            wanted = 0  # a new attempt only when every task of the old one is proven gone
-        if not spec.joint and context.failures.suspect(job):
-            # It fails wherever it starts: one task at a time, or a mistake in a large array takes
-            # hundreds of places, and as many fetches, at each try.
-            wanted = min(wanted, 0 if zones else 1)
+        zones = [binding.zone for binding in self.buffer.bindings(job)]
+        wanted = self._tasks_to_start(job, spec, bool(zones))
         if not wanted:
             self.gangs.end(job, state)
             self.gangs.end_backfill(job, state)
-            schedule.defer(job.id, math.inf)  # until a task of it is proven gone
+            schedule.defer(job.id, math.inf)  # until a task of it is proven to have ended
             return
         shape = schedule.queues.put(job, spec)
         if self.buffer.exceeds_limit(job, spec, spec.tasks if spec.kind == "gang" else 1):
-            if state.hold_until:  # it must not hold what others may use
-                self.binder.release(state)
-                self.gangs.end(job, state)
-            self.gangs.end_backfill(job, state)
-            self.buffer.claim_limit(job, spec, self._tasks_wanted(shape, spec))
-            schedule.exceeds_limit(shape)
+            self._wait_for_limit(job, spec, state, shape)
             return
-        # Room in a zone that the job's other tasks rule out must not hide that room has to be
-        # made in another: a spread service once waited 50 s for its second replica so.
-        zones_left = [zone for zone in context.facts.zones if zone_allowed(spec, zones, zone)]
+        # Zones that the job's other tasks rule out don't count: free capacity there once hid that
+        # work had to be preempted in another zone, and a spread service waited 50 s for its
+        # second replica.
+        allowed = [zone for zone in context.facts.zones if zone_allowed(spec, zones, zone)]
         state.next_sample_at = context.now + constants.RESAMPLE_S
+        probes = min(math.ceil(constants.PROBE_RATIO * wanted), constants.MAX_RESERVATIONS_PER_JOB)
+        sample = Sample(job, spec, state, shape, allowed, wanted, probes)
         if spec.joint:
-            if is_starving(context, job):
-                # While it gathers room, its part of the limit is kept as well: younger work of
-                # its team took it in that time, and the gang began anew for minutes.
-                self.buffer.claim_limit(job, spec, wanted)
-            if self.gangs.sample(job, spec, state):
-                schedule.defer(job.id, state.next_sample_at)
-                schedule.found(shape, 0, None)
-            else:
-                self.gangs.end(job, state)
-                self._nothing_found(job, state, shape, zones_left)
-            return
-        count = min(math.ceil(constants.PROBE_RATIO * wanted), constants.MAX_RESERVATIONS_PER_JOB)
-        rows = self.index.draw(
-            spec, zones_left, state.excluded_machines, count, self._claims_filter(job, spec)
-        )
-        if rows:
-            self._take_room(job, spec, state, zones_left, rows, wanted, count)
-            schedule.defer(job.id, state.next_sample_at)
-            there = sum(task_capacity(row.free, spec) for row in rows)
-            all_drawn = there < count * constants.DRAW_RATIO + constants.DRAW_MORE
-            schedule.found(shape, wanted, there if all_drawn else None)
-        elif self._sample_widely(job, spec, state, zones_left, wanted, count):
-            schedule.defer(job.id, state.preempt_at)
-            schedule.found(shape, 0, None)
+            self._sample_gang(sample)
         else:
-            self._nothing_found(job, state, shape, zones_left)
+            self._sample_tasks(sample)
 
-    def _claims_filter(self, job: Job, spec: JobSpec) -> Callable[[Machine, Resources], Resources]:
-        """Return what takes off room that an opening keeps from a job, or that other jobs of ours
-        have asked for."""
-        backfill = self.context.backfill
+    def _give_up_gathering(self, job: Job, state: PendingJob) -> None:
+        """Decline what a gang has gathered; it starts over after a random backoff."""
+        self.binder.release(state)
+        self.gangs.end(job, state)
+        state.backoff_until = self.context.now + self.context.rng.uniform(
+            0, constants.GANG_BACKOFF_S
+        )
 
-        def left(machine: Machine, free: Resources) -> Resources:
-            if backfill.by_machine and backfill.blocks_job(machine.name, job, spec):
-                return NO_RESOURCES
-            return self.claims.left(job.id, machine, free)
+    def _tasks_to_start(self, job: Job, spec: JobSpec, bound: bool) -> int:
+        """Return how many tasks of a job may start now; `bound` if any is bound."""
+        wanted = self.buffer.unstarted(job)
+        if spec.kind == "gang" and bound:
+            return 0  # a new attempt waits until every task of the old one has ended
+        if not spec.joint and self.context.failures.suspect(job):
+            # It fails on every machine: one task at a time. An array with a mistake would
+            # otherwise take hundreds of places, and as many image fetches, at each attempt.
+            return min(wanted, 0 if bound else 1)
+        return wanted
 
-        return left
+    def _wait_for_limit(self, job: Job, spec: JobSpec, state: PendingJob, shape: Shape) -> None:
+        """Close the queue of a job that its team's limit keeps from starting."""
+        if state.hold_until:  # what it has gathered is of use to others
+            self.binder.release(state)
+            self.gangs.end(job, state)
+        self.gangs.end_backfill(job, state)
+        self.buffer.claim_limit(job, spec, self._tasks_wanted(shape, spec))
+        self.schedule.close_by_limit(shape)
 
     def _tasks_wanted(self, shape: Shape, spec: JobSpec) -> int:
-        """Count what the first jobs of a line have to start."""
+        """Count the tasks that the first jobs of a queue have to start, up to a maximum."""
         most = max(constants.MAX_RESERVATIONS_PER_JOB, spec.tasks if spec.kind == "gang" else 1)
         wanted = 0
         for job_id in self.schedule.queues.first(shape, most):
@@ -197,35 +202,82 @@
                 break
         return min(wanted, most)
 
+    def _sample_gang(self, sample: Sample) -> None:
+        """Look for capacity for all tasks of a gang."""
+        job, spec, state, shape, zones, wanted, _ = sample
+        if is_starving(self.context, job):
+            # Its part of the limit is kept while it gathers capacity. Younger work of its team
+            # took it meanwhile, and the gang started over for minutes.
+            self.buffer.claim_limit(job, spec, wanted)
+        if self.gangs.sample(job, spec, state):
+            self.schedule.defer(job.id, state.next_sample_at)
+            self.schedule.capacity_requested(shape, 0, None)
+        else:
+            self.gangs.end(job, state)
+            self._nothing_found(job, state, shape, zones)
+
+    def _sample_tasks(self, sample: Sample) -> None:
+        """Look for capacity for tasks that start one by one."""
+        job, spec, state, shape, zones, wanted, probes = sample
+        rows = self.index.draw(
+            spec,
+            zones,
+            state.excluded_machines,
+            probes,
+            functools.partial(self.claims.available, job, spec),
+        )
+        if rows:
+            self._request_capacity(sample, rows)
+            self.schedule.defer(job.id, state.next_sample_at)
+            found = sum(task_capacity(row.free, spec) for row in rows)
+            all_drawn = found < probes * constants.DRAW_RATIO + constants.DRAW_MORE
+            self.schedule.capacity_requested(shape, wanted, found if all_drawn else None)
+        elif self._sample_widely(sample):
+            self.schedule.defer(job.id, state.preempt_at)
+            self.schedule.capacity_requested(shape, 0, None)
+        else:
+            self._nothing_found(job, state, shape, zones)
+
     def _nothing_found(self, job: Job, state: PendingJob, shape: Shape, zones: list[str]) -> None:
-        """No room: nor would those behind the job find any, unless it has reasons of its own."""
+        """Close the queue of a job that found nothing, unless that is due to the job itself."""
         if state.excluded_machines or len(zones) < len(self.context.facts.zones):
             self.schedule.defer(job.id, self.context.now + constants.WIDE_S)
         else:
             self.schedule.close_queue(shape)
 
-    def _sample_widely(
-        self, job: Job, spec: JobSpec, state: PendingJob, zones: list[str], wanted: int, count: int
-    ) -> bool:
-        """Have room made, or queue at fitting machines, full as they are: reservations wait there
-        for longer than it takes to look for room anew. Return whether room is made for all."""
+    def _sample_widely(self, sample: Sample) -> bool:
+        """Request preemption, and queue reservations at feasible machines although they are full.
+
+        Reservations wait there for longer than it takes until the next sample. Returns whether
+        preemption was requested for all wanted tasks.
+        """
+        job, spec, state, _, zones, wanted, probes = sample
         context = self.context
         if context.now < state.next_wide_sample_at:
             return False
         state.next_wide_sample_at = context.now + constants.WIDE_S
-        fitting = self.index.fitting(spec, zones)
-        made = request_preemption(context, self.index, job, spec, state, fitting, wanted, math.inf)
+        feasible = self.index.feasible(spec, zones)
+        preempted = request_preemption(
+            context,
+            self.index,
+            PreemptionRequest(job, spec, state, feasible, wanted, math.inf),
+        )
         chosen: dict[str, int] = {}
-        while count > 0 and (some := self.index.some(fitting, count, state.excluded_machines)):
-            for machine in some:
+        while probes > 0 and (
+            machines := self.index.sample(feasible, probes, state.excluded_machines)
+        ):
+            for machine in machines:
                 chosen[machine.name] = chosen.get(machine.name, 0) + 1
-            count -= len(some)
+            probes -= len(machines)
         reserve(context, job, chosen)
-        self._queue_oldest(job, spec)
-        return len(made) >= wanted
+        self._reserve_for_oldest(job, spec)
+        return len(preempted) >= wanted
+
+    def _reserve_for_oldest(self, job: Job, spec: JobSpec) -> None:
+        """Send reservations for the oldest job of a job's queue as well, once it is aged.
 
-    def _queue_oldest(self, job: Job, spec: JobSpec) -> None:
-        """Queue a line's oldest job as well, once it is aged: agent managers owe it a share."""
+        Agent managers grant a minimum share of capacity to aged jobs with a reservation.
+        """
         shape = self.schedule.queues.put(job, spec)
         oldest = self.context.replica.jobs[self.schedule.queues.oldest(shape)]
         if (
@@ -233,71 +285,70 @@
             and oldest.spec is not None
             and is_aged(self.context, oldest, oldest.spec)
         ):
-            fitting = self.index.fitting(oldest.spec, self.context.facts.zones)
-            some = self.index.some(
-                fitting, constants.MAX_RESERVATIONS_PER_JOB, self.open[oldest.id].excluded_machines
+            machines = self.index.sample(
+                self.index.feasible(oldest.spec, self.context.facts.zones),
+                constants.MAX_RESERVATIONS_PER_JOB,
+                self.open[oldest.id].excluded_machines,
             )
-            reserve(self.context, oldest, {machine.name: 1 for machine in some})
+            reserve(self.context, oldest, {machine.name: 1 for machine in machines})
 
-    def _take_room(
-        self,
-        job: Job,
-        spec: JobSpec,
-        state: PendingJob,
-        zones: list[str],
-        rows: list[SampledMachine],
-        wanted: int,
-        count: int,
-    ) -> None:
-        """Reserve room that was drawn, or wait a little where the image is."""
-        context = self.context
-        holders = self.index.holding(spec, zones)
-        there = [row for row in rows if row.held]
-        # A fetch blocks its place as well: stopping young work where the image is costs less.
+    def _request_capacity(self, sample: Sample, rows: list[SampledMachine]) -> None:
+        """Reserve capacity on drawn machines, or wait for machines that hold the image."""
+        job, spec, state, _, zones, wanted, probes = sample
+        image_holders = self.index.feasible_with_image(spec, zones)
+        with_image = [row for row in rows if row.has_image]
+        # A fetch occupies its place too: preempting young work where the image is costs less.
         if (
-            holders
-            and not there
+            image_holders
+            and not with_image
             and request_preemption(
-                context,
+                self.context,
                 self.index,
-                job,
-                spec,
-                state,
-                holders,
-                wanted,
-                preemption_budget_s(context, spec, rows[0].machine),
+                PreemptionRequest(
+                    job,
+                    spec,
+                    state,
+                    image_holders,
+                    wanted,
+                    preemption_budget_s(self.context, spec, rows[0].machine),
+                ),
             )
         ):
             state.next_sample_at = state.preempt_at
-        elif len(holders) >= wanted > sum(
-            task_capacity(row.free, spec) for row in there
+            return
+        if len(image_holders) >= wanted > sum(
+            task_capacity(row.free, spec) for row in with_image
         ) and self._waits_for_image(spec, state, rows[0].machine):
-            state.next_sample_at = context.now + constants.WAIT_RESAMPLE_S
-            queued = self.index.some(holders, count, state.excluded_machines)
-            reserve(
-                context,
-                job,
-                {**{m.name: 1 for m in queued}, **best(context, job, spec, there, count)},
-            )
+            state.next_sample_at = self.context.now + constants.WAIT_RESAMPLE_S
+            full = self.index.sample(image_holders, probes, state.excluded_machines)
+            chosen = {machine.name: 1 for machine in full}
+            chosen.update(choose_machines(self.context, job, spec, with_image, probes))
         else:
-            chosen = best(context, job, spec, rows, count)
-            self.claims.ask(job.id, spec, chosen, wanted)
-            reserve(context, job, chosen)
+            chosen = choose_machines(self.context, job, spec, rows, probes)
+            until = self.context.now + constants.RESAMPLE_S
+            self.claims.add(job.id, spec, chosen, until, wanted)
+        reserve(self.context, job, chosen)
 
     def _waits_for_image(self, spec: JobSpec, state: PendingJob, machine: Machine) -> bool:
-        """Whether to wait at machines that hold the image rather than fetch it: for a part of the
-        fetch, as far as the aims for starting this class and guaranteed work leave time. What
-        holds a service's image are services mostly, which don't end."""
-        now = self.context.now
+        """Whether to wait for machines that hold the image instead of fetching it.
+
+        The wait is a share of the fetch's duration, as far as the start objectives of the job's
+        class and the guarantee objective leave time. Services don't wait: what runs on the
+        machines that hold their image are mostly services, which don't end.
+        """
         if spec.kind == "service":
             return False
         if state.image_wait_until is None:
-            fetch = self.context.fetch_s(spec, machine.type)
-            patience = fetch * constants.PATIENCE_SHARE
-            for within in self.context.start_objectives.get(spec.job_class, ()):
-                if fetch / constants.FETCH_SPREAD < within:  # a fetch at once may meet the aim
-                    patience = min(patience, max(0.0, within - fetch * constants.FETCH_SPREAD))
-            if self.context.guarantee_objective_s is not None:
-                patience = min(patience, self.context.guarantee_objective_s / 2)
-            state.image_wait_until = now + patience
-        return now < state.image_wait_until
+            state.image_wait_until = self.context.now + self._max_image_wait_s(spec, machine)
+        return self.context.now < state.image_wait_until
+
+    def _max_image_wait_s(self, spec: JobSpec, machine: Machine) -> float:
+        fetch_s = self.context.fetch_s(spec, machine.type)
+        slow_fetch_s = fetch_s * constants.FETCH_SPREAD
+        wait_s = fetch_s * constants.PATIENCE_SHARE
+        for within_s in self.context.start_objectives.get(spec.job_class, ()):
+            if fetch_s / constants.FETCH_SPREAD < within_s:  # a fetch now may meet the objective
+                wait_s = min(wait_s, max(0.0, within_s - slow_fetch_s))
+        if self.context.guarantee_objective_s is not None:
+            wait_s = min(wait_s, self.context.guarantee_objective_s / 2)
+        return wait_s
--- a/oakmux/core/scheduling/sampling_schedule.py
+++ b/oakmux/core/scheduling/sampling_schedule.py
@@ -1,183 +1,194 @@
-"""When which job of ours is sampled: by what changed, not by the clock.
+"""Decides when each job of the shard is sampled: after changes that matter to it, not by polling.
 
-A job is idle (nothing of it to start), waits for a time (it has just asked for room, or may not
-start yet), or stands in a line. A line is open until its first job finds no room, or less than it
-wants; then it is shut until a machine got room that may suit it, the team's use fell, its first
-job left, or, as a safety net, some seconds have passed.
+A job is idle (it has no task to start), deferred to a time (it has just requested capacity, or may
+not start yet), or in a pending queue. A queue is open until its first job finds no capacity, or
+less than it needs. Then it is closed until a machine gained capacity that may suit it, its team's
+usage fell, its first job left, or some seconds have passed: a safety net for missed changes.
 """
 
 import heapq
 import math
-from collections.abc import Iterable
-from typing import TYPE_CHECKING
+from collections.abc import Collection, Iterable
+from typing import NamedTuple
+
+import msgspec
 
 from oakmux import constants
 from oakmux.core.context import Context
 from oakmux.core.scheduling.machine_index import CapacityClass
-from oakmux.core.scheduling.pending_queues import PendingQueues, Shape
+from oakmux.core.scheduling.pending_job import CapacityRequest, PendingJob
+from oakmux.core.scheduling.pending_queues import PendingQueues, QueuePosition, Shape
 from oakmux.core.state.records import Job
 
-if TYPE_CHECKING:  # the owner's parts import this one
-    from oakmux.core.scheduling.pending_job import PendingJob
 
+class QueueHead(NamedTuple):
+    """The first job of a queue, in the order in which queues are served."""
 
-Turn = tuple[int, bool, float, bool, float, str, Shape]
-"""The first job of a line among all: by priority, place in its line, name."""
+    negative_priority: int
+    position: QueuePosition
+    shape: Shape
 
 
-class ClosedQueue:
-    """Why a line is shut: until when at the latest, after which pause, and whether by its team's
-    limit (then room that machines got does not open it)."""
+class ClosedQueue(msgspec.Struct, eq=False):
+    """A queue that is closed until `until` (s) at the latest, for `pause_s` the last time.
 
-    __slots__ = ("until", "pause", "limit")
+    `by_limit`: the team's limit closed it, so capacity that machines gain does not reopen it.
+    """
 
-    def __init__(self, until: float, pause: float, limit: bool) -> None:
-        self.until = until
-        self.pause = pause
-        self.limit = limit
+    until: float
+    pause_s: float
+    by_limit: bool
 
 
 class SamplingSchedule:
-    """The jobs of our teams, by when they are sampled next."""
+    """The pending jobs of the shard by when they are sampled next."""
 
-    def __init__(self, context: Context, open_jobs: "dict[str, PendingJob]") -> None:
+    def __init__(self, context: Context, open_jobs: dict[str, PendingJob]) -> None:
         self.context = context
         self.open = open_jobs
         self.queues = PendingQueues(context)
         self.closed: dict[Shape, ClosedQueue] = {}
-        # Room that a line's jobs have asked for within RESAMPLE_S: [(until, tasks)].
-        self.asked: dict[Shape, list[tuple[float, int]]] = {}
+        # Capacity that a queue's jobs have requested within RESAMPLE_S.
+        self.requested: dict[Shape, list[CapacityRequest]] = {}
+        # Heap of the times to which jobs are deferred. Entries that are out of date stay in it.
         self.timers: list[tuple[float, str]] = []
-        # Gangs that hold or have asked for room: their time counts, whatever their line does.
+        # Gangs that hold or have requested capacity and are due: sampled even if their queue is
+        # closed, since what they hold is released in time.
         self.gathering: list[str] = []
 
     # --- single jobs ---
 
     def due(self, job: Job) -> None:
-        """A job has something to start that has not been looked for. If it stands first, its line
-        is opened: it may be another job than the one that found nothing."""
+        """Queue a job that has a task to start for which no machine was sampled yet.
+
+        If it comes first, its queue reopens: what found no capacity may have been another job.
+        """
         state = self.open.get(job.id)
         if state is not None and job.spec is not None:
             state.next_sample_at = 0.0
             shape = self.queues.put(job, job.spec)
-            if self.queues.head(shape) == self.queues.where[job.id][1]:
+            if self.queues.head(shape) == self.queues.entries[job.id].position:
                 self.closed.pop(shape, None)
 
-    def moved(self, job: Job) -> None:
-        """What decides a job's place in its line may have changed."""
-        if job.id in self.queues.where and job.spec is not None:
+    def reposition(self, job: Job) -> None:
+        """Update a queued job's position after a change of the job."""
+        if job.id in self.queues.entries and job.spec is not None:
             self.queues.put(job, job.spec)
 
-    def defer(self, job_id: str, at: float) -> None:
-        """Sample a job once a time has come; never, if that is infinite, until it is due."""
-        self.open[job_id].next_sample_at = at
+    def defer(self, job_id: str, until: float) -> None:
+        """Sample a job at a time (s), or not before it is `due` if that is infinite."""
+        self.open[job_id].next_sample_at = until
         self.leave(job_id)
-        if at < math.inf:
-            heapq.heappush(self.timers, (at, job_id))
+        if until < math.inf:
+            heapq.heappush(self.timers, (until, job_id))
 
     def leave(self, job_id: str) -> None:
-        """A job leaves its line; if it stood first, the next has its turn."""
-        known = self.queues.where.get(job_id)
-        if known is not None:
-            first = self.queues.head(known[0]) == known[1]
-            self.queues.drop(job_id)
-            if first:
-                self.closed.pop(known[0], None)
-            if known[0] not in self.queues.by_shape:
-                self.closed.pop(known[0], None)
-                self.asked.pop(known[0], None)
-
-    # --- lines ---
+        """Take a job out of its queue. If it was the first, the queue reopens for the next."""
+        entry = self.queues.entries.get(job_id)
+        if entry is None:
+            return
+        shape = entry.shape
+        was_first = self.queues.head(shape) == entry.position
+        self.queues.drop(job_id)
+        if was_first:
+            self.closed.pop(shape, None)
+        if shape not in self.queues.by_shape:
+            self.closed.pop(shape, None)
+            self.requested.pop(shape, None)
+
+    # --- queues ---
 
     def close_queue(self, shape: Shape) -> None:
-        """The first of a line found no room. The safety net's pause grows, for urgent work less:
-        what may give way to it changes with time."""
-        most = (
+        """Close a queue whose first job found no capacity.
+
+        The pause before the safety net reopens it doubles each time, up to a maximum that is
+        smaller for urgent work: what it may preempt changes with time.
+        """
+        max_pause_s = (
             constants.LINE_URGENT_S
             if shape.priority >= constants.URGENT
             else constants.LINE_MOST_S
         )
         old = self.closed.get(shape)
-        pause = constants.WIDE_S if old is None else min(most, 2 * old.pause)
-        self.closed[shape] = ClosedQueue(self.context.now + pause, pause, False)
+        pause_s = constants.WIDE_S if old is None else min(max_pause_s, 2 * old.pause_s)
+        self.closed[shape] = ClosedQueue(self.context.now + pause_s, pause_s, False)
 
-    def exceeds_limit(self, shape: Shape) -> None:
-        """The team's limit keeps a line back."""
+    def close_by_limit(self, shape: Shape) -> None:
+        """Close a queue whose next task would exceed the team's limit."""
         self.closed[shape] = ClosedQueue(
             self.context.now + constants.RESAMPLE_S, constants.WIDE_S, True
         )
 
-    def found(self, shape: Shape, wanted: int, there: int | None) -> None:
-        """A job of a line asked for room for so many tasks. Where all that there is was counted
-        (`there`) and is asked for now, those behind it wait until more comes or some of it was not
-        had: each would ask for the same."""
+    def capacity_requested(self, shape: Shape, tasks: int, found: int | None) -> None:
+        """Record that a job of a queue requested capacity for so many tasks.
+
+        `found` is for how many tasks there is capacity, if all of it was counted. Once the queue
+        has requested all of it, the queue is closed until the first request is over: the jobs
+        behind would request the same.
+        """
         now = self.context.now
         self.closed.pop(shape, None)
-        asked = [row for row in self.asked.get(shape, ()) if row[0] > now]
-        asked.append((now + constants.RESAMPLE_S, wanted))
-        self.asked[shape] = asked
-        if there is not None and sum(count for _, count in asked) >= there:
-            self.closed[shape] = ClosedQueue(asked[0][0], constants.WIDE_S, False)
-
-    def reopen_fitting(self, gained: Iterable[CapacityClass]) -> None:
-        """Machines got room: open the lines that it may suit."""
-        places = list(gained)
-        if places:
-            for shape in [
-                shape
-                for shape, closed in self.closed.items()
-                if not closed.limit and any(shape.may_fit(place) for place in places)
-            ]:
-                self.closed[shape].until = 0.0  # the pause stays, should nothing be found
+        requests = [request for request in self.requested.get(shape, ()) if request.until > now]
+        requests.append(CapacityRequest(now + constants.RESAMPLE_S, tasks))
+        self.requested[shape] = requests
+        if found is not None and sum(request.tasks for request in requests) >= found:
+            self.closed[shape] = ClosedQueue(requests[0].until, constants.WIDE_S, False)
+
+    def reopen_fitting(self, gained: Collection[CapacityClass]) -> None:
+        """Reopen the queues that capacity gained by machines may suit."""
+        if not gained:
+            return
+        for shape, closed in self.closed.items():
+            if not closed.by_limit and any(shape.may_fit(capacity) for capacity in gained):
+                closed.until = 0.0  # the pause stays as it is, in case nothing is found
 
     def reopen_limited(self, teams: Iterable[str]) -> None:
-        """The use of teams fell: open what their limits kept back."""
-        fell = set(teams)
+        """Reopen the queues closed by the limits of teams whose usage fell."""
+        reopened = set(teams)
         for shape, closed in self.closed.items():
-            if closed.limit and shape.team in fell:
+            if closed.by_limit and shape.team in reopened:
                 closed.until = 0.0
 
-    # --- a tick ---
+    # --- each tick ---
 
     def enqueue_due(self) -> None:
-        """Put jobs whose time has come into their lines."""
-        now = self.context.now
+        """Queue the jobs whose time has come."""
         if self.queues.resize():
             self.closed.clear()
-            self.asked.clear()
+            self.requested.clear()
         self.queues.promote_starving()
-        jobs = self.context.replica.jobs
-        while self.timers and self.timers[0][0] <= now:
+        while self.timers and self.timers[0][0] <= self.context.now:
             at, job_id = heapq.heappop(self.timers)
             state = self.open.get(job_id)
             if (
-                state is not None
-                and state.next_sample_at == at
-                and job_id not in self.queues.where
+                state is None
+                or state.next_sample_at != at  # it was deferred anew
+                or job_id in self.queues.entries
             ):
-                job = jobs[job_id]
-                if state.hold_until:
-                    self.gathering.append(job_id)
-                elif job.spec is not None:
-                    self.queues.put(job, job.spec)
-
-    def turns(self) -> list[Turn]:
-        """Return the first job of each open line as a heap, the most urgent first."""
-        now = self.context.now
-        rows: list[Turn] = []
-        for shape in list(self.queues.by_shape):
-            closed = self.closed.get(shape)
-            if closed is None or closed.until <= now:
-                head = self.queues.head(shape)
-                if head is not None:
-                    rows.append((-shape.priority, *head, shape))
-        heapq.heapify(rows)
-        return rows
-
-    def turn(self, shape: Shape) -> Turn | None:
-        """Return the turn of a line's first job, or None if the line is shut or empty."""
-        closed = self.closed.get(shape)
-        head = self.queues.head(shape)
-        if head is None or (closed is not None and closed.until > self.context.now):
+                continue
+            job = self.context.replica.jobs[job_id]
+            if state.hold_until:
+                self.gathering.append(job_id)
+            elif job.spec is not None:
+                self.queues.put(job, job.spec)
+
+    def heads(self) -> list[QueueHead]:
+        """Return the first job of each open queue as a heap."""
+        heads = [
+            head
+            for shape in list(self.queues.by_shape)
+            if not self._is_closed(shape) and (head := self.head(shape)) is not None
+        ]
+        heapq.heapify(heads)
+        return heads
+
+    def head(self, shape: Shape) -> QueueHead | None:
+        """Return the first job of a queue, or None if the queue is closed or empty."""
+        position = self.queues.head(shape)
+        if position is None or self._is_closed(shape):
             return None
-        return (-shape.priority, *head, shape)
+        return QueueHead(-shape.priority, position, shape)
+
+    def _is_closed(self, shape: Shape) -> bool:
+        closed = self.closed.get(shape)
+        return closed is not None and closed.until > self.context.now
--- a/oakmux/core/state/write_buffer.py
+++ b/oakmux/core/state/write_buffer.py
@@ -7,7 +7,7 @@
 from oakmux.core.context import Context
 from oakmux.core.model import JobSpec
 from oakmux.core.scheduling import quotas
-from oakmux.core.scheduling.pending_job import PendingJob
+from oakmux.core.scheduling.pending_job import CapacityOffer, PendingJob
 from oakmux.core.scheduling.queue_order import is_starving
 from oakmux.core.state.batch_allocator import BatchAllocator
 from oakmux.core.state.binding_batches import shares_batch
@@ -73,7 +73,7 @@
         """Return the format that records are written in."""
         return self.context.replica.format
 
-    def holds(self, job: Job, number: int, offers: list[tuple]) -> bool:
+    def holds(self, job: Job, number: int, offers: list[CapacityOffer]) -> bool:
         """Whether a chunk's record can hold bindings to what is offered as well. The coming limit
         counts at any time: once the limits fell, bindings that can't be written would never go."""
         block = self.block(job, number)
@@ -84,8 +84,10 @@
         trial = block.copy()
         trial.last = self.next_attempt(job)
         first = (number + 1) * self.tasks_per_record  # no task's number there is longer
-        for index, (_, name, _, agent_epoch, term, _, zone) in enumerate(offers, first):
-            trial.bound[index] = Binding(trial.last, name, agent_epoch, term, zone)
+        for index, offer in enumerate(offers, first):
+            trial.bound[index] = Binding(
+                trial.last, offer.machine, offer.agent_epoch, offer.term, offer.zone
+            )
         return value_bytes(trial.to_value(self.form())) <= self.least_bytes
 
     def next_attempt(self, job: Job) -> int:
@@ -164,7 +166,7 @@
                 left -= sum(1 for i in block.bound if not block.done >> (i % size) & 1)
         return left
 
-    def next_unstarted(self, job: Job, state: PendingJob, offer: tuple) -> int | None:
+    def next_unstarted(self, job: Job, state: PendingJob, offer: CapacityOffer) -> int | None:
         """Return the number of a task that may be bound to an offer, or None."""
         assert job.spec is not None
         for start in (state.next_task, 0):
--- a/tests/fakes/consistency.py
+++ b/tests/fakes/consistency.py
@@ -50,8 +50,14 @@
         return {key: {index.machines[n].name for n in ids} for key, ids in sets.items() if ids}
 
     quiet = {n for n, m in context.machines.items() if not is_schedulable(context, m)}
-    for attr in ("classes", "kinds", "holders", "weak", "teams"):
+    for attr in (
+        "classes",
+        "kinds",
+        "image_holders",
+        "preemptible_by_priority",
+        "preemptible_by_team",
+    ):
         kept, anew = (named(i, getattr(i, attr)) for i in (index, fresh))
-        if attr != "holders":  # one that fell silent leaves when it is drawn
+        if attr != "image_holders":  # one that fell silent leaves when it is drawn
             kept = {key: names - quiet for key, names in kept.items() if names - quiet}
         assert kept == anew, attr
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Room that an owner's jobs have asked for counts as taken for its other jobs."""
+"""Capacity that a job of the shard has requested counts as taken for the shard's other jobs."""
 
 import random
 
@@ -16,48 +16,48 @@
 WHOLE = Resources(TYPE.cpus, TYPE.gpus, TYPE.memory_gb)
 
 
-def claimed() -> tuple[Context, CapacityClaims, Machine]:
-    """Return claims of one job, for two tasks on two machines, and the first machine."""
+def claims_of_one_job() -> tuple[Context, CapacityClaims, Machine]:
+    """Return the claims of one job for two tasks on two machines, and the first machine."""
     context = Context(settings_for("h0"), random.Random(1), 0)
     for name in ("m1", "m2"):
         heartbeat = Heartbeat(name, name, "big", "a", False, 1, 1, 1, None, {})
         context.machines[name] = Machine(heartbeat, 0.0)
     context.replica.apply(job_key("job-1"), job_value("queued", "red", spec(), 0, 2), 1)
-    claims = CapacityClaims(context)
-    claims.ask("job-1", spec(cpus=3.0), {"m1": 2, "m2": 2}, 2)
+    claims = CapacityClaims(context, until_bound=True)
+    claims.add("job-1", spec(cpus=3.0), {"m1": 2, "m2": 2}, constants.RESAMPLE_S, 2)
     return context, claims, context.machines["m1"]
 
 
-def test_what_one_job_asked_for_is_taken_for_the_others_and_not_for_itself():
-    context, claims, machine = claimed()
-    assert claims.left("job-2", machine, WHOLE).cpus == TYPE.cpus - 6.0
-    assert claims.left("job-1", machine, WHOLE) == WHOLE
-    # It needs two tasks and asked for more, to have a choice: the rest is nobody's.
-    assert claims.left("job-2", context.machines["m2"], WHOLE) == WHOLE
+def test_a_claim_counts_for_other_jobs_and_not_for_the_job_itself():
+    context, claims, machine = claims_of_one_job()
+    assert claims.remaining("job-2", machine, WHOLE).cpus == TYPE.cpus - 6.0
+    assert claims.remaining("job-1", machine, WHOLE) == WHOLE
+    # It needs two tasks and requested more, to have a choice: the rest is not claimed.
+    assert claims.remaining("job-2", context.machines["m2"], WHOLE) == WHOLE
 
 
 @pytest.mark.parametrize("end", ["time", "bound"])
-def test_a_claim_ends_with_its_time_or_once_the_records_show_the_binding(end):
-    context, claims, machine = claimed()
+def test_a_claim_ends_when_it_expires_or_the_records_show_the_binding(end):
+    context, claims, machine = claims_of_one_job()
     if end == "time":
         context.now += constants.RESAMPLE_S
     else:
         block = TaskBlock(last=1, bound={0: Binding(1, "m1", 1, 1, "a")})
         context.replica.apply(block_key("job-1", 0), block.to_value(2), 2)
-    assert claims.left("job-2", machine, WHOLE) == WHOLE
+    assert claims.remaining("job-2", machine, WHOLE) == WHOLE
     assert not claims.by_machine["m1"]
 
 
-def test_claims_of_machines_that_are_gone_do_not_pile_up():
-    context, claims, _ = claimed()
+def test_claims_on_vanished_machines_are_pruned():
+    context, claims, _ = claims_of_one_job()
     for number in range(50):
-        claims.ask("job-3", spec(), {f"gone-{number}": 1}, 1)
+        claims.add("job-3", spec(), {f"vanished-{number}": 1}, constants.RESAMPLE_S, 1)
     assert len(claims.by_machine) <= 2 * len(context.machines) + 1
 
 
-# One controller once began some 48 such jobs a second, however many came: all that were sampled in
-# a tick asked for the same few machines.
-def test_many_jobs_alike_begin_at_once_where_there_is_room():
+# Without claims one controller started some 48 such jobs a second, however many were submitted:
+# all jobs sampled in a tick requested the same few machines.
+def test_many_similar_jobs_start_at_once_where_there_is_capacity():
     cell = Cell(100, teams=1, run_s=60.0)
     cell.run(4.0)
     for _ in range(150):
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -116,6 +116,7 @@
         "core.scheduling.pending_queues",
         "core.state.write_buffer",
         "core.scheduling.gangs",
+        "core.scheduling.backfill_planner",
     ):
         monkeypatch.setattr(f"oakmux.{module}.is_starving", lambda context, job: False)
     with pytest.raises(AssertionError):
@@ -163,10 +164,10 @@
     queues = PendingQueues(context)
     for job in jobs.values():
         shape = queues.put(job, job.spec)
-    assert queues.head(shape)[-1] == "small"  # it counts as younger by its size
+    assert queues.head(shape).job_id == "small"  # it counts as younger by its size
     context.now = 100.0
     queues.promote_starving()
-    assert queues.head(shape)[-1] == "big"
+    assert queues.head(shape).job_id == "big"
 
 
 def test_an_elder_is_owed_a_share_whatever_its_classs_aims_are():
@@ -190,7 +191,7 @@
         gang=(70.0, dict(kind="gang", tasks=8)), older=(80.0, dict(tasks=40, estimate_s=60.0))
     )
     openings = BackfillReservations(context)
-    openings.take("gang", 1, jobs["gang"].since, ["m1"], 10.0)
+    openings.announced("gang", 1, jobs["gang"].since, ["m1"], 10.0)
     assert not openings.blocks_job("m1", jobs["older"], jobs["older"].spec)
     jobs["older"].blocks[0] = TaskBlock(1, 1, 0, {0: Binding(1, "m2", 1, 1, "a")})
     assert openings.blocks_job("m1", jobs["older"], jobs["older"].spec)
--- a/tests/test_index.py
+++ b/tests/test_index.py
@@ -143,7 +143,7 @@
             ]
         elif context.now - machine.last_heartbeat_at < heartbeat_timeout_s(context):
             assert where == []  # drained, noticed or sick; one that fell silent leaves when drawn
-        held = {image for image, ids in index.holders.items() if number in ids}
+        held = {image for image, ids in index.image_holders.items() if number in ids}
         assert held == set(machine.images)
     assert set(index.ids) == set(context.machines)
 
@@ -174,7 +174,7 @@
     # With so few machines nothing that has room may be missed, unless there was enough.
     if sum(task_capacity(row.free, job) for row in drawn) < wanted:
         assert set(names) == fitting
-    held = [row.held for row in drawn]
+    held = [row.has_image for row in drawn]
     assert held == sorted(held, reverse=True)  # those that hold the image come first
 
 
@@ -213,7 +213,9 @@
         place.index.refresh()
         seen = []
         monkeypatch.setattr(
-            place.index, "_fresh", lambda n, s=seen, p=place: (s.append(n), p.index.machines[n])[1]
+            place.index,
+            "_schedulable",
+            lambda n, s=seen, p=place: (s.append(n), p.index.machines[n])[1],
         )
         place.index.draw(JOBS["job-0"], ZONES, (), 4)
         looked.append(len(seen))
--- a/tests/test_opening.py
+++ b/tests/test_opening.py
@@ -4,18 +4,26 @@
 import random
 
 import highspy
+import msgspec
 import pytest
 
 from oakmux import constants
 from oakmux.core.context import Context
-from oakmux.core.scheduling.backfill_plan import BackfillCandidate, Held, choose, fits, parts
+from oakmux.core.resources import Resources
+from oakmux.core.scheduling.backfill_plan import (
+    BackfillCandidate,
+    CandidateTask,
+    choose_plan,
+    task_slots,
+    tasks_that_fit,
+)
 from oakmux.core.scheduling.backfill_reservations import BackfillReservations
 from oakmux.core.state.records import Job
 from oakmux.settings import Spread
 from tests.fakes import Sim, settings_for, spec
 from tests.test_stories import quiet
 
-NEED = (2.0, 2.0, 8.0)
+NEED = Resources(2.0, 2.0, 8.0)
 
 
 def fragmented(dice: random.Random) -> tuple[list[BackfillCandidate], int]:
@@ -30,15 +38,19 @@
                 continue
             free = [have - want for have, want in zip(free, takes, strict=True)]
             ready = dice.choice([0.0, 0.0, round(dice.uniform(1, 100)), math.inf])
-            held.append(Held(takes, ready, round(dice.uniform(1, 60)) if not ready else 0.0))
+            lost = round(dice.uniform(1, 60)) if not ready else 0.0
+            held.append(CandidateTask(Resources(*takes), ready, lost))
         sites.append(
-            BackfillCandidate(
-                f"m{number}", dice.choice("ab"), (free[0], free[1], free[2]), tuple(held)
-            )
+            BackfillCandidate(f"m{number}", dice.choice("ab"), Resources(*free), tuple(held))
         )
     return sites, dice.randint(1, 6)
 
 
+def amounts(resources: Resources) -> tuple[float, float, float]:
+    """Return CPUs, GPUs and memory."""
+    return msgspec.structs.astuple(resources)
+
+
 def best(sites: list[BackfillCandidate], tasks: int, by: float) -> float | None:
     """Return the least work lost so that a gang has room in these by a time, or None."""
     model = highspy.Highs()
@@ -46,11 +58,12 @@
     placed, cost = [], []
     for site in sites:
         count = model.addIntegral(lb=0, ub=tasks)
-        ended = [(model.addBinary(), held) for held in site.held if held.ready_s <= by]
-        for kind in range(3):
+        ended = [(model.addBinary(), held) for held in site.tasks if held.ready_s <= by]
+        for kind in ("cpus", "gpus", "memory_gb"):
             model.addConstr(
-                NEED[kind] * count
-                <= site.free[kind] + sum(held.resources[kind] * var for var, held in ended)
+                getattr(NEED, kind) * count
+                <= getattr(site.free, kind)
+                + sum(getattr(held.resources, kind) * var for var, held in ended)
             )
         placed.append(count)
         cost += [held.lost_s * var for var, held in ended]
@@ -63,7 +76,7 @@
 
 def soonest(sites: list[BackfillCandidate], tasks: int) -> tuple[float, float] | None:
     """Return when a gang can have room in these at the earliest, and at what loss."""
-    for by in sorted({0.0, *(h.ready_s for s in sites for h in s.held if h.ready_s < math.inf)}):
+    for by in sorted({0.0, *(h.ready_s for s in sites for h in s.tasks if h.ready_s < math.inf)}):
         lost = best(sites, tasks, by)
         if lost is not None:
             return by, lost
@@ -78,7 +91,7 @@
         sites, tasks = fragmented(dice)
         zones = [[s for s in sites if s.zone == zone] for zone in "ab"]
         answers = [answer for zone in zones if zone and (answer := soonest(zone, tasks))]
-        opening = choose(NEED, tasks, sites, True)
+        opening = choose_plan(NEED, tasks, sites, True)
         assert (opening is None) == (not answers)
         if opening is None:
             continue
@@ -88,11 +101,10 @@
         for site in sites:  # never what is protected, never more than there is
             if site.name in opening.machines:
                 assert site.zone == opening.zone
-                free_resources = [
-                    have + sum(h.resources[k] for h in site.held if h.ready_s <= opening.ready_s)
-                    for k, have in enumerate(site.free)
-                ]
-                assert fits(NEED, tuple(free_resources)) >= opening.machines[site.name]
+                ended = [t.resources for t in site.tasks if t.ready_s <= opening.ready_s]
+                rows = [amounts(resources) for resources in (site.free, *ended)]
+                free = Resources(*(sum(column) for column in zip(*rows, strict=True)))
+                assert tasks_that_fit(NEED, free) >= opening.machines[site.name]
         bound = best([s for s in sites if s.zone == opening.zone], tasks, opening.ready_s)
         assert opening.lost_s >= bound - 1e-6
         found += 1
@@ -102,8 +114,12 @@
 
 
 def test_what_a_larger_task_makes_needless_is_spared():
-    small, large = (Held((gpus, gpus, 4.0), 0.0, 5.0 * gpus) for gpus in (1.0, 2.0))
-    [part] = parts(NEED, BackfillCandidate("m", "a", (0.0, 0.0, 8.0), (small, large)), 1)
+    small, large = (
+        CandidateTask(Resources(gpus, gpus, 4.0), 0.0, 5.0 * gpus) for gpus in (1.0, 2.0)
+    )
+    [part] = task_slots(
+        NEED, BackfillCandidate("m", "a", Resources(0.0, 0.0, 8.0), (small, large)), 1
+    )
     assert part.lost_s == large.lost_s
 
 
@@ -111,9 +127,9 @@
     dice = random.Random(6)
     for _ in range(200):
         sites, tasks = fragmented(dice)
-        first = choose(NEED, tasks, sites, False)
+        first = choose_plan(NEED, tasks, sites, False)
         if first is not None:
-            again = choose(NEED, tasks, sites, False, first.machines)
+            again = choose_plan(NEED, tasks, sites, False, first.machines)
             assert set(again.machines) == set(first.machines)
 
 
@@ -182,7 +198,7 @@
     def barred(other: Job) -> bool:
         return openings.blocks_job("m1", other, other.spec)
 
-    openings.take("job-2", 2, 50.0, ["m1", "m2"], 30.0)
+    openings.announced("job-2", 2, 50.0, ["m1", "m2"], 30.0)
     older, younger = (
         job(name, since, kind="gang", priority=2, estimate_s=25.0)
         for name, since in (("job-1", 40), ("job-3", 60))
@@ -201,12 +217,12 @@
         True,
     ]
     assert not openings.blocks_job("m3", younger, younger.spec)
-    openings.take("job-1", 2, 40.0, ["m1"], 30.0)  # the older has what both name
+    openings.announced("job-1", 2, 40.0, ["m1"], 30.0)  # the older has what both name
     assert openings.by_machine == {"m1": "job-1", "m2": "job-2"}
-    openings.take("job-1", 2, 40.0, [], 0.0)
+    openings.announced("job-1", 2, 40.0, [], 0.0)
     context.now = 26.0
     assert not barred(younger)  # whoever said it is gone
-    openings.take("job-2", 2, 50.0, ["m1"], 1.0)
+    openings.announced("job-2", 2, 50.0, ["m1"], 1.0)
     assert barred(array)  # it would be stopped in a moment
 
 
@@ -223,12 +239,12 @@
     ):
         jobs[name] = Job(name, "red", "queued", 1, spec("gang", 4, priority=priority), 0, 4)
         jobs[name].since = since
-    openings.take("job-1", 2, 40.0, ["m1"], 30.0)
-    openings.take("job-3", 2, 60.0, ["m2", "m3"], 30.0)
-    assert openings.held(jobs["job-1"]) == set()
-    assert openings.held(jobs["job-2"]) == {"m1"}
-    assert openings.held(jobs["job-3"]) == {"m1"}
-    assert openings.held(jobs["job-4"]) == {"m1", "m2", "m3"}
+    openings.announced("job-1", 2, 40.0, ["m1"], 30.0)
+    openings.announced("job-3", 2, 60.0, ["m2", "m3"], 30.0)
+    assert openings.reserved_before(jobs["job-1"]) == set()
+    assert openings.reserved_before(jobs["job-2"]) == {"m1"}
+    assert openings.reserved_before(jobs["job-3"]) == {"m1"}
+    assert openings.reserved_before(jobs["job-4"]) == {"m1", "m2", "m3"}
 
 
 def test_a_large_gang_gets_in_at_its_teams_limit_beside_younger_small_ones():
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -247,12 +247,12 @@
         job = Job(f"job-{number}", "red", "queued", 1, spec(tasks=tasks), since, tasks)
         context.replica.jobs[job.id] = job
         shape = queues.put(job, job.spec)
-    assert queues.head(shape)[-1] == "job-0"
+    assert queues.head(shape).job_id == "job-0"
     context.now = 56.0  # it needs five seconds more, and its time is over
     order = []
     while (head := queues.head(shape)) is not None:
-        order.append(head[-1])
-        queues.drop(head[-1])
+        order.append(head.job_id)
+        queues.drop(head.job_id)
     assert order[-1] == "job-0" and order.index("job-1") < order.index("job-2")
 
 
@@ -266,7 +266,7 @@
     context.replica.jobs[job.id] = job
     waiting.queues.put(job, job.spec)
     context.now = 100.0
-    assert [turn[-2] for turn in waiting.turns()] == ["job-1"]
+    assert [head.position.job_id for head in waiting.heads()] == ["job-1"]
 
 
 def test_no_more_is_stopped_than_the_room_needs():
--- a/tools/spread.py
+++ b/tools/spread.py
@@ -2,7 +2,7 @@
 
 Reads what tools.recovery reads. Prints who began in time by class, team and the largest jobs of
 a class, waits of each class and size, what the fleet's GPU time went into, who gave way to whom,
-moves and openings, and how full machines were at some moments.
+moves and backfill reservations, and how full machines were at some moments.
 """
 
 import sys
@@ -78,7 +78,7 @@
                 self.spent[self.job_class(task), what] += self.gpus(task) * (at - began)
         elif event.name == "preempt":
             self.gave_way[self.job_class(task), self.job_class(fields.get("by", ""))] += 1
-        elif event.name in ("opening", "move", "yielded"):
+        elif event.name in ("backfill_reservation", "move", "yielded"):
             self.events[event.name] += 1
 
     def _look(self, at: float) -> tuple[float, Counter[str], Counter[int]]:
