--- a/tests/test_regress.py
+++ b/tests/test_regress.py
@@ -23,7 +23,7 @@
 
 
 def bad(entry: dict, against: regress.Base | None = None) -> list[str]:
-    return [row.text for row in regress.judge(entry, against) if row.unreadable]
+    return [row.text for row in regress.judge(entry, against) if row.bad]
 
 
 def test_a_recorded_score_that_fell_by_less_than_noise_passes():
@@ -33,7 +33,7 @@
 
 def test_a_fall_names_the_day_and_its_weakest_aim():
     found = regress.judge(recorded(GOOD), base(0.70, troubles=0.75))
-    assert [row.text for row in found if row.unreadable] == [
+    assert [row.text for row in found if row.bad] == [
         "umoja-giving-arusha-grown: 0.700 (0) -> 0.632 (ba8a545f): fell"
     ]
     assert any("day troubles: 0.75 -> 0.63; weakest guarantee 5 s" in row.text for row in found)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -125,7 +125,7 @@
     worker = HollowWorker(config, "m1", "", zone_name(0), 0.0, lambda *_: None)
     launch = {"verb": "launch", "piece": f"{ARRAY.id}/0", "try": 1}
     worker.answered(0.0, 1, {"baton": 5, "orders": [launch]}, 0.1)
-    assert worker.token == 5 and len(worker.tasks) == 1
+    assert worker.fencing_token == 5 and len(worker.tasks) == 1
     assert worker.direct({"baton": 4, "tenure": 1, "orders": []}, 0.2) == 409
     assert worker.direct({"tenure": 1, "orders": []}, 0.2) == 400
     again = {**launch, "try": 2}
