--- a/oakmux/core/agents/heartbeats.py
+++ b/oakmux/core/agents/heartbeats.py
@@ -173,7 +173,7 @@
             if why == "done":
                 machine.errors.clear()
             elif why == "error":
-                context.failures.note(job_id, machine.name)
+                context.failures.record(job_id, machine.name)
                 if job_id not in machine.errors:
                     machine.errors.append(job_id)
                     del machine.errors[: -constants.ERRORS_KEPT]
--- a/oakmux/core/agents/reservation_queue.py
+++ b/oakmux/core/agents/reservation_queue.py
@@ -158,14 +158,14 @@
             )
         ranked.sort(key=lambda row: row[:3])
         kind = context.types[machine.type]
-        oldest = self.minimum_share.oldest(
+        oldest = self.minimum_share.due_job(
             kind, free, (row[-1] for row in ranked if row[-1].team in context.replica.roles)
         )
         if oldest is not None and oldest.spec is not None:
             # Work that came by its age is not stopped again for what stands above it.
             tracked.not_preemptible.add(oldest.id)
             free = self._grant(tracked, machine, oldest, oldest.spec, free)
-            self.minimum_share.gave(oldest.spec, kind, True)
+            self.minimum_share.granted_by_age(oldest.spec, kind)
         for *_, reservation, job in ranked:
             spec = job.spec
             assert spec is not None
@@ -173,7 +173,7 @@
                 continue
             while reservation.count > 0 and fits_resources(free, spec):
                 free = self._grant(tracked, machine, job, spec, free)
-                self.minimum_share.gave(spec, kind, False)
+                self.minimum_share.granted_by_rank(spec, kind)
 
     def _grant(
         self, tracked: TrackedWorker, machine: Machine, job: Job, spec: JobSpec, free: Resources
@@ -220,7 +220,7 @@
     machine: Machine,
     job: Job,
     spec: JobSpec,
-    used: dict[str, tuple[float, float]],
+    used: quotas.TeamUsage,
     held: list[JobSpec] | None = None,
     not_preemptible: Collection[str] = (),
 ) -> tuple[float, list[Task]] | None:
@@ -230,7 +230,7 @@
     another team runs beyond its own guarantee. What has least to lose goes first, and nothing of
     the jobs in `not_preemptible`.
     """
-    beyond = quotas.beyond(context, job, spec, used)
+    beyond = quotas.teams_over_guarantee(context, job, spec, used)
     rows = []
     for (job_id, index), binding in context.replica.by_machine.get(machine.name, {}).items():
         other = context.replica.jobs.get(job_id)
@@ -280,18 +280,16 @@
     return total, chosen
 
 
-def queue_rank(
-    context: Context, job: Job, spec: JobSpec, used: dict[str, tuple[float, float]]
-) -> tuple:
+def queue_rank(context: Context, job: Job, spec: JobSpec, used: quotas.TeamUsage) -> tuple:
     """Return the order in a queue: guaranteed work and priority first, then what must begin at
     last, what has to start first for a deadline, what can meet its aim, fair between teams, and
     by turn."""
     return (
-        not quotas.inside(context, job, spec, used),
+        not quotas.is_guaranteed(context, job, spec, used),
         -job.priority,
         not is_starving(context, job),
         job.latest_start_ms,
         misses_objective(context, job, spec),
-        quotas.share(context, job.team, used),
+        quotas.guarantee_share(context, job.team, used),
         effective_submission_ms(context, job, spec),
     )
--- a/oakmux/core/autoscaling/scale_out.py
+++ b/oakmux/core/autoscaling/scale_out.py
@@ -13,11 +13,12 @@
 from oakmux.core.autoscaling.slot_pool import UNNAMED, Slot
 from oakmux.core.context import Context
 from oakmux.core.model import JobSpec
+from oakmux.core.resources import NO_USAGE, Usage
 from oakmux.core.scheduling import quotas
 from oakmux.core.scheduling.pending_queues import PendingQueues, Shape
 from oakmux.core.state.records import Job
 
-TeamUsage = dict[str, tuple[float, float]]
+TeamUsage = dict[str, Usage]
 """CPUs and GPUs that each team uses."""
 
 
@@ -123,7 +124,7 @@
         context = self.context
         job, spec = self._pending(job_id)
         wanted = min(job.unbound(), budget, quotas.tasks_left(context, job.team, spec, usage))
-        if context.failures.suspect(job):
+        if context.failures.is_suspect(job):
             wanted = min(wanted, 1)  # tasks of a job that is suspected to fail start one by one
         if wanted <= 0:
             return 0, False  # the team is at its limit
@@ -135,7 +136,7 @@
             self.unplaced = True
         for slot in slots:
             slot.needed = True
-        cpus, gpus = usage.get(job.team, (0.0, 0.0))
-        usage[job.team] = (cpus + len(slots) * spec.cpus, gpus + len(slots) * spec.gpus)
+        cpus, gpus = usage.get(job.team, NO_USAGE)
+        usage[job.team] = Usage(cpus + len(slots) * spec.cpus, gpus + len(slots) * spec.gpus)
         # A job with bindings may be confined to their zones; those behind it may not be.
         return len(slots), bool(slots) or bool(zones)
--- a/oakmux/core/resources.py
+++ b/oakmux/core/resources.py
@@ -1,6 +1,7 @@
 """CPUs, GPUs and memory of a machine, and how many tasks of a job they hold."""
 
 import math
+from typing import NamedTuple
 
 import msgspec
 
@@ -19,6 +20,16 @@
 NO_RESOURCES = Resources(0.0, 0.0, 0.0)
 
 
+class Usage(NamedTuple):
+    """CPUs and GPUs that tasks use, as far as quotas limit them."""
+
+    cpus: float
+    gpus: float
+
+
+NO_USAGE = Usage(0.0, 0.0)
+
+
 def fits_resources(free: Resources, spec: JobSpec) -> bool:
     """Whether one task of a job fits into the free resources."""
     slack = constants.EPSILON
--- a/oakmux/core/scheduling/backfill_candidates.py
+++ b/oakmux/core/scheduling/backfill_candidates.py
@@ -46,7 +46,7 @@
     context: Context, job: Job, spec: JobSpec, machines: Iterable[Machine]
 ) -> list[BackfillCandidate]:
     """Return machines as candidates for a job's backfill reservation."""
-    over_guarantee = quotas.beyond(context, job, spec, quotas.usage(context))
+    over_guarantee = quotas.teams_over_guarantee(context, job, spec, quotas.usage(context))
     candidates = []
     for machine in machines:
         tasks = []
--- a/oakmux/core/scheduling/failure_attribution.py
+++ b/oakmux/core/scheduling/failure_attribution.py
@@ -1,7 +1,7 @@
-"""Jobs that fail wherever they start: a mistake of their own, no fault of the machines.
+"""Tells jobs that fail on every machine from machines on which every job fails.
 
-What is known of failures is the news of machines, so that every controller that hears it comes to
-the same answer. It is forgotten with the process: the next one tries such a job a few times more.
+Failures are known from heartbeats, so all controllers that receive them come to the same result.
+It is not stored: a new process starts such a job a few more times.
 """
 
 from oakmux import constants
@@ -10,33 +10,41 @@
 
 
 class FailureAttribution:
-    """On which machines tasks of unfinished jobs ended with an error."""
+    """The machines on which tasks of unfinished jobs exited with an error."""
 
     def __init__(self, replica: Replica) -> None:
         self.replica = replica
-        self.where: dict[str, set[str]] = {}
-
-    def note(self, job_id: str, machine: str) -> None:
-        """A task of a job failed on a machine."""
-        names = self.where.setdefault(job_id, set())
-        if len(names) < constants.SUSPECT_MACHINES + 1:
-            names.add(machine)
-        if len(self.where) > constants.MAX_QUEUE:
-            self.where = {
-                job: found for job, found in self.where.items() if job in self.replica.active
+        self.failed_on: dict[str, set[str]] = {}
+
+    def record(self, job_id: str, machine: str) -> None:
+        """Record that a task of a job failed on a machine."""
+        machines = self.failed_on.setdefault(job_id, set())
+        if len(machines) < constants.SUSPECT_MACHINES + 1:
+            machines.add(machine)
+        if len(self.failed_on) > constants.MAX_QUEUE:
+            self.failed_on = {
+                other: machines
+                for other, machines in self.failed_on.items()
+                if other in self.replica.active
             }
 
-    def suspect(self, job: Job) -> bool:
-        """Whether a job has failed on several machines and never completed a task: it is tried on,
-        but holds and stops nothing that others need."""
+    def is_suspect(self, job: Job) -> bool:
+        """Whether a job itself seems to be at fault.
+
+        It has failed on several machines and never completed a task. Such a job is still tried,
+        but it reserves and preempts nothing that others need.
+        """
         return (
-            len(self.where.get(job.id, ())) >= constants.SUSPECT_MACHINES and not job.done_count()
+            len(self.failed_on.get(job.id, ())) >= constants.SUSPECT_MACHINES
+            and not job.done_count()
         )
 
     def blames(self, job_id: str, machine: str) -> bool:
-        """Whether a job's failure on a machine speaks against the machine: not if the job fails
-        elsewhere as well and has never completed a task. Else three jobs with mistakes would
-        brand every machine in turn."""
+        """Whether a job's failure on a machine counts against the machine.
+
+        It does not if the job has failed on other machines too and never completed a task.
+        Otherwise three jobs with mistakes would have every machine quarantined in turn.
+        """
         job = self.replica.jobs.get(job_id)
-        elsewhere = self.where.get(job_id, set()) - {machine}
+        elsewhere = self.failed_on.get(job_id, set()) - {machine}
         return not elsewhere or job is None or job.done_count() > 0
--- a/oakmux/core/scheduling/minimum_share.py
+++ b/oakmux/core/scheduling/minimum_share.py
@@ -1,4 +1,4 @@
-"""A minimum share for work that waited longest: so much of the room that frees up is its own."""
+"""Minimum share: a part of the capacity that becomes free goes to the jobs that waited longest."""
 
 from collections.abc import Iterable
 
@@ -11,7 +11,7 @@
 
 
 def machine_share(spec: JobSpec, kind: MachineType) -> float:
-    """Return the part of a machine that a task takes, of what it takes most of."""
+    """Return the share of a machine that a task takes, of the resource it takes most of."""
     return max(
         spec.cpus / kind.cpus,
         spec.memory_gb / kind.memory_gb,
@@ -20,24 +20,25 @@
 
 
 class MinimumShare:
-    """What is owed to aged work of the room that a agent manager's machines freed: a share of it.
+    """What an agent manager owes aged jobs of the capacity that its machines have granted.
 
-    While work of more right is offered room, the debt grows by that share; once it is worth a
-    task of the oldest aged job with a reservation where room is, that task comes first and the
-    debt falls by it. So aged work gets its share in the order of age whatever stands above it, and
-    never more. Gangs gather room in their own way.
+    Each grant to a job by rank adds a share of it to the debt. Once the debt is worth a task of
+    the oldest aged job with a reservation where capacity is free, that job comes first, and the
+    grant is taken off the debt. So aged jobs get their share in the order of age whatever their
+    rank, and never more. Gangs are left out: they gather capacity in their own way.
     """
 
     def __init__(self, context: Context) -> None:
         self.context = context
-        self.owed = 0.0
+        self.debt = 0.0  # in machines
         self.share = context.settings.spread.minimum_share
 
-    def oldest(self, kind: MachineType, free: Resources, jobs: Iterable[Job]) -> Job | None:
-        """Return who is due by age among jobs that have a reservation on a machine, or None."""
-        if self.owed <= 0:
+    def due_job(self, kind: MachineType, free: Resources, jobs: Iterable[Job]) -> Job | None:
+        """Return the job that is due by age among those with a reservation on a machine, if the
+        debt is worth a task of it."""
+        if self.debt <= 0:
             return None
-        due = [
+        aged = [
             job
             for job in jobs
             if job.spec is not None
@@ -45,17 +46,18 @@
             and fits_resources(free, job.spec)
             and is_aged(self.context, job, job.spec)
         ]
-        job = min(due, key=lambda job: (job.since, job.id), default=None)
-        if job is None or job.spec is None or machine_share(job.spec, kind) > self.owed:
+        oldest = min(aged, key=lambda job: (job.since, job.id), default=None)
+        if oldest is None or oldest.spec is None or machine_share(oldest.spec, kind) > self.debt:
             return None
-        return job
-
-    def gave(self, spec: JobSpec, kind: MachineType, by_age: bool) -> None:
-        """A task was offered room: by its age, or by its rank."""
-        part = machine_share(spec, kind)
-        if by_age:
-            self.owed -= part
-        else:
-            self.owed = min(
-                constants.MINIMUM_SHARE_OWED, self.owed + self.share / (1 - self.share) * part
-            )
+        return oldest
+
+    def granted_by_age(self, spec: JobSpec, kind: MachineType) -> None:
+        """Take a grant to a job that was due by age off the debt."""
+        self.debt -= machine_share(spec, kind)
+
+    def granted_by_rank(self, spec: JobSpec, kind: MachineType) -> None:
+        """Add the aged jobs' share of a grant to another job to the debt."""
+        self.debt = min(
+            constants.MINIMUM_SHARE_OWED,
+            self.debt + self.share / (1 - self.share) * machine_share(spec, kind),
+        )
--- a/oakmux/core/scheduling/placement.py
+++ b/oakmux/core/scheduling/placement.py
@@ -189,7 +189,7 @@
     may be offered, and no further request is made.
     """
     job, spec, state, _, wanted, _ = request
-    if context.now < state.preempt_at or context.failures.suspect(job):
+    if context.now < state.preempt_at or context.failures.is_suspect(job):
         return []
     options = _preemption_options(context, index, request)
     if spec.kind == "gang" and len(options) < wanted:
@@ -206,7 +206,9 @@
     """Return the sampled machines where preemption is worth its cost, the cheapest first."""
     job, spec, state, candidates, wanted, max_cost_s = request
     used = quotas.usage(context)
-    candidates = candidates & index.preemptible(job, quotas.beyond(context, job, spec, used))
+    candidates = candidates & index.preemptible(
+        job, quotas.teams_over_guarantee(context, job, spec, used)
+    )
     limit = math.ceil(constants.PREEMPT_LOOKS * wanted) + constants.DRAW_LOOKS
     with_image = candidates & index.image_holders.get(spec.image, BitMap())
     machines = index.sample(with_image, limit, state.excluded_machines)
--- a/oakmux/core/scheduling/quotas.py
+++ b/oakmux/core/scheduling/quotas.py
@@ -1,43 +1,50 @@
-"""Limits and guarantees of teams."""
+"""Quotas of teams: the limit of what a team may use, and the guarantee of what it gets."""
+
+from collections.abc import Mapping
 
 from oakmux import constants
 from oakmux.core.context import Context
 from oakmux.core.model import JobSpec
+from oakmux.core.resources import NO_USAGE, Usage
 from oakmux.core.state.records import Job
 
+TeamUsage = Mapping[str, Usage]
+"""What the tasks of each team use."""
+
+UNKNOWN_TEAM_SHARE = 1e9
+"""Share of its guarantee that a team without an entry in the settings counts as using."""
+
 
 def exceeds_limit(context: Context, team: str, cpus: float, gpus: float) -> bool:
-    """Whether use of this much would break the team's limit."""
-    limits = context.teams.get(team)
-    if limits is None:
+    """Whether a team's usage would exceed its limit; an unknown team may use nothing."""
+    quota = context.teams.get(team)
+    if quota is None:
         return True
     return bool(
-        (limits.cpus_max and cpus > limits.cpus_max + constants.EPSILON)
-        or (limits.gpus_max and gpus > limits.gpus_max + constants.EPSILON)
+        (quota.cpus_max and cpus > quota.cpus_max + constants.EPSILON)
+        or (quota.gpus_max and gpus > quota.gpus_max + constants.EPSILON)
     )
 
 
-def tasks_left(
-    context: Context, team: str, spec: JobSpec, used: dict[str, tuple[float, float]]
-) -> int:
-    """Return how many more tasks of a job its team's limit allows."""
-    limits = context.teams.get(team)
-    if limits is None:
+def tasks_left(context: Context, team: str, spec: JobSpec, usage: TeamUsage) -> int:
+    """Return how many more tasks of a job its team's limit allows; all of them if it has none."""
+    quota = context.teams.get(team)
+    if quota is None:
         return 0
-    cpus, gpus = used.get(team, (0.0, 0.0))
+    cpus, gpus = usage.get(team, NO_USAGE)
     counts = [
-        int((most - use + constants.EPSILON) / need)
-        for most, use, need in (
-            (limits.cpus_max, cpus, spec.cpus),
-            (limits.gpus_max, gpus, spec.gpus),
+        int((limit - used + constants.EPSILON) / need)
+        for limit, used, need in (
+            (quota.cpus_max, cpus, spec.cpus),
+            (quota.gpus_max, gpus, spec.gpus),
         )
-        if most and need
+        if limit and need
     ]
     return max(0, min(counts, default=spec.tasks))
 
 
 def infeasible_reason(context: Context, spec: JobSpec) -> str | None:
-    """Return why a job can never run, or None."""
+    """Return why a job can never run, or None if it can."""
     if spec.team not in context.teams:
         return "unknown team"
     if spec.zone is not None and spec.zone not in context.facts.zones:
@@ -48,63 +55,68 @@
     zones = {zone for kind in kinds for zone in kind.zones if spec.zone in (None, zone)}
     if not zones:
         return "no allowed machine type is there in its zone"
-    count = 1 if spec.kind == "array" else spec.tasks
-    if spec.spread and count > 1 and (spec.one_zone or len(zones) < 2):
+    concurrent = 1 if spec.kind == "array" else spec.tasks
+    if spec.spread and concurrent > 1 and (spec.one_zone or len(zones) < 2):
         return "tasks that run at the same time can't be spread over one zone"
-    if exceeds_limit(context, spec.team, spec.cpus * count, spec.gpus * count):
+    if exceeds_limit(context, spec.team, spec.cpus * concurrent, spec.gpus * concurrent):
         return "more than the team's limit"
     return None
 
 
-def usage(context: Context) -> dict[str, tuple[float, float]]:
-    """Return what each team's tasks use by the records: {team: (cpus, gpus)}; only to be read."""
+def usage(context: Context) -> dict[str, Usage]:
+    """Return what the tasks of each team use by the records; not to be modified."""
     return context.replica.team_usage
 
 
-def within_guarantee(context: Context, team: str, cpus: float, gpus: float) -> bool:
-    """Whether this use lies within what the team is guaranteed."""
-    limits = context.teams.get(team)
-    if limits is None or not (limits.cpus or limits.gpus):
+def is_within_guarantee(context: Context, team: str, cpus: float, gpus: float) -> bool:
+    """Whether a team's usage lies within its guarantee."""
+    quota = context.teams.get(team)
+    if quota is None or not (quota.cpus or quota.gpus):
         return False
-    return (not limits.cpus or cpus <= limits.cpus + constants.EPSILON) and (
-        not limits.gpus or gpus <= limits.gpus + constants.EPSILON
+    return (not quota.cpus or cpus <= quota.cpus + constants.EPSILON) and (
+        not quota.gpus or gpus <= quota.gpus + constants.EPSILON
     )
 
 
-def inside(
-    context: Context, job: Job, spec: JobSpec, used: dict[str, tuple[float, float]], count: int = 1
+def is_guaranteed(
+    context: Context, job: Job, spec: JobSpec, usage: TeamUsage, count: int = 1
 ) -> bool:
-    """Whether so many more tasks of a job stay within what its team is guaranteed."""
-    cpus, gpus = used.get(job.team, (0.0, 0.0))
-    return within_guarantee(context, job.team, cpus + count * spec.cpus, gpus + count * spec.gpus)
+    """Whether `count` more tasks of a job stay within its team's guarantee."""
+    cpus, gpus = usage.get(job.team, NO_USAGE)
+    return is_within_guarantee(
+        context, job.team, cpus + count * spec.cpus, gpus + count * spec.gpus
+    )
+
 
+def teams_over_guarantee(context: Context, job: Job, spec: JobSpec, usage: TeamUsage) -> list[str]:
+    """Return the other teams whose work a job may preempt whatever its priority.
 
-def beyond(
-    context: Context, job: Job, spec: JobSpec, used: dict[str, tuple[float, float]]
-) -> list[str]:
-    """Return the other teams whose work must give way to a job, since they use more than they
-    are guaranteed and it is within its own team's guarantee."""
-    if not inside(context, job, spec, used, spec.tasks if spec.kind == "gang" else 1):
+    These use more than their guarantee. There are none if the job exceeds its own team's.
+    """
+    if not is_guaranteed(context, job, spec, usage, spec.tasks if spec.kind == "gang" else 1):
         return []
     return [
         team
         for team in context.teams
-        if team != job.team and not within_guarantee(context, team, *used.get(team, (0.0, 0.0)))
+        if team != job.team and not is_within_guarantee(context, team, *usage.get(team, NO_USAGE))
     ]
 
 
-def share(context: Context, team: str, used: dict[str, tuple[float, float]]) -> float:
-    """Return a team's use as a share of its guarantee, for fairness between teams."""
-    cpus, gpus = used.get(team, (0.0, 0.0))
-    limits = context.teams.get(team)
-    if limits is None:
-        return 1e9
-    parts = [
-        use / have
-        for use, have in (
-            (cpus, limits.cpus or limits.cpus_max),
-            (gpus, limits.gpus or limits.gpus_max),
+def guarantee_share(context: Context, team: str, usage: TeamUsage) -> float:
+    """Return a team's usage as a share of its guarantee, or of its limit if it has none.
+
+    Of CPUs and GPUs the larger share counts. It decides fairness between teams.
+    """
+    cpus, gpus = usage.get(team, NO_USAGE)
+    quota = context.teams.get(team)
+    if quota is None:
+        return UNKNOWN_TEAM_SHARE
+    shares = [
+        used / entitled
+        for used, entitled in (
+            (cpus, quota.cpus or quota.cpus_max),
+            (gpus, quota.gpus or quota.gpus_max),
         )
-        if have
+        if entitled
     ]
-    return max(parts, default=0.0)
+    return max(shares, default=0.0)
--- a/oakmux/core/scheduling/sampling.py
+++ b/oakmux/core/scheduling/sampling.py
@@ -8,7 +8,7 @@
 from oakmux import constants
 from oakmux.core.context import Context, Machine
 from oakmux.core.model import JobSpec
-from oakmux.core.resources import task_capacity
+from oakmux.core.resources import Usage, task_capacity
 from oakmux.core.scheduling.binding import Binder
 from oakmux.core.scheduling.capacity_claims import CapacityClaims
 from oakmux.core.scheduling.gangs import GangScheduler
@@ -65,7 +65,7 @@
         self.gangs = gangs
         self.schedule = schedule
         self.claims = CapacityClaims(context, until_bound=True)
-        self.team_usage: dict[str, tuple[float, float]] = {}
+        self.team_usage: dict[str, Usage] = {}
 
     def sample(self) -> None:
         """Sample machines for the jobs that are due.
@@ -177,7 +177,7 @@
         wanted = self.buffer.unstarted(job)
         if spec.kind == "gang" and bound:
             return 0  # a new attempt waits until every task of the old one has ended
-        if not spec.joint and self.context.failures.suspect(job):
+        if not spec.joint and self.context.failures.is_suspect(job):
             # It fails on every machine: one task at a time. An array with a mistake would
             # otherwise take hundreds of places, and as many image fetches, at each attempt.
             return min(wanted, 0 if bound else 1)
--- a/oakmux/core/scheduling/scheduler.py
+++ b/oakmux/core/scheduling/scheduler.py
@@ -1,4 +1,4 @@
-"""The owner's side: sampling machines, binding tasks, writing the records."""
+"""The shard scheduler: samples machines, binds tasks and writes the records."""
 
 from oakmux.core.agents.manager import AgentManager
 from oakmux.core.context import Context
@@ -13,7 +13,7 @@
 
 
 class ShardScheduler:
-    """Places the jobs of the teams that we own. Its parts share the open jobs."""
+    """Places the jobs of the teams whose roles are held. Its parts share the open jobs."""
 
     def __init__(self, context: Context, agents: AgentManager) -> None:
         self.open: dict[str, PendingJob] = {}
@@ -28,8 +28,10 @@
         )
 
     def on_roles_lost(self, held: set[str]) -> None:
-        """Drop what belongs to teams other than those held all the while. One that we lost and won
-        again within one look at the records had another owner in between: what we had not written
-        would be written over what that one did (R ran_twice, quota)."""
+        """Drop the state of all teams but those whose roles were `held` without a break.
+
+        A role that was lost and won again between two reads of the records had another holder in
+        between. Unwritten changes would overwrite what that controller did (R ran_twice, quota).
+        """
         self.buffer.drop_lost(held)
         self.binder.drop_lost(held)
--- a/oakmux/core/state/replica.py
+++ b/oakmux/core/state/replica.py
@@ -9,7 +9,7 @@
 
 from oakmux import constants
 from oakmux.core.model import JobSpec, MachineType
-from oakmux.core.resources import Resources
+from oakmux.core.resources import NO_USAGE, Resources, Usage
 from oakmux.core.state.binding_batches import (
     ONLY_BLOCK,
     BindingBatch,
@@ -90,10 +90,10 @@
         self.changed_jobs: set[str] = set()
         self.changed_machines: set[str] = set()
         # What is bound of each team's tasks, kept up to date with every change of a chunk.
-        self.team_usage: dict[str, tuple[float, float]] = {}
+        self.team_usage: dict[str, Usage] = {}
         # Of that, what ends by itself (all but services), by the priority of the jobs:
         # {team: {priority: (cpus, gpus)}}.
-        self.preemptible_usage: dict[str, dict[int, tuple[float, float]]] = {}
+        self.preemptible_usage: dict[str, dict[int, Usage]] = {}
         # Free room of machines, by name; taken out when their tasks or bindings change.
         self.free_resources: dict[str, Resources] = {}
         # Machines whose place among all others may have changed since the index was refreshed.
@@ -391,12 +391,12 @@
         """Add so many bound tasks to what the job's team uses."""
         if bound:
             more_cpus, more_gpus = bound * job.resources[0], bound * job.resources[1]
-            cpus, gpus = self.team_usage.get(job.team, (0.0, 0.0))
-            self.team_usage[job.team] = (cpus + more_cpus, gpus + more_gpus)
+            cpus, gpus = self.team_usage.get(job.team, NO_USAGE)
+            self.team_usage[job.team] = Usage(cpus + more_cpus, gpus + more_gpus)
             if not job.service:
                 at = self.preemptible_usage.setdefault(job.team, {})
-                cpus, gpus = at.get(job.priority, (0.0, 0.0))
-                at[job.priority] = (cpus + more_cpus, gpus + more_gpus)
+                cpus, gpus = at.get(job.priority, NO_USAGE)
+                at[job.priority] = Usage(cpus + more_cpus, gpus + more_gpus)
 
     def _remove_binding(self, job_id: str, index: int, binding: Binding) -> None:
         bound = self.by_machine.get(binding.machine)
--- a/oakmux/core/state/write_buffer.py
+++ b/oakmux/core/state/write_buffer.py
@@ -6,6 +6,7 @@
 from oakmux import constants
 from oakmux.core.context import Context
 from oakmux.core.model import JobSpec
+from oakmux.core.resources import NO_USAGE, Usage
 from oakmux.core.scheduling import quotas
 from oakmux.core.scheduling.pending_job import CapacityOffer, PendingJob
 from oakmux.core.scheduling.queue_order import is_starving
@@ -185,10 +186,10 @@
                 index += 1
         return None
 
-    def team_use(self, team: str) -> tuple[float, float]:
+    def team_use(self, team: str) -> Usage:
         """Return what a team of ours uses: all that is bound and not proven gone. The records'
         count is corrected by the working copies, which are few."""
-        cpus, gpus = quotas.usage(self.context).get(team, (0.0, 0.0))
+        cpus, gpus = quotas.usage(self.context).get(team, NO_USAGE)
         for job_id, mine in self.work.items():
             job = self.context.replica.jobs[job_id]
             if job.team == team:
@@ -197,7 +198,7 @@
                 )
                 cpus += more * job.resources[0]
                 gpus += more * job.resources[1]
-        return cpus, gpus
+        return Usage(cpus, gpus)
 
     def exceeds_limit(self, job: Job, spec: JobSpec, tasks: int = 1) -> bool:
         """Whether that many more tasks of a job would break its team's limit, with what is kept
@@ -248,7 +249,7 @@
                 min(
                     wanted,
                     constants.MAX_RESERVATIONS_PER_JOB,
-                    quotas.tasks_left(self.context, job.team, spec, {job.team: (cpus, gpus)}),
+                    quotas.tasks_left(self.context, job.team, spec, {job.team: Usage(cpus, gpus)}),
                 ),
             )
             self.limit_claims[job.id] = LimitClaim(
--- a/tests/test_oncall.py
+++ b/tests/test_oncall.py
@@ -437,7 +437,7 @@
         assert not sim.workers[name].dead
         for core in sim.cores.values():
             for number in range(10, 13) if elsewhere else ():
-                core.context.failures.note(f"job-{number}", "m-other")
+                core.context.failures.record(f"job-{number}", "m-other")
         sim.run(6)
         assert sim.workers[name].dead is not elsewhere
 
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -176,11 +176,11 @@
     old.since = -1000 * (constants.AGED_S + 1)
     by_age = by_rank = 0.0
     for gpus, waiting in offers:
-        if waiting and minimum.oldest(TYPE, Resources(8.0, 4.0, 64.0), [old]) is old:
-            minimum.gave(old.spec, TYPE, True)
+        if waiting and minimum.due_job(TYPE, Resources(8.0, 4.0, 64.0), [old]) is old:
+            minimum.granted_by_age(old.spec, TYPE)
             by_age += 0.25
         other = spec(gpus=gpus, priority=3)
-        minimum.gave(other, TYPE, False)
+        minimum.granted_by_rank(other, TYPE)
         by_rank += gpus / 4
     share = constants.MINIMUM_SHARE / (1 - constants.MINIMUM_SHARE)
     assert by_age <= share * by_rank + 1e-9
