--- a/oakmux/codec/users.py
+++ b/oakmux/codec/users.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from oakmux.codec.cbor import MAX_TEXT, Malformed, is_amount
-from oakmux.core.model import JOB_ID, JobSpec
+from oakmux.core.model import JOB_ID, JobSpec, Priority
 
 PATH_JOBS = "/api/jobs"
 CANCEL_SUFFIX = "/cancel"
@@ -18,7 +18,12 @@
 KINDS = {"array": "array", "ensemble": "gang", "daemon": "service"}
 """Kind of a job: the protocol's name, and ours."""
 
-PRIORITIES = {"production": 3, "urgent": 2, "standard": 1, "idle": 0}
+PRIORITIES = {
+    "production": Priority.PRODUCTION.value,
+    "urgent": Priority.URGENT.value,
+    "standard": Priority.STANDARD.value,
+    "idle": Priority.IDLE.value,
+}
 """Priority of a job: the protocol's name, and the level; higher levels go first."""
 
 JOB_STATES = {"queued": "queued", "running": "running", "done": "done", "cancelled": "aborted"}
--- a/oakmux/constants.py
+++ b/oakmux/constants.py
@@ -231,8 +231,6 @@
 FETCH_SPREAD = 1.34
 # Seconds for which offers to a job are gathered before the best are taken; peers answer sooner.
 GATHER_S = 0.04
-# Priority from which a start is urgent (levels 0 idle to 3 production).
-URGENT = 2
 # Jobs that an owner samples machines for in one tick, at most (count).
 SAMPLES_PER_TICK = 40
 # Lines that get a turn beside these, should there be more (count).
--- a/oakmux/core/autoscaling/instance_inventory.py
+++ b/oakmux/core/autoscaling/instance_inventory.py
@@ -86,7 +86,7 @@
             lambda status, rows: self._on_list(requested_at, status, rows), "cloud", "list"
         )
 
-    def _on_list(self, requested_at: float, status: int, rows: Any) -> None:
+    def _on_list(self, requested_at: float, status: int, rows: list[ListedInstance]) -> None:
         context = self.context
         self.listing = False
         if status != 200:
@@ -94,10 +94,9 @@
             return
         listed = set()
         for row in rows:
-            instance = ListedInstance(*row)
-            listed.add(instance.name)
-            if instance.name not in self.returned:
-                self._update_listed(instance, requested_at)
+            listed.add(row.name)
+            if row.name not in self.returned:
+                self._update_listed(row, requested_at)
         known = {*self.instances, *context.machines, *context.replica.by_machine}
         for name in known - listed:
             self._check_absent(name, requested_at)
--- a/oakmux/core/model.py
+++ b/oakmux/core/model.py
@@ -1,12 +1,22 @@
 """Domain types: jobs, machine types and heartbeats."""
 
 import re
+from enum import IntEnum
 
 import msgspec
 
 JOB_ID = re.compile(r"job-[0-9]{1,18}\Z")
 
 
+class Priority(IntEnum):
+    """Levels of a job's priority; a higher one goes first and may preempt lower ones."""
+
+    IDLE = 0
+    STANDARD = 1
+    URGENT = 2
+    PRODUCTION = 3
+
+
 class JobSpec(msgspec.Struct, frozen=True, array_like=True):
     """A job as its user described it."""
 
--- a/oakmux/core/scheduling/placement.py
+++ b/oakmux/core/scheduling/placement.py
@@ -9,7 +9,7 @@
 from oakmux import constants
 from oakmux.core.agents.reservation_queue import preemption_candidates, save_s
 from oakmux.core.context import Context, Machine
-from oakmux.core.model import JobSpec, MachineType
+from oakmux.core.model import JobSpec, MachineType, Priority
 from oakmux.core.resources import Resources, task_capacity
 from oakmux.core.scheduling import quotas
 from oakmux.core.scheduling.machine_index import MachineIndex, SampledMachine
@@ -122,10 +122,10 @@
     equals, the fullest machine comes first.
     """
     kind = context.types[machine.type]
-    urgent = job.priority >= constants.URGENT
+    urgent = job.priority >= Priority.URGENT
     has_image, others = image_fetches(context, spec, machine)
     shares_fetch = not has_image and any(
-        urgent or other.priority >= constants.URGENT for other in others
+        urgent or other.priority >= Priority.URGENT for other in others
     )
     return Preference(
         strands_gpus(spec, kind, free),
--- a/oakmux/core/scheduling/sampling_schedule.py
+++ b/oakmux/core/scheduling/sampling_schedule.py
@@ -15,6 +15,7 @@
 
 from oakmux import constants
 from oakmux.core.context import Context
+from oakmux.core.model import Priority
 from oakmux.core.scheduling.machine_index import CapacityClass
 from oakmux.core.scheduling.pending_job import CapacityRequest, PendingJob
 from oakmux.core.scheduling.pending_queues import PendingQueues, QueuePosition, Shape
@@ -105,9 +106,7 @@
         smaller for urgent work: what it may preempt changes with time.
         """
         max_pause_s = (
-            constants.LINE_URGENT_S
-            if shape.priority >= constants.URGENT
-            else constants.LINE_MOST_S
+            constants.LINE_URGENT_S if shape.priority >= Priority.URGENT else constants.LINE_MOST_S
         )
         old = self.closed.get(shape)
         pause_s = constants.WIDE_S if old is None else min(max_pause_s, 2 * old.pause_s)
--- a/oakmux/transport/cloud_client.py
+++ b/oakmux/transport/cloud_client.py
@@ -19,6 +19,7 @@
     rental_body,
     return_body,
 )
+from oakmux.core.instances import ListedInstance
 from oakmux.settings import Settings
 from oakmux.transport.http import Client, NoResponse, RequestNotSent
 from oakmux.transport.rate_limit import TokenBucket, pause
@@ -66,7 +67,7 @@
         self.put(("done", op, status, result))
 
     async def _list(self) -> tuple[int, Any]:
-        rows: list[tuple] = []
+        rows: list[ListedInstance] = []
         since = ""
         while True:
             path = f"{PATH_INSTANCES}?page={constants.STATE_PAGE}"
@@ -79,7 +80,7 @@
             rows += items
             if not more or not items:
                 return 200, rows
-            since = items[-1][0]
+            since = items[-1].name
 
     async def _rent(
         self, name: str, type_name: str, zone: str, spot: bool, count: int
