--- a/oakmux/core/agents/capacity.py
+++ b/oakmux/core/agents/capacity.py
@@ -37,9 +37,9 @@
     for task in _tasks_taking_resources(context, machine):
         job = jobs.get(task.partition("/")[0])
         if job is not None:
-            cpus -= job.resources[0]
-            gpus -= job.resources[1]
-            memory_gb -= job.resources[2]
+            cpus -= job.resources.cpus
+            gpus -= job.resources.gpus
+            memory_gb -= job.resources.memory_gb
     return Resources(cpus, gpus, memory_gb)
 
 
--- a/oakmux/core/api/cancellation.py
+++ b/oakmux/core/api/cancellation.py
@@ -13,7 +13,9 @@
 )
 from oakmux.core.api.current_reads import CONFLICT, CurrentReads
 from oakmux.core.context import Context, event
-from oakmux.core.state.records import Job, job_key, job_value
+from oakmux.core.state.codecs import encode_job
+from oakmux.core.state.keys import job_key
+from oakmux.core.state.records import Job
 
 
 class Cancellation:
@@ -117,4 +119,4 @@
 
 
 def _cancelled_value(job: Job) -> list[Any]:
-    return job_value("cancelled", job.team, job.spec, job.order, job.tasks)
+    return encode_job("cancelled", job.team, job.spec, job.order, job.tasks)
--- a/oakmux/core/api/current_reads.py
+++ b/oakmux/core/api/current_reads.py
@@ -16,7 +16,8 @@
     RequestId,
 )
 from oakmux.core.context import Context
-from oakmux.core.state.records import Job, job_key
+from oakmux.core.state.keys import job_key
+from oakmux.core.state.records import Job
 
 Continuation = Callable[[Job | None], None]
 """Called with the current job, or None if there is no such job."""
--- a/oakmux/core/api/submission.py
+++ b/oakmux/core/api/submission.py
@@ -16,14 +16,10 @@
 from oakmux.core.context import Context, event
 from oakmux.core.model import JobSpec
 from oakmux.core.scheduling import quotas
-from oakmux.core.state.records import (
-    FORMAT_COMPACT,
-    Job,
-    job_key,
-    job_value,
-    value_bytes,
-    value_limit,
-)
+from oakmux.core.state.codecs import encode_job
+from oakmux.core.state.formats import FORMAT_COMPACT, value_bytes, value_limit
+from oakmux.core.state.keys import job_key
+from oakmux.core.state.records import Job, JobState
 
 
 class Submission:
@@ -118,7 +114,7 @@
         return None
 
     def _oversized(self, spec: JobSpec) -> str | None:
-        value = job_value("queued", spec.team, spec, self.context.wall_clock_ms, spec.tasks)
+        value = encode_job("queued", spec.team, spec, self.context.wall_clock_ms, spec.tasks)
         size = value_bytes(value)
         if size <= self.max_value_bytes:
             return None
@@ -148,8 +144,8 @@
     def _create(self, request_id: RequestId, job_id: str, spec: JobSpec) -> None:
         """Write the job's record, provided that there is none."""
         # A job that depends on a cancelled one is accepted and cancelled at once.
-        state = "cancelled" if self._depends_on_cancelled(spec) else "queued"
-        value = job_value(state, spec.team, spec, self.context.wall_clock_ms, spec.tasks)
+        state: JobState = "cancelled" if self._depends_on_cancelled(spec) else "queued"
+        value = encode_job(state, spec.team, spec, self.context.wall_clock_ms, spec.tasks)
 
         def on_answer(status: int, result: Any) -> None:
             if status == 200:
--- a/oakmux/core/autoscaling/instance_inventory.py
+++ b/oakmux/core/autoscaling/instance_inventory.py
@@ -8,7 +8,8 @@
 from oakmux.core.agents.capacity import heartbeat_timeout_s
 from oakmux.core.context import Context, event
 from oakmux.core.instances import InstanceKind, InstanceState, ListedInstance
-from oakmux.core.state.records import TYPES_KEY, termination_key, value_bytes, value_limit
+from oakmux.core.state.formats import value_bytes, value_limit
+from oakmux.core.state.keys import TYPES_KEY, termination_key
 
 NEVER = float("-inf")
 StoreWrite = tuple[Any, ...]
--- a/oakmux/core/leadership/leadership.py
+++ b/oakmux/core/leadership/leadership.py
@@ -6,14 +6,8 @@
 
 from oakmux import constants
 from oakmux.core.context import Context, event
-from oakmux.core.state.records import (
-    FORMAT_KEY,
-    TERM_KEY,
-    controller_key,
-    role_key,
-    tasks_per_block,
-    version_key,
-)
+from oakmux.core.state.formats import tasks_per_block
+from oakmux.core.state.keys import FORMAT_KEY, TERM_KEY, controller_key, role_key, version_key
 
 FLEET = "#fleet"
 
--- a/oakmux/core/scheduling/backfill_planner.py
+++ b/oakmux/core/scheduling/backfill_planner.py
@@ -12,7 +12,8 @@
 from oakmux.core.scheduling.minimum_share import machine_share
 from oakmux.core.scheduling.pending_job import PendingJob
 from oakmux.core.scheduling.queue_order import is_starving
-from oakmux.core.state.records import FORMAT_COMPACT, Job
+from oakmux.core.state.formats import FORMAT_COMPACT
+from oakmux.core.state.records import Job
 
 
 class BackfillPlanner:
--- a/oakmux/core/scheduling/binding.py
+++ b/oakmux/core/scheduling/binding.py
@@ -16,7 +16,8 @@
 from oakmux.core.scheduling.pending_job import CapacityOffer, PendingJob
 from oakmux.core.scheduling.placement import choose_gang_offers, preference, zone_allowed
 from oakmux.core.scheduling.sampling_schedule import SamplingSchedule
-from oakmux.core.state.records import FORMAT_COMPACT, Binding, Job
+from oakmux.core.state.formats import FORMAT_COMPACT
+from oakmux.core.state.records import Binding, Job
 from oakmux.core.state.write_buffer import WriteBuffer
 from oakmux.task_status import DONE, ERROR, RUNNING
 
--- /dev/null
+++ b/oakmux/core/state/codecs.py
@@ -0,0 +1,109 @@
+"""Conversion between the values of records and the types in `records`.
+
+Values are nested lists as the store keeps them; they are positional, and their order never
+changes. All functions that decode raise MalformedValueError.
+"""
+
+from typing import Any, NamedTuple
+
+import msgspec
+
+from oakmux.core.model import JobSpec, MachineType
+from oakmux.core.state.errors import MalformedValueError
+from oakmux.core.state.formats import FORMAT_COMPACT
+from oakmux.core.state.records import Binding, JobState, TaskBlock
+
+Value = list[Any]
+
+# What converting a value of an unexpected form raises.
+CONVERSION_ERRORS = (TypeError, ValueError, LookupError, msgspec.ValidationError)
+
+
+class JobRecord(NamedTuple):
+    """The value of a job's record."""
+
+    state: JobState
+    team: str
+    spec: JobSpec | None
+    order: int
+    tasks: int
+
+
+def encode_job(state: JobState, team: str, spec: JobSpec | None, order: int, tasks: int) -> Value:
+    """Return the value of a job's record; `order` is the time of its submission (ms)."""
+    if spec is None:
+        return [state, team, None, order, tasks]
+    if state != "queued":
+        # What only matters before a start is left out: it must not keep an end from fitting.
+        spec = msgspec.structs.replace(spec, types=None, waits_on=())
+    fields = list(msgspec.to_builtins(spec))
+    # Dependencies come last; format 1 doesn't have them.
+    return [state, team, fields if spec.waits_on else fields[:-1], order, tasks]
+
+
+def decode_job(value: Any) -> JobRecord:
+    """Read the value of a job's record."""
+    try:
+        state, team, fields, order, tasks = value
+        spec = None if fields is None else msgspec.convert(fields, JobSpec)
+    except CONVERSION_ERRORS as error:
+        raise MalformedValueError("job", error) from error
+    return JobRecord(state, team, spec, order, tasks)
+
+
+def encode_block(block: TaskBlock, record_format: int) -> Value:
+    """Return the value of a task block."""
+    head = [block.last, f"{block.done:x}"]
+    if record_format < FORMAT_COMPACT:
+        return [*head, _encode_bindings(block)]
+    return [*head, *_encode_bindings_compactly(block)]
+
+
+def _encode_bindings(block: TaskBlock) -> list[Value]:
+    return [
+        [index, b.attempt, b.machine, b.agent_epoch, b.term, b.zone, b.stop]
+        for index, b in sorted(block.bound.items())
+    ]
+
+
+def _encode_bindings_compactly(block: TaskBlock) -> tuple[list[Value], list[Value]]:
+    """Return a block's bindings with what they share written once: a list of heads (agent epoch,
+    term, zone, stop), and groups of (machine, index of its head, task, attempt, task, ...)."""
+    heads: dict[tuple[int, int, str, int], int] = {}
+    groups: dict[tuple[str, int], Value] = {}
+    for index, b in sorted(block.bound.items()):
+        head = heads.setdefault((b.agent_epoch, b.term, b.zone, int(b.stop)), len(heads))
+        groups.setdefault((b.machine, head), [b.machine, head]).extend((index, b.attempt))
+    return [list(head) for head in heads], list(groups.values())
+
+
+def decode_block(value: Any, mod_revision: int) -> TaskBlock:
+    """Read the value of a task block, of any format."""
+    try:
+        last, done, *bindings = value
+        compact = len(bindings) > 1
+        bound = _decode_compact_bindings(*bindings) if compact else _decode_bindings(*bindings)
+        return TaskBlock(mod_revision, last, int(done, 16), bound, compact)
+    except CONVERSION_ERRORS as error:
+        raise MalformedValueError("task block", error) from error
+
+
+def _decode_bindings(rows: list[Value]) -> dict[int, Binding]:
+    return {row[0]: Binding(*row[1:]) for row in rows}
+
+
+def _decode_compact_bindings(heads: list[Value], groups: list[Value]) -> dict[int, Binding]:
+    bound: dict[int, Binding] = {}
+    for machine, head, *pairs in groups:
+        agent_epoch, term, zone, stop = heads[head]
+        for index, attempt in zip(pairs[::2], pairs[1::2], strict=True):
+            bound[index] = Binding(attempt, machine, agent_epoch, term, zone, bool(stop))
+    return bound
+
+
+def decode_machine_types(value: Any) -> dict[str, MachineType]:
+    """Read the recorded machine types, by name."""
+    try:
+        return {row[0]: msgspec.convert(row, MachineType) for row in value}
+    except CONVERSION_ERRORS as error:
+        raise MalformedValueError("list of machine types", error) from error
--- a/oakmux/core/state/record_writer.py
+++ b/oakmux/core/state/record_writer.py
@@ -13,16 +13,11 @@
 
 from oakmux import constants
 from oakmux.core.context import Context, event
-from oakmux.core.state.binding_batches import ONLY_BLOCK, BatchRow, BindingBatch, batch_key
-from oakmux.core.state.records import (
-    Job,
-    TaskBlock,
-    block_key,
-    job_key,
-    job_value,
-    role_key,
-    value_bytes,
-)
+from oakmux.core.state.binding_batches import ONLY_BLOCK, BatchRow, BindingBatch
+from oakmux.core.state.codecs import encode_block, encode_job
+from oakmux.core.state.formats import value_bytes
+from oakmux.core.state.keys import batch_key, block_key, job_key, role_key
+from oakmux.core.state.records import Job, TaskBlock
 from oakmux.core.state.write_buffer import WriteBuffer
 
 log = logging.getLogger("oakmux.core")
@@ -165,7 +160,7 @@
             numbers = numbers[: self.context.facts.state.least.txn_ops - 1]
         form = self.buffer.form()
         work = self.buffer.work[job.id]
-        values = {number: work[number].to_value(form) for number in numbers}
+        values = {number: encode_block(work[number], form) for number in numbers}
         numbers = [n for n in numbers if not self._too_large(job.id, n, values[n])]
         numbers = self._within_bytes(found, numbers, values)
         if not numbers:
@@ -210,7 +205,7 @@
     def _finish(self, part: Transaction, job: Job) -> None:
         """Add that a job is done."""
         spec = job.spec if self.buffer.bindings(job) else None
-        value = job_value("done", job.team, spec, job.order, job.tasks)
+        value = encode_job("done", job.team, spec, job.order, job.tasks)
         part.writes.append((job_key(job.id), value, None))
         part.bytes += value_bytes(value)
         part.finishing.add(job.id)
@@ -308,7 +303,7 @@
         if self._over(job, block, finishing=False):
             rows.pop(job.id, None)
         else:
-            rows[job.id] = BatchRow(job.id, job.tasks, block.to_value(self.buffer.form()))
+            rows[job.id] = BatchRow(job.id, job.tasks, encode_block(block, self.buffer.form()))
         part.sent.append(SentBlock(job.id, ONLY_BLOCK))
         part.jobs.add(job.id)
 
--- a/oakmux/core/state/replica.py
+++ b/oakmux/core/state/replica.py
@@ -13,23 +13,21 @@
 from oakmux.core.state.binding_batches import (
     ONLY_BLOCK,
     BindingBatch,
-    batch_key,
-    parse_batch_rows,
-    row_block,
+    decode_batch,
+    decode_row_block,
 )
-from oakmux.core.state.records import (
-    FORMAT,
+from oakmux.core.state.codecs import decode_block
+from oakmux.core.state.formats import FORMAT
+from oakmux.core.state.keys import (
     PREFIX,
-    Binding,
-    Job,
-    TaskBlock,
+    batch_key,
     block_key,
     controller_key,
     job_key,
-    parse_block,
     role_key,
     termination_key,
 )
+from oakmux.core.state.records import Binding, Job, TaskBlock
 
 log = logging.getLogger("oakmux.records")
 
@@ -328,7 +326,7 @@
         self._set_block(
             job_id,
             number,
-            None if value is None else parse_block(value, mod_revision),
+            None if value is None else decode_block(value, mod_revision),
             mod_revision,
         )
 
@@ -338,9 +336,9 @@
         if old is not None and old.mod_revision >= mod_revision:
             return
         before = old.rows if old is not None else {}
-        batch = parse_batch_rows(value or [], mod_revision)
+        batch = decode_batch(value or [], mod_revision)
         blocks = {
-            job_id: row_block(row, name, mod_revision)
+            job_id: decode_row_block(row, name, mod_revision)
             for job_id, row in batch.rows.items()
             if before.get(job_id) != row
         }
@@ -390,7 +388,7 @@
     def _count_usage(self, job: Job, bound: int) -> None:
         """Add so many bound tasks to what the job's team uses."""
         if bound:
-            more_cpus, more_gpus = bound * job.resources[0], bound * job.resources[1]
+            more_cpus, more_gpus = bound * job.resources.cpus, bound * job.resources.gpus
             cpus, gpus = self.team_usage.get(job.team, NO_USAGE)
             self.team_usage[job.team] = Usage(cpus + more_cpus, gpus + more_gpus)
             if not job.service:
--- a/oakmux/core/state/write_buffer.py
+++ b/oakmux/core/state/write_buffer.py
@@ -12,16 +12,16 @@
 from oakmux.core.scheduling.queue_order import is_starving
 from oakmux.core.state.batch_allocator import BatchAllocator
 from oakmux.core.state.binding_batches import shares_batch
-from oakmux.core.state.records import (
+from oakmux.core.state.codecs import encode_block
+from oakmux.core.state.formats import (
     FORMAT_BATCHES,
     FORMAT_COMPACT,
-    Binding,
-    Job,
-    TaskBlock,
+    FORMAT_FIRST,
     tasks_per_block,
     value_bytes,
     value_limit,
 )
+from oakmux.core.state.records import Binding, Job, TaskBlock
 
 
 class LimitClaim(NamedTuple):
@@ -89,7 +89,7 @@
             trial.bound[index] = Binding(
                 trial.last, offer.machine, offer.agent_epoch, offer.term, offer.zone
             )
-        return value_bytes(trial.to_value(self.form())) <= self.least_bytes
+        return value_bytes(encode_block(trial, self.form())) <= self.least_bytes
 
     def next_attempt(self, job: Job) -> int:
         """Return an attempt number that no task of the job has used."""
@@ -108,7 +108,7 @@
                 not block.compact
                 and number not in self.work.get(job.id, ())
                 and len(block.bound) * constants.BINDING_BYTES > self.least_bytes
-                and value_bytes(block.to_value(1)) > self.least_bytes
+                and value_bytes(encode_block(block, FORMAT_FIRST)) > self.least_bytes
             ):
                 self.edit(job, number)
 
@@ -196,8 +196,8 @@
                 more = sum(len(block.bound) for block in mine.values()) - sum(
                     len(job.blocks[n].bound) for n in mine if n in job.blocks
                 )
-                cpus += more * job.resources[0]
-                gpus += more * job.resources[1]
+                cpus += more * job.resources.cpus
+                gpus += more * job.resources.gpus
         return Usage(cpus, gpus)
 
     def exceeds_limit(self, job: Job, spec: JobSpec, tasks: int = 1) -> bool:
--- a/oakmux/schedules/api.py
+++ b/oakmux/schedules/api.py
@@ -14,7 +14,7 @@
 
 from oakmux import constants
 from oakmux.core.context import Context, event
-from oakmux.core.state.records import value_bytes, value_limit
+from oakmux.core.state.formats import value_bytes, value_limit
 from oakmux.schedules import templates, zones
 from oakmux.schedules.dispatcher import WallClock
 from oakmux.schedules.firings import Rule, RuleError, cron_rule, mark_at
--- a/oakmux/schedules/dispatcher.py
+++ b/oakmux/schedules/dispatcher.py
@@ -16,7 +16,8 @@
 
 from oakmux import constants
 from oakmux.core.context import Context, event
-from oakmux.core.state.records import job_key, job_value, role_key
+from oakmux.core.state.codecs import encode_job
+from oakmux.core.state.keys import job_key, role_key
 from oakmux.schedules import policy, records, templates
 from oakmux.schedules.firings import Firing, firings, mark_at
 from oakmux.schedules.records import Entry, Slot, Store
@@ -421,7 +422,7 @@
                     writes.append(
                         (
                             job_key(job.id),
-                            job_value("cancelled", job.team, job.spec, job.order, job.tasks),
+                            encode_job("cancelled", job.team, job.spec, job.order, job.tasks),
                             None,
                         )
                     )
--- a/oakmux/schedules/records.py
+++ b/oakmux/schedules/records.py
@@ -16,7 +16,7 @@
 
 from oakmux import constants
 from oakmux.core.model import JobSpec
-from oakmux.core.state.records import PREFIX
+from oakmux.core.state.keys import PREFIX
 from oakmux.schedules.firings import Rule
 
 KIND = "s"
--- a/oakmux/schedules/replay/model.py
+++ b/oakmux/schedules/replay/model.py
@@ -17,7 +17,8 @@
 from oakmux import constants
 from oakmux.core.context import Context
 from oakmux.core.model import MachineType
-from oakmux.core.state.records import PREFIX, job_value, role_key
+from oakmux.core.state.codecs import encode_job
+from oakmux.core.state.keys import PREFIX, role_key
 from oakmux.schedules import records
 from oakmux.schedules.dispatcher import CLOCK_ROLE
 from oakmux.schedules.subsystem import SchedulesSubsystem
@@ -243,7 +244,7 @@
         self.after(self.rng.uniform(low, high), lambda: self._finish(name, value))
 
     def _finish(self, name: str, value: list) -> None:
-        self.put([(f"{PREFIX}j/{name}", job_value("done", value[1], None, value[3], value[4]))])
+        self.put([(f"{PREFIX}j/{name}", encode_job("done", value[1], None, value[3], value[4]))])
         self.finished.append((self.now, name))
         # A real deployment keeps the records; here they only would fill the memory.
         while self.finished and self.finished[0][0] < self.now - 86_400:
--- a/oakmux/schedules/templates.py
+++ b/oakmux/schedules/templates.py
@@ -11,7 +11,9 @@
 from oakmux.core.context import Context
 from oakmux.core.model import JobSpec
 from oakmux.core.scheduling import quotas
-from oakmux.core.state.records import FORMAT_COMPACT, job_key, job_value, value_bytes, value_limit
+from oakmux.core.state.codecs import encode_job
+from oakmux.core.state.formats import FORMAT_COMPACT, value_bytes, value_limit
+from oakmux.core.state.keys import job_key
 from oakmux.schedules.records import NAME, Entry, Step, Template, job_id, value_of
 
 
@@ -76,7 +78,7 @@
             raise TemplateError(f"{step.name}: {why}")
         waits = tuple("job-" + "9" * 18 for _ in step.needs)
         spec = msgspec.structs.replace(step.spec, waits_on=waits)
-        size = value_bytes(job_value("queued", spec.team, spec, 10**13, spec.tasks))
+        size = value_bytes(encode_job("queued", spec.team, spec, 10**13, spec.tasks))
         if size > value_limit(limits):
             raise TemplateError(
                 f"{step.name}: description of {size} bytes: a record holds {value_limit(limits)}"
@@ -127,6 +129,6 @@
         ids.append(name)
         guards[job_key(name)] = 0
         writes.append(
-            (job_key(name), job_value("queued", spec.team, spec, order, spec.tasks), None)
+            (job_key(name), encode_job("queued", spec.team, spec, order, spec.tasks), None)
         )
     return ids, guards, writes
--- a/oakmux/transport/store_client.py
+++ b/oakmux/transport/store_client.py
@@ -23,7 +23,8 @@
     parse_watch_events,
     transaction_body,
 )
-from oakmux.core.state.records import PREFIX, value_bytes
+from oakmux.core.state.formats import value_bytes
+from oakmux.core.state.keys import PREFIX
 from oakmux.settings import Settings
 from oakmux.transport.http import Client, NoResponse, RequestNotSent
 from oakmux.transport.rate_limit import BurstAllowance, TokenBucket, pause
--- a/tests/fakes/consistency.py
+++ b/tests/fakes/consistency.py
@@ -19,10 +19,10 @@
     mine: dict[str, float] = {}
     ending: dict[str, float] = {}
     for job in replica.jobs.values():
-        bound = job.resources[1] * len(job.bindings())
+        bound = job.resources.gpus * len(job.bindings())
         used[job.team] = used.get(job.team, 0.0) + bound
         ending[job.team] = ending.get(job.team, 0.0) + (0.0 if job.service else bound)
-        mine[job.team] = mine.get(job.team, 0.0) + job.resources[1] * len(
+        mine[job.team] = mine.get(job.team, 0.0) + job.resources.gpus * len(
             core.scheduler.buffer.bindings(job)
         )
     for team in context.teams:
--- a/tests/fakes/simulation.py
+++ b/tests/fakes/simulation.py
@@ -12,7 +12,7 @@
 from oakmux import constants
 from oakmux.core.controller import Controller
 from oakmux.core.model import Heartbeat
-from oakmux.core.state.records import value_limit
+from oakmux.core.state.formats import value_limit
 from oakmux.settings import ComingLimits, Settings, Spread, Team
 from tests.fakes import deployment
 from tests.fakes.consistency import check_counts
--- a/tests/fakes/store.py
+++ b/tests/fakes/store.py
@@ -2,7 +2,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from oakmux.core.state.records import value_bytes
+from oakmux.core.state.formats import value_bytes
 
 if TYPE_CHECKING:
     from tests.fakes.simulation import Simulation
--- a/tests/recorded.py
+++ b/tests/recorded.py
@@ -30,21 +30,21 @@
 from oakmux.codec.workers import command_body, commands_body
 from oakmux.core.controller import Controller
 from oakmux.core.model import JobSpec
-from oakmux.core.state.binding_batches import BatchRow, batch_key
-from oakmux.core.state.records import (
+from oakmux.core.state.binding_batches import BatchRow
+from oakmux.core.state.codecs import encode_block, encode_job
+from oakmux.core.state.keys import (
     FORMAT_KEY,
     TERM_KEY,
     TYPES_KEY,
-    Binding,
-    TaskBlock,
+    batch_key,
     block_key,
     controller_key,
     job_key,
-    job_value,
     role_key,
     termination_key,
     version_key,
 )
+from oakmux.core.state.records import Binding, TaskBlock
 from oakmux.core.state.replica import Replica
 from oakmux.schedules import records
 from oakmux.schedules.firings import Rule
@@ -240,17 +240,17 @@
     small = TaskBlock(STAMP, 1, 0, {0: Binding(1, "m3", 1, 2, "c")})
     done = TaskBlock(STAMP, 2, 2**64 - 1, {})
     made: dict[str, list] = {
-        f"chunk/{name}/format-{form}": [block_key("job-5", 3), value.to_value(form)]
+        f"chunk/{name}/format-{form}": [block_key("job-5", 3), encode_block(value, form)]
         for form in (1, 2, 3)
         for name, value in (("full", block), ("small", small), ("done", done))
     }
     for state in ("queued", "running", "done", "cancelled"):
         for name, job in (("full", FULL), ("plain", PLAIN)):
-            value = job_value(state, job.team, job, 12_000, job.tasks)
+            value = encode_job(state, job.team, job, 12_000, job.tasks)
             made[f"job/{name}/{state}"] = [job_key("job-5"), value]
-        made[f"job/bare/{state}"] = [job_key("job-6"), job_value(state, "red", None, 1, 100_000)]
+        made[f"job/bare/{state}"] = [job_key("job-6"), encode_job(state, "red", None, 1, 100_000)]
     rows = [
-        BatchRow(job_id, tasks, value.to_value(3)).to_value()
+        BatchRow(job_id, tasks, encode_block(value, 3)).to_value()
         for job_id, tasks, value in (("job-5", 10, block), ("job-6", 1, small), ("job-9", 2, done))
     ]
     made["page/rows"] = [batch_key("red/4"), rows]
@@ -335,7 +335,8 @@
             job.tasks,
             job.service,
         ]
-        + [job.unmet_dependencies, job.since, job.priority, job.due_ms, job.resources, job.final]
+        + [job.unmet_dependencies, job.since, job.priority, job.due_ms]
+        + [list(msgspec.structs.astuple(job.resources)), job.final]
         for job in replica.jobs.values()
     ]
     pages = [
--- a/tests/test_binding_batches.py
+++ b/tests/test_binding_batches.py
@@ -7,17 +7,11 @@
 import pytest
 
 from oakmux import constants
-from oakmux.core.state.binding_batches import BatchRow, batch_key, reserved_bytes
-from oakmux.core.state.records import (
-    FORMAT,
-    FORMAT_COMPACT,
-    FORMAT_KEY,
-    Binding,
-    TaskBlock,
-    job_key,
-    job_value,
-    value_bytes,
-)
+from oakmux.core.state.binding_batches import BatchRow, reserved_bytes
+from oakmux.core.state.codecs import encode_block, encode_job
+from oakmux.core.state.formats import FORMAT, FORMAT_COMPACT, value_bytes
+from oakmux.core.state.keys import FORMAT_KEY, batch_key, job_key
+from oakmux.core.state.records import Binding, TaskBlock
 from oakmux.core.state.replica import Replica
 from tests.fakes import LEASE_S, Simulation, spec
 from tests.helpers.clusters import well
@@ -66,7 +60,7 @@
 def row(job_id: str, machine: str = "m1", attempt: int = 1, tasks: int = 1) -> list:
     """Return a page's row with one task bound."""
     block = TaskBlock(last=attempt, bound={0: Binding(attempt, machine, 1, 1, "a")})
-    return BatchRow(job_id, tasks, block.to_value(FORMAT)).to_value()
+    return BatchRow(job_id, tasks, encode_block(block, FORMAT)).to_value()
 
 
 # --- what it is for ---
@@ -120,7 +114,7 @@
             for index in range(tasks)
         }
         block = TaskBlock(0, 314, 2**tasks - 1, bound)
-        found = BatchRow("job-" + "9" * 18, tasks, block.to_value(FORMAT)).to_value()
+        found = BatchRow("job-" + "9" * 18, tasks, encode_block(block, FORMAT)).to_value()
         assert value_bytes(found) + 1 <= reserved_bytes(tasks)
 
 
@@ -143,7 +137,7 @@
 def test_a_replica_applies_only_the_changed_rows_of_a_batch_and_drops_older_revisions():
     replica = Replica()
     for number, name in enumerate(("job-1", "job-2"), 1):
-        replica.apply(job_key(name), job_value("queued", "red", spec(), 0, 1), number)
+        replica.apply(job_key(name), encode_job("queued", "red", spec(), 0, 1), number)
     key = batch_key("red/0")
     replica.apply(key, [row("job-1"), row("job-2", "m2")], 10)
     assert {name: list(bound) for name, bound in replica.by_machine.items()} == {
@@ -168,9 +162,9 @@
     replica = Replica()
     replica.apply(batch_key("red/0"), [row("job-1")], 5)
     assert list(replica.by_machine) == ["m1"]
-    replica.apply(job_key("job-1"), job_value("queued", "red", spec(gpus=2.0), 0, 1), 4)
+    replica.apply(job_key("job-1"), encode_job("queued", "red", spec(gpus=2.0), 0, 1), 4)
     assert replica.team_usage["red"] == (1.0, 2.0)
-    replica.load([(job_key("job-1"), job_value("queued", "red", spec(gpus=2.0), 0, 1), 4)], 9)
+    replica.load([(job_key("job-1"), encode_job("queued", "red", spec(gpus=2.0), 0, 1), 4)], 9)
     assert replica.team_usage["red"] == (0.0, 0.0) and not replica.by_machine
 
 
--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -5,7 +5,8 @@
 import pytest
 
 from oakmux import constants
-from oakmux.core.state.records import job_key, job_value
+from oakmux.core.state.codecs import encode_job
+from oakmux.core.state.keys import job_key
 from oakmux.core.state.replica import Replica
 from tests.fakes import CANCEL_S, LEASE_S, Simulation, spec
 from tests.helpers.clusters import (
@@ -222,14 +223,14 @@
     replica = Replica()
     for mod_revision, number in enumerate((4, 2, 7, 5, 1), 1):
         replica.apply(
-            job_key(f"job-{number}"), job_value("cancelled", "red", None, 0, 1), 10 * mod_revision
+            job_key(f"job-{number}"), encode_job("cancelled", "red", None, 0, 1), 10 * mod_revision
         )
-    replica.apply(job_key("job-9"), job_value("done", "red", None, 0, 1), 25)
+    replica.apply(job_key("job-9"), encode_job("done", "red", None, 0, 1), 25)
     assert replica.cancelled_since(0) == ["job-4", "job-2", "job-7", "job-5", "job-1"]
     assert replica.cancelled_since(30) == ["job-5", "job-1"]
     for mod_revision, number in enumerate((11, 12), 6):
         replica.apply(
-            job_key(f"job-{number}"), job_value("cancelled", "red", None, 0, 1), 10 * mod_revision
+            job_key(f"job-{number}"), encode_job("cancelled", "red", None, 0, 1), 10 * mod_revision
         )
     assert replica.cancelled_since(29) is None  # what was dropped must not look like nothing
     assert replica.cancelled_since(30) == ["job-5", "job-1", "job-11", "job-12"]
--- a/tests/test_capacity_claims.py
+++ b/tests/test_capacity_claims.py
@@ -9,7 +9,9 @@
 from oakmux.core.model import Heartbeat
 from oakmux.core.resources import Resources
 from oakmux.core.scheduling.capacity_claims import CapacityClaims
-from oakmux.core.state.records import Binding, TaskBlock, block_key, job_key, job_value
+from oakmux.core.state.codecs import encode_block, encode_job
+from oakmux.core.state.keys import block_key, job_key
+from oakmux.core.state.records import Binding, TaskBlock
 from tests.fakes import TYPE, settings_for, spec
 from tools.capacity.cell import Cell, cpu_job
 
@@ -22,7 +24,7 @@
     for name in ("m1", "m2"):
         heartbeat = Heartbeat(name, name, "big", "a", False, 1, 1, 1, None, {})
         context.machines[name] = Machine(heartbeat, 0.0)
-    context.replica.apply(job_key("job-1"), job_value("queued", "red", spec(), 0, 2), 1)
+    context.replica.apply(job_key("job-1"), encode_job("queued", "red", spec(), 0, 2), 1)
     claims = CapacityClaims(context, until_bound=True)
     claims.add("job-1", spec(cpus=3.0), {"m1": 2, "m2": 2}, constants.RESAMPLE_S, 2)
     return context, claims, context.machines["m1"]
@@ -43,7 +45,7 @@
         context.now += constants.RESAMPLE_S
     else:
         block = TaskBlock(last=1, bound={0: Binding(1, "m1", 1, 1, "a")})
-        context.replica.apply(block_key("job-1", 0), block.to_value(2), 2)
+        context.replica.apply(block_key("job-1", 0), encode_block(block, 2), 2)
     assert claims.remaining("job-2", machine, WHOLE) == WHOLE
     assert not claims.by_machine["m1"]
 
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -15,14 +15,10 @@
 from oakmux.codec.store import PATH_LEASES, PATH_TRANSACTIONS
 from oakmux.codec.users import parse_job, parse_job_id
 from oakmux.codec.workers import parse_heartbeat
-from oakmux.core.state.records import (
-    Binding,
-    TaskBlock,
-    block_key,
-    job_key,
-    parse_block,
-    tasks_per_block,
-)
+from oakmux.core.state.codecs import decode_block, encode_block
+from oakmux.core.state.formats import tasks_per_block
+from oakmux.core.state.keys import block_key, job_key
+from oakmux.core.state.records import Binding, TaskBlock
 from oakmux.core.state.replica import Replica
 from oakmux.transport.http import ServerProtocol
 from oakmux.transport.peer_client import PeerClient
@@ -322,18 +318,18 @@
         i: Binding(2**40, f"n-{2**40}", 2**20, 2**40, zone) for i in range(100_000 - per, 100_000)
     }
     block = TaskBlock(9, 7, (1 << 63) | 5, bound)
-    value = decode(encode(block.to_value(1)))
-    again = parse_block(value, 9)
+    value = decode(encode(encode_block(block, 1)))
+    again = decode_block(value, 9)
     assert (again.last, again.done, again.bound) == (block.last, block.done, block.bound)
     assert len(json.dumps(value)) <= 8 * 1024
 
 
 def test_replica_drops_older_news():
     replica = Replica()
-    bound = TaskBlock(0, 1, 0, {0: Binding(1, "m", 1, 1, "a")}).to_value(1)
+    bound = encode_block(TaskBlock(0, 1, 0, {0: Binding(1, "m", 1, 1, "a")}), 1)
     replica.apply(job_key("job-1"), ["queued", "red", None, 1, 2], 5)
     replica.apply(block_key("job-1", 0), bound, 6)
-    replica.apply(block_key("job-1", 0), TaskBlock(0, 1, 0, {}).to_value(1), 4)
+    replica.apply(block_key("job-1", 0), encode_block(TaskBlock(0, 1, 0, {}), 1), 4)
     assert replica.by_machine == {"m": {("job-1", 0): Binding(1, "m", 1, 1, "a")}}
     replica.apply(block_key("job-1", 0), None, 8)
     # A late answer must not bring a deleted chunk back.
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -4,13 +4,9 @@
 
 from oakmux import constants
 from oakmux.core.leadership.leadership import FLEET
-from oakmux.core.state.records import (
-    TaskBlock,
-    block_key,
-    controller_key,
-    parse_block,
-    role_key,
-)
+from oakmux.core.state.codecs import decode_block, encode_block
+from oakmux.core.state.keys import block_key, controller_key, role_key
+from oakmux.core.state.records import TaskBlock
 from tests.fakes import LEASE_S, Simulation, spec
 from tests.helpers.clusters import busy, holder, leader, quiet, up, well
 from tests.helpers.faults import Blink
@@ -116,7 +112,7 @@
     for key, value in (
         (role_key("red"), None),
         (role_key("red"), [other, 1]),
-        (block_key("job-1", 0), block.to_value(2)),
+        (block_key("job-1", 0), encode_block(block, 2)),
         (role_key("red"), None),
         (role_key("red"), mine),
     ):
@@ -130,7 +126,7 @@
     core.scheduler.writer.write_after = 0.0
     sim.run(2)
     assert not [row for row in sim.start_log if row[1] == "job-1/0"]
-    assert parse_block(*state.rows[block_key("job-1", 0)][:2]).bound == {0: theirs}
+    assert decode_block(*state.rows[block_key("job-1", 0)][:2]).bound == {0: theirs}
 
 
 @pytest.mark.parametrize("outage", [False, True])
--- a/tests/test_machine_index.py
+++ b/tests/test_machine_index.py
@@ -12,7 +12,8 @@
 from oakmux.core.model import Heartbeat
 from oakmux.core.resources import Resources, fits_resources, task_capacity
 from oakmux.core.scheduling.machine_index import MachineIndex, capacity_class, may_fit
-from oakmux.core.state.records import block_key, job_key, job_value
+from oakmux.core.state.codecs import encode_job
+from oakmux.core.state.keys import block_key, job_key
 from tests.fakes import TYPE, ZONES, settings_for, spec
 
 # The same verdict every time, and nothing kept between runs.
@@ -62,7 +63,7 @@
         self.mod_revision = 0
         self.sequence = 0
         for job_id, job in JOBS.items():
-            self.write(job_key(job_id), job_value("queued", job.team, job, 0, job.tasks))
+            self.write(job_key(job_id), encode_job("queued", job.team, job, 0, job.tasks))
 
     def write(self, key, value):
         self.mod_revision += 1
@@ -231,7 +232,7 @@
     place = Place()
     whole = {"cpus": 0.1, "memory_gb": 0.1, scarce: getattr(TYPE, scarce)}
     filler = spec("service", 100, "red", gpus=0.0, **whole)
-    place.write(job_key("job-9"), job_value("queued", "red", filler, 0, 100))
+    place.write(job_key("job-9"), encode_job("queued", "red", filler, 0, 100))
     names = [f"m{number}" for number in range(100)]
     for number, name in enumerate(names):
         tasks = {("job-9", number, "running")} if number < 90 else set()
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -3,13 +3,9 @@
 import pytest
 
 from oakmux import constants
-from oakmux.core.state.records import (
-    Binding,
-    TaskBlock,
-    block_key,
-    job_key,
-    job_value,
-)
+from oakmux.core.state.codecs import encode_block, encode_job
+from oakmux.core.state.keys import block_key, job_key
+from oakmux.core.state.records import Binding, TaskBlock
 from oakmux.core.state.replica import Replica
 from oakmux.settings import Team
 from tests.fakes import LEASE_S, Simulation, spec
@@ -83,8 +79,8 @@
     replica = Replica()
     bound = TaskBlock(0, 1, 0, {0: Binding(1, "m", 1, 1, "a"), 1: Binding(1, "m", 1, 1, "a")})
     rows = [
-        (job_key("job-1"), job_value("cancelled", "red", spec(cpus=2.0), 0, 2), 5),
-        (block_key("job-1", 0), bound.to_value(2), 4),
+        (job_key("job-1"), encode_job("cancelled", "red", spec(cpus=2.0), 0, 2), 5),
+        (block_key("job-1", 0), encode_block(bound, 2), 4),
     ]
     replica.load(rows[::order], 5)
     assert replica.team_usage == {"red": (4.0, 2.0)}
--- a/tests/test_schedule_firings.py
+++ b/tests/test_schedule_firings.py
@@ -6,7 +6,8 @@
 
 import pytest
 
-from oakmux.core.state.records import job_key, job_value
+from oakmux.core.state.codecs import encode_job
+from oakmux.core.state.keys import job_key
 from oakmux.schedules import records, zones
 from tests.fakes import spec
 from tests.timed import JOB, SKEW_MS, Timed, seconds, settled
@@ -301,7 +302,7 @@
     old = spec(gpus=0.0)
     sim.specs[taken] = old
     sim.state.revision += 1
-    sim.state.put(job_key(taken), job_value("queued", "red", old, 0, 1), None)
+    sim.state.put(job_key(taken), encode_job("queued", "red", old, 0, 1), None)
     sim.run(50)
     ((_, job),) = sim.made
     assert job != taken and sim.past("red/n") == [("2026-12-01T03:00", "made")]
--- a/tests/test_schedule_replay.py
+++ b/tests/test_schedule_replay.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from oakmux.core.state.records import PREFIX
+from oakmux.core.state.keys import PREFIX
 from oakmux.schedules import dispatcher, zones
 from oakmux.schedules.replay.year import replay
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -11,18 +11,10 @@
 from oakmux.codec.answers import answer_body
 from oakmux.codec.cbor import decode, encode
 from oakmux.core.controller import Controller
-from oakmux.core.state.records import (
-    FORMAT,
-    FORMAT_KEY,
-    Binding,
-    TaskBlock,
-    block_key,
-    job_key,
-    job_value,
-    parse_block,
-    value_bytes,
-    version_key,
-)
+from oakmux.core.state.codecs import decode_block, encode_block, encode_job
+from oakmux.core.state.formats import FORMAT, value_bytes
+from oakmux.core.state.keys import FORMAT_KEY, block_key, job_key, version_key
+from oakmux.core.state.records import Binding, TaskBlock
 from oakmux.core.state.replica import Replica
 from oakmux.settings import ComingLimits
 from oakmux.transport.peer_client import parse_batch
@@ -80,12 +72,12 @@
         "job-5": "cancelled",
     }
     for job in replica.active.values():
-        written = job_value(job.state, job.team, job.spec, job.order, job.tasks)
+        written = encode_job(job.state, job.team, job.spec, job.order, job.tasks)
         assert written == FIRST["rows"][job_key(job.id)][0]
         assert job.ready
         for number, block in job.blocks.items():
-            assert block.to_value(1) == FIRST["rows"][block_key(job.id, number)][0]
-            again = parse_block(block.to_value(2), block.mod_revision)
+            assert encode_block(block, 1) == FIRST["rows"][block_key(job.id, number)][0]
+            again = decode_block(encode_block(block, 2), block.mod_revision)
             assert (again.bound, again.done, again.last) == (block.bound, block.done, block.last)
     assert len(replica.jobs["job-2"].blocks[0].bound) == 30
 
@@ -307,7 +299,7 @@
         )
         for i in range(64)
     }
-    assert value_bytes(TaskBlock(0, 314, 2**64 - 1, bound).to_value(2)) <= 2048
+    assert value_bytes(encode_block(TaskBlock(0, 314, 2**64 - 1, bound), 2)) <= 2048
 
 
 def test_the_mapping_of_tasks_to_records_does_not_move_with_the_limits():
--- a/tools/capacity/cell.py
+++ b/tools/capacity/cell.py
@@ -13,7 +13,7 @@
 from oakmux.codec.workers import COMMAND_VERBS
 from oakmux.core.controller import Controller
 from oakmux.core.model import Heartbeat, JobSpec, MachineType
-from oakmux.core.state.records import PREFIX
+from oakmux.core.state.keys import PREFIX
 from oakmux.settings import (
     CloudLimits,
     External,
--- a/tools/capacity/measurements.py
+++ b/tools/capacity/measurements.py
@@ -20,14 +20,10 @@
 from oakmux.codec.workers import parse_heartbeat
 from oakmux.core.controller import Controller
 from oakmux.core.model import JobSpec
-from oakmux.core.state.records import (
-    Binding,
-    TaskBlock,
-    block_key,
-    job_key,
-    job_value,
-    value_bytes,
-)
+from oakmux.core.state.codecs import encode_block, encode_job
+from oakmux.core.state.formats import value_bytes
+from oakmux.core.state.keys import block_key, job_key
+from oakmux.core.state.records import Binding, TaskBlock
 from oakmux.transport.http import render
 from tools import cost
 from tools.capacity.cell import Cell, cell_settings, cpu_job, steady, team_names, zone_names
@@ -403,7 +399,7 @@
 def history_rows(count: int) -> list[tuple]:
     """Return the records of so many finished jobs."""
     return [
-        (job_key(f"job-{number}"), job_value("done", "team-0", None, number, 10), number + 1)
+        (job_key(f"job-{number}"), encode_job("done", "team-0", None, number, 10), number + 1)
         for number in range(count)
     ]
 
@@ -441,10 +437,14 @@
         }
         job_id = f"job-{number:06}"
         rows.append(
-            (job_key(job_id), job_value("queued", "team-0", spec, number, 10), 2 * number + 1)
+            (job_key(job_id), encode_job("queued", "team-0", spec, number, 10), 2 * number + 1)
         )
         rows.append(
-            (block_key(job_id, 0), TaskBlock(last=10, bound=bound).to_value(2), 2 * number + 2)
+            (
+                block_key(job_id, 0),
+                encode_block(TaskBlock(last=10, bound=bound), 2),
+                2 * number + 2,
+            )
         )
     return rows
 
--- a/tools/cost.py
+++ b/tools/cost.py
@@ -19,7 +19,9 @@
 from oakmux.core.controller import Controller
 from oakmux.core.leadership.leadership import FLEET
 from oakmux.core.model import Heartbeat, JobSpec, MachineType
-from oakmux.core.state.records import Binding, TaskBlock, block_key, job_key, job_value
+from oakmux.core.state.codecs import encode_block, encode_job
+from oakmux.core.state.keys import block_key, job_key
+from oakmux.core.state.records import Binding, JobState, TaskBlock
 from oakmux.settings import (
     CloudLimits,
     External,
@@ -204,9 +206,9 @@
                 deadline_s=None,
             )
             job_id = f"job-9{number:06}"
-            rows.append((job_key(job_id), job_value("queued", "red", spec, 0, 1), self.revision))
+            rows.append((job_key(job_id), encode_job("queued", "red", spec, 0, 1), self.revision))
             block = TaskBlock(last=1, bound={0: Binding(1, name, 1, 1, ZONES[number % 3])})
-            rows.append((block_key(job_id, 0), block.to_value(2), self.revision))
+            rows.append((block_key(job_id, 0), encode_block(block, 2), self.revision))
         self.step([("watch", rows, self.revision, self.now)])
 
     def submit(self, jobs: int) -> None:
@@ -218,7 +220,7 @@
             rows.append(
                 (
                     job_key(f"job-{number}"),
-                    job_value("queued", spec.team, spec, number, spec.tasks),
+                    encode_job("queued", spec.team, spec, number, spec.tasks),
                     self.revision,
                 )
             )
@@ -285,9 +287,10 @@
     rng = random.Random(seed)
     rows: list[tuple[str, Any, int]] = []
     for number in range(records):
-        job_id, state = f"job-{number}", "queued" if number % 10 == 0 else "done"
+        job_id = f"job-{number}"
+        state: JobState = "queued" if number % 10 == 0 else "done"
         spec = job_spec(rng, number) if state == "queued" else None
-        rows.append((job_key(job_id), job_value(state, "red", spec, number, 35), number + 1))
+        rows.append((job_key(job_id), encode_job(state, "red", spec, number, 35), number + 1))
         if spec is not None:
             block = TaskBlock(
                 last=35,
@@ -296,7 +299,7 @@
                     for index in range(35)
                 },
             )
-            rows.append((block_key(job_id, 0), block.to_value(2), number + 1))
+            rows.append((block_key(job_id, 0), encode_block(block, 2), number + 1))
     bench = Bench(0, False, seed)
     before = resident_mb()
     spent = bench.step([("snapshot", rows, records + 1, bench.now)])
