--- a/oakmux/core/agents/heartbeats.py
+++ b/oakmux/core/agents/heartbeats.py
@@ -57,9 +57,9 @@
             context.emit("answer", rid, 503, ("error", "no current records"))
             return
         tracked = self.workers.tracked.setdefault(heartbeat.machine, TrackedWorker())
-        tracked.answered.clear()
+        tracked.answered_starts.clear()
         if machine is None or machine.manager != context.label:
-            tracked.since = context.now
+            tracked.attached_at = context.now
         machine = self.take(tracked, heartbeat)
         if not self.cancellations.store_fresh():
             # Refused by the state service alone: hand the worker over to a peer that is not.
@@ -80,7 +80,7 @@
                 context.emit("answer", rid, 503, ("error", "no term yet"))
             return
         commands, starts = self.commands.commands(tracked, machine, forget=True)
-        tracked.answered.update(starts)
+        tracked.answered_starts.update(starts)
         context.emit("answer", rid, 200, ("orders", context.term, commands))
         if starts:
             context.changed_workers.add(machine.name)
@@ -89,15 +89,15 @@
     def take(self, tracked: TrackedWorker, heartbeat: Heartbeat) -> Machine:
         """Take a report newer than what we know, and settle those of our starts that it shows."""
         context = self.context
-        for task, term in list(tracked.starting.items()):
+        for task, term in list(tracked.unresolved_starts.items()):
             # A start whose answer was lost is resolved once the worker shows the task, a newer
             # session or a token above the start's: it can't act any more, or it has.
             if task in heartbeat.tasks or heartbeat.fencing_token > term:
-                del tracked.starting[task]
+                del tracked.unresolved_starts[task]
         machine = context.machines.get(heartbeat.machine)
         if machine is not None and heartbeat.agent_epoch > machine.agent_epoch:
-            tracked.starting.clear()
-            tracked.refused.clear()
+            tracked.unresolved_starts.clear()
+            tracked.refused_starts.clear()
             tracked.offers.clear()
             tracked.stops.clear()
         apply_heartbeat(context, heartbeat, context.label, context.term)
@@ -109,9 +109,9 @@
         if tracked is None or machine.manager != self.context.label:
             return machine.tasks
         tasks = dict(machine.tasks)
-        for task in [*tracked.starting, *tracked.answered]:
+        for task in [*tracked.unresolved_starts, *tracked.answered_starts]:
             tasks.setdefault(task, STARTING)
-        for task in tracked.refused:
+        for task in tracked.refused_starts:
             tasks.setdefault(task, REFUSED)
         return tasks
 
--- a/oakmux/core/agents/reservation_queue.py
+++ b/oakmux/core/agents/reservation_queue.py
@@ -1,26 +1,35 @@
-"""The queues at machines: reservations, offers of room, and work that gives way to other work."""
+"""Reservations queued at machines, and the offers of free resources that they lead to."""
 
-from collections.abc import Collection
+from typing import NamedTuple
 
 from oakmux import constants
 from oakmux.core.agents.cancellation_log import CancellationLog
 from oakmux.core.agents.capacity import free_resources, gang_hold_s, is_full, is_schedulable
-from oakmux.core.agents.tracked_workers import Reservation, TrackedWorker, WorkerTable
-from oakmux.core.context import Context, Machine, Task, event
+from oakmux.core.agents.preemption import plan_preemption
+from oakmux.core.agents.tracked_workers import Offer, Reservation, TrackedWorker, WorkerTable
+from oakmux.core.context import Context, Machine, event
 from oakmux.core.model import JobSpec
 from oakmux.core.resources import Resources, fits_resources, subtract
 from oakmux.core.scheduling import quotas
 from oakmux.core.scheduling.minimum_share import MinimumShare
-from oakmux.core.scheduling.queue_order import (
-    effective_submission_ms,
-    is_starving,
-    misses_objective,
-)
+from oakmux.core.scheduling.queue_order import QueueRank, queue_rank
 from oakmux.core.state.records import Job
+from oakmux.task_status import EXITED
+
+
+class RankedReservation(NamedTuple):
+    """A reservation that a task of its job fits for; ordered by the first three fields."""
+
+    rank: QueueRank
+    submitted_ms: float
+    job_id: str
+    reservation: Reservation
+    job: Job
+    spec: JobSpec
 
 
 class ReservationQueue:
-    """Queues reservations at the machines that we keep and offers their room."""
+    """Queues reservations at the machines whose workers we manage and offers free resources."""
 
     def __init__(
         self, context: Context, workers: WorkerTable, cancellations: CancellationLog
@@ -32,7 +41,7 @@
         self.minimum_share = MinimumShare(context)
 
     def reserve(self, name: str, job_id: str, count: int, preempt: bool = False) -> None:
-        """Queue a reservation at a machine that we keep; make room for it if told to."""
+        """Queue a reservation for `count` tasks at a machine, preempting for one if told to."""
         tracked = self.workers.tracked.get(name)
         machine = self.context.machines.get(name)
         if tracked is None or machine is None or machine.manager != self.context.label:
@@ -47,12 +56,11 @@
         self.workers.to_reconcile.add(name)
 
     def _preempt(self, tracked: TrackedWorker, machine: Machine, job_id: str) -> None:
+        """Stop tasks so that one task of a job fits, unless tasks are being stopped already."""
         context = self.context
         job = context.replica.jobs.get(job_id)
-        # A task that was stopped stays in the reports until it is forgotten; it stops nothing.
-        stopping = any(
-            machine.tasks.get(task, ("exited",))[0] != "exited" for task in tracked.stops
-        )
+        # A task that was stopped is reported as exited until the worker is told to forget it.
+        stopping = any(machine.tasks.get(task, (EXITED,))[0] != EXITED for task in tracked.stops)
         if (
             job is None
             or job.spec is None
@@ -61,37 +69,37 @@
             or not is_schedulable(context, machine)
         ):
             return
-        chosen = preemption_candidates(
+        preemption = plan_preemption(
             context,
             machine,
             job,
             job.spec,
             quotas.usage(context),
-            self.held(tracked),
+            self._offered(tracked),
             tracked.not_preemptible,
         )
-        for task in chosen[1] if chosen is not None else ():
+        for task in preemption.tasks if preemption is not None else ():
             tracked.stops[task] = context.now
             event("preempt", task=task[0], attempt=task[1], machine=machine.name, by=job_id)
 
     def decline(self, name: str, offer_id: int) -> None:
-        """The owner has no task for an offer: release the room, offer it to the next."""
+        """Withdraw an offer that the job's scheduler has no task for, and offer to the next."""
         tracked = self.workers.tracked.get(name)
         if tracked is not None and tracked.offers.pop(offer_id, None) is not None:
             self.workers.to_reconcile.add(name)
 
-    def held(self, tracked: TrackedWorker) -> list[JobSpec]:
-        """Return what is held for offers."""
-        now = self.context.now
+    def _offered(self, tracked: TrackedWorker) -> list[JobSpec]:
+        """Return the jobs of a worker's open offers, after dropping offers that are void."""
+        replica = self.context.replica
         specs = []
-        for offer_id, (job_id, until, claim) in list(tracked.offers.items()):
-            job = self.context.replica.jobs.get(job_id)
-            # Once the team has another owner, nothing can come of offers to the one before.
+        for offer_id, offer in list(tracked.offers.items()):
+            job = replica.jobs.get(offer.job_id)
+            # Once another controller holds the team's role, the former one can't bind any more.
             if (
-                until <= now
+                offer.expires_at <= self.context.now
                 or job is None
                 or job.spec is None
-                or self.context.replica.roles.get(job.team, ("", 0, 0))[2] != claim
+                or replica.roles.get(job.team, ("", 0, 0))[2] != offer.role_claim
             ):
                 del tracked.offers[offer_id]
             else:
@@ -99,43 +107,63 @@
         return specs
 
     def records_changed(self, name: str) -> None:
-        """Bindings on a machine changed: those that answer an offer end its hold."""
+        """Close the offers on a machine that its new bindings make use of."""
         self.workers.to_reconcile.add(name)
         tracked = self.workers.tracked.get(name)
         if tracked is None:
             return
-        bound = self.context.replica.by_machine.get(name, {})
-        known = {(job_id, index, b.attempt) for (job_id, index), b in bound.items()}
-        for job_id, _, _ in known - tracked.known:
-            for offer_id, (held_for, _, _) in tracked.offers.items():
-                if held_for == job_id:
+        bindings = self.context.replica.by_machine.get(name, {})
+        bound_tasks = {
+            (job_id, index, binding.attempt) for (job_id, index), binding in bindings.items()
+        }
+        for job_id, _, _ in bound_tasks - tracked.bound_tasks:
+            for offer_id, offer in tracked.offers.items():
+                if offer.job_id == job_id:
                     del tracked.offers[offer_id]
                     break
-        tracked.known = known
-        tracked.not_preemptible &= {row[0] for row in known} | {
-            row[0] for row in tracked.offers.values()
+        tracked.bound_tasks = bound_tasks
+        tracked.not_preemptible &= {job_id for job_id, _, _ in bound_tasks} | {
+            offer.job_id for offer in tracked.offers.values()
         }
 
     def offer(self, name: str) -> None:
-        """Offer free room to the owners of queued reservations, best rank first."""
+        """Offer a machine's free resources to the schedulers of the jobs in its queue.
+
+        Aged work comes first while the minimum share is owed to it, then the best rank.
+        """
         context = self.context
         tracked = self.workers.tracked.get(name)
         machine = context.machines.get(name)
-        if (
-            tracked is None
-            or not tracked.queue
-            or machine is None
-            or machine.manager != context.label
-            or machine.fencing_token != context.term
-            or not context.term
-            or not self.cancellations.store_fresh()
-            or not is_schedulable(context, machine)
-        ):
+        if tracked is None or not tracked.queue or machine is None or not self._may_offer(machine):
             return
-        free = free_resources(context, machine, self.held(tracked))
+        free = free_resources(context, machine, self._offered(tracked))
         if is_full(context, free):
             return
-        used = quotas.usage(context)
+        ranked = self._rank(tracked, name, free)
+        free = self._grant_aged(tracked, machine, ranked, free)
+        machine_type = context.types[machine.type]
+        for row in ranked:
+            if row.job.team not in context.replica.roles:
+                continue
+            while row.reservation.count > 0 and fits_resources(free, row.spec):
+                free = self._grant(tracked, machine, row.job, row.spec, free)
+                self.minimum_share.granted_by_rank(row.spec, machine_type)
+
+    def _may_offer(self, machine: Machine) -> bool:
+        """Whether tasks that are bound to a machine now could be started by us."""
+        context = self.context
+        return (
+            machine.manager == context.label
+            and machine.fencing_token == context.term
+            and bool(context.term)
+            and self.cancellations.store_fresh()
+            and is_schedulable(context, machine)
+        )
+
+    def _rank(self, tracked: TrackedWorker, name: str, free: Resources) -> list[RankedReservation]:
+        """Return the reservations with a task that fits, best first; drop those that are over."""
+        context = self.context
+        usage = quotas.usage(context)
         ranked = []
         for reservation in list(tracked.queue.values()):
             job = context.replica.jobs.get(reservation.job_id)
@@ -147,52 +175,55 @@
             ):
                 del tracked.queue[reservation.job_id]
                 continue
-            if not fits_resources(free, job.spec) or context.backfill.blocks_job(
-                name, job, job.spec
-            ):
+            spec = job.spec
+            if not fits_resources(free, spec) or context.backfill.blocks_job(name, job, spec):
                 continue
-            # The age of the job, not of the reservation: of two gangs that wait for the same
+            # By the age of the job, not of the reservation: of two gangs that wait for the same
             # machines, one must come first at all of them.
-            ranked.append(
-                (queue_rank(context, job, job.spec, used), job.since, job.id, reservation, job)
-            )
+            rank = queue_rank(context, job, spec, usage)
+            ranked.append(RankedReservation(rank, job.since, job.id, reservation, job, spec))
         ranked.sort(key=lambda row: row[:3])
-        kind = context.types[machine.type]
+        return ranked
+
+    def _grant_aged(
+        self,
+        tracked: TrackedWorker,
+        machine: Machine,
+        ranked: list[RankedReservation],
+        free: Resources,
+    ) -> Resources:
+        """Grant a task of the oldest aged job that is owed one by share; return what is left."""
+        roles = self.context.replica.roles
+        machine_type = self.context.types[machine.type]
         oldest = self.minimum_share.due_job(
-            kind, free, (row[-1] for row in ranked if row[-1].team in context.replica.roles)
+            machine_type, free, (row.job for row in ranked if row.job.team in roles)
         )
-        if oldest is not None and oldest.spec is not None:
-            # Work that came by its age is not stopped again for what stands above it.
-            tracked.not_preemptible.add(oldest.id)
-            free = self._grant(tracked, machine, oldest, oldest.spec, free)
-            self.minimum_share.granted_by_age(oldest.spec, kind)
-        for *_, reservation, job in ranked:
-            spec = job.spec
-            assert spec is not None
-            if job.team not in context.replica.roles:
-                continue
-            while reservation.count > 0 and fits_resources(free, spec):
-                free = self._grant(tracked, machine, job, spec, free)
-                self.minimum_share.granted_by_rank(spec, kind)
+        if oldest is None or oldest.spec is None:
+            return free
+        # It must not be preempted by the very work that it was preferred to.
+        tracked.not_preemptible.add(oldest.id)
+        free = self._grant(tracked, machine, oldest, oldest.spec, free)
+        self.minimum_share.granted_by_age(oldest.spec, machine_type)
+        return free
 
     def _grant(
         self, tracked: TrackedWorker, machine: Machine, job: Job, spec: JobSpec, free: Resources
     ) -> Resources:
-        """Offer room for one task of a job that has a reservation; return what is left."""
+        """Offer resources for one task of a job with a reservation; return what is left."""
         context = self.context
-        label, _, claim = context.replica.roles[job.team]
+        controller_id, _, role_claim = context.replica.roles[job.team]
         reservation = tracked.queue[job.id]
         reservation.count -= 1
         if reservation.count <= 0:
             del tracked.queue[job.id]
         self.next_offer += 1
-        hold = constants.OFFER_HOLD_S
+        hold_s = constants.OFFER_HOLD_S
         if spec.joint:
-            hold += gang_hold_s(spec) + constants.PREEMPT_S
-        tracked.offers[self.next_offer] = (job.id, context.now + hold, claim)
+            hold_s += gang_hold_s(spec) + constants.PREEMPT_S
+        tracked.offers[self.next_offer] = Offer(job.id, context.now + hold_s, role_claim)
         context.emit(
             "send",
-            label,
+            controller_id,
             (
                 "offer",
                 machine.name,
@@ -204,92 +235,3 @@
             ),
         )
         return subtract(free, spec)
-
-
-def save_s(context: Context, tasks: list[Task]) -> float:
-    """Return the seconds for which tasks save once they are told to stop. A gang that did not
-    wait for that let the room go that it had made, for minutes."""
-    specs = [context.replica.jobs[name.partition("/")[0]].spec for name, _ in tasks]
-    return max(
-        (spec.save_s for spec in specs if spec is not None and spec.checkpoint_s), default=0.0
-    )
-
-
-def preemption_candidates(
-    context: Context,
-    machine: Machine,
-    job: Job,
-    spec: JobSpec,
-    used: quotas.TeamUsage,
-    held: list[JobSpec] | None = None,
-    not_preemptible: Collection[str] = (),
-) -> tuple[float, list[Task]] | None:
-    """Return (lost work, tasks) whose end makes room for one task of a job, or None.
-
-    Only work of lower priority may go, and, for a job within its team's guarantee, work that
-    another team runs beyond its own guarantee. What has least to lose goes first, and nothing of
-    the jobs in `not_preemptible`.
-    """
-    beyond = quotas.teams_over_guarantee(context, job, spec, used)
-    rows = []
-    for (job_id, index), binding in context.replica.by_machine.get(machine.name, {}).items():
-        other = context.replica.jobs.get(job_id)
-        task = (f"{job_id}/{index}", binding.attempt)
-        state = machine.tasks.get(task)
-        if (
-            other is None
-            or other.spec is None
-            or state is None
-            or binding.stop
-            or state[0] not in ("fetching", "waiting", "running")
-            or other.spec.kind == "service"
-            or other.id == job.id
-            or other.spec.joint
-            or other.id in not_preemptible
-        ):
-            continue
-        if other.priority >= job.priority and other.team not in beyond:
-            continue
-        lost = context.now - machine.since.get(task, context.now)
-        young = lost < constants.START_COUNTS_S
-        if other.spec.checkpoint_s and state[0] == "running":
-            lost = min(lost, other.spec.save_s)
-        # What is urgent itself has to start again too, and a start undone so soon was no start.
-        lost += other.priority**2 * constants.VICTIM_RANK_S * (2 if young else 1)
-        rows.append((other.priority, lost, task, other.spec))
-    rows.sort(key=lambda row: row[:3])
-    free = free_resources(context, machine, held)
-    chosen: list[Task] = []
-    total = 0.0
-    for _, lost, task, other_spec in rows:
-        if fits_resources(free, spec):
-            break
-        free = subtract(free, other_spec, -1)
-        chosen.append(task)
-        total += lost
-    if not chosen or not fits_resources(free, spec):
-        return None
-    for _, lost, task, other_spec in reversed(rows[: len(chosen)]):
-        less_free = subtract(free, other_spec)
-        if len(chosen) > 1 and fits_resources(
-            less_free, spec
-        ):  # made needless by what came after it
-            free = less_free
-            chosen.remove(task)
-            total -= lost
-    return total, chosen
-
-
-def queue_rank(context: Context, job: Job, spec: JobSpec, used: quotas.TeamUsage) -> tuple:
-    """Return the order in a queue: guaranteed work and priority first, then what must begin at
-    last, what has to start first for a deadline, what can meet its aim, fair between teams, and
-    by turn."""
-    return (
-        not quotas.is_guaranteed(context, job, spec, used),
-        -job.priority,
-        not is_starving(context, job),
-        job.latest_start_ms,
-        misses_objective(context, job, spec),
-        quotas.guarantee_share(context, job.team, used),
-        effective_submission_ms(context, job, spec),
-    )
--- a/oakmux/core/agents/worker_commands.py
+++ b/oakmux/core/agents/worker_commands.py
@@ -56,25 +56,27 @@
                     self._stop(tracked, machine, commands, task, state[0], job, ended)
                 continue
             if (
-                task in tracked.starting
-                or task in tracked.answered
+                task in tracked.unresolved_starts
+                or task in tracked.answered_starts
                 or binding.term != context.term
             ):
                 continue
             if binding.agent_epoch != machine.agent_epoch or not settled:
                 continue
             if ended or binding.stop:
-                if task not in tracked.refused:
-                    tracked.refused.add(task)
+                if task not in tracked.refused_starts:
+                    tracked.refused_starts.add(task)
                     context.changed_workers.add(machine.name)
             elif self._waits_for_gang_images(tracked, machine, job, binding, task):
                 self.with_delayed_starts.add(machine.name)
-            elif task not in tracked.refused and self.cancellations.store_fresh():
+            elif task not in tracked.refused_starts and self.cancellations.store_fresh():
                 commands.append(command_body("start", *task))
                 starts.append(task)
         commands += self.stop_cancelled(tracked, machine, names)
-        tracked.refused &= names
-        tracked.delayed = {task: since for task, since in tracked.delayed.items() if task in names}
+        tracked.refused_starts &= names
+        tracked.delayed_since = {
+            task: since for task, since in tracked.delayed_since.items() if task in names
+        }
         for task in [task for task in tracked.stops if task not in machine.tasks]:
             del tracked.stops[task]
         if forget:
@@ -113,7 +115,7 @@
             return False
         if (
             machine.fencing_token > context.term
-            and tracked.since + context.facts.workers.lease_s > context.store_seen_at
+            and tracked.attached_at + context.facts.workers.lease_s > context.store_seen_at
             and self.cancellations.cancelled_unseen_for(self.cancellations.staleness_bound_s())
         ):
             # Whoever kept it before us, and gave orders for a lease after that at the most, may
@@ -121,7 +123,7 @@
             return True
         for (job_id, index), binding in context.replica.by_machine.get(machine.name, {}).items():
             task = (f"{job_id}/{index}", binding.attempt)
-            sent = binding.term != context.term or task in tracked.starting
+            sent = binding.term != context.term or task in tracked.unresolved_starts
             if (
                 sent
                 and binding.agent_epoch == machine.agent_epoch
@@ -147,7 +149,7 @@
             return False
         slowest = context.fetch_s(spec, machine.type) * constants.FETCH_SPREAD
         patience = slowest - context.facts.workers.gang_wait_s * constants.GANG_WAIT_SHARE
-        if context.now - tracked.delayed.setdefault(task, context.now) >= patience:
+        if context.now - tracked.delayed_since.setdefault(task, context.now) >= patience:
             return False
         for block in job.blocks.values():
             for index, other in block.bound.items():
@@ -203,14 +205,19 @@
     ) -> None:
         """Forget exited tasks that the records have let go of; stop live ones."""
         context = self.context
-        orphans = {t: tracked.orphans.get(t, context.now) for t in machine.tasks if t not in names}
-        tracked.orphans = orphans
+        orphans = {
+            t: tracked.unbound_since.get(t, context.now) for t in machine.tasks if t not in names
+        }
+        tracked.unbound_since = orphans
         if not self.cancellations.store_fresh():
             return
         for task, since in orphans.items():
             # Our replica may lag behind the agent manager that started the task: wait a while.
             if machine.tasks[task][0] == "exited":
-                if context.now - since >= constants.ALIVE_S and task not in tracked.starting:
+                if (
+                    context.now - since >= constants.ALIVE_S
+                    and task not in tracked.unresolved_starts
+                ):
                     commands.append(command_body("forget", *task))
             elif context.now - since >= constants.ORPHAN_S:
                 commands.append(command_body("stop", task[0], task[1], 0.0))
@@ -225,7 +232,7 @@
             or machine is None
             or machine.manager != context.label
             or tracked.command_in_flight
-            or context.now < tracked.commands_after
+            or context.now < tracked.next_command_at
             or not context.term
             or machine.fencing_token != context.term
             or context.now - machine.last_heartbeat_at > context.facts.workers.lease_s
@@ -236,7 +243,7 @@
             return
         term = context.term
         for task in starts:
-            tracked.starting[task] = term
+            tracked.unresolved_starts[task] = term
         context.changed_workers.add(name)
         tracked.command_in_flight = True
         context.call(
@@ -258,14 +265,14 @@
         tracked.command_in_flight = False
         if outcome == "lost":
             # They may still be carried out, minutes later: only a newer term settles that.
-            tracked.commands_after = context.now + constants.ORDERS_TIMEOUT_S
+            tracked.next_command_at = context.now + constants.ORDERS_TIMEOUT_S
             self.leadership.need_term_above(term)
             return
         for task in starts:
-            if tracked.starting.get(task) == term:
-                del tracked.starting[task]
+            if tracked.unresolved_starts.get(task) == term:
+                del tracked.unresolved_starts[task]
         if outcome == "unsent":
-            tracked.commands_after = context.now + constants.ORDERS_TIMEOUT_S
+            tracked.next_command_at = context.now + constants.ORDERS_TIMEOUT_S
         if heartbeat is not None and heartbeat.machine == name:
             machine = context.machines.get(name)
             if machine is None or (heartbeat.agent_epoch, heartbeat.sequence) > machine.version:
--- a/oakmux/core/autoscaling/scale_out.py
+++ b/oakmux/core/autoscaling/scale_out.py
@@ -5,7 +5,6 @@
 
 from oakmux import constants
 from oakmux.core.agents.cancellation_log import CancellationLog
-from oakmux.core.agents.reservation_queue import queue_rank
 from oakmux.core.autoscaling.demand_placement import DemandPlacement
 from oakmux.core.autoscaling.expected_capacity import ExpectedCapacity
 from oakmux.core.autoscaling.instance_inventory import InstanceInventory
@@ -16,6 +15,7 @@
 from oakmux.core.resources import NO_USAGE, Usage
 from oakmux.core.scheduling import quotas
 from oakmux.core.scheduling.pending_queues import PendingQueues, Shape
+from oakmux.core.scheduling.queue_order import queue_rank
 from oakmux.core.state.records import Job
 
 TeamUsage = dict[str, Usage]
--- a/oakmux/core/scheduling/placement.py
+++ b/oakmux/core/scheduling/placement.py
@@ -7,7 +7,7 @@
 from pyroaring import BitMap
 
 from oakmux import constants
-from oakmux.core.agents.reservation_queue import preemption_candidates, save_s
+from oakmux.core.agents.preemption import checkpoint_cost_s, plan_preemption
 from oakmux.core.context import Context, Machine
 from oakmux.core.model import JobSpec, MachineType, Priority
 from oakmux.core.resources import Resources, task_capacity
@@ -217,15 +217,13 @@
     )
     options: list[PreemptionOption] = []
     for machine in machines:
-        found = preemption_candidates(context, machine, job, spec, used)
-        if found is None:
+        preemption = plan_preemption(context, machine, job, spec, used)
+        if preemption is None:
             continue
-        lost_s, tasks = found
-        cost_s = lost_s + fetch_s(context, spec, machine)
+        cost_s = preemption.lost_work_s + fetch_s(context, spec, machine)
         if cost_s < max_cost_s:
-            options.append(
-                PreemptionOption(cost_s, context.rng.random(), machine, save_s(context, tasks))
-            )
+            checkpoint_s = checkpoint_cost_s(context, preemption.tasks)
+            options.append(PreemptionOption(cost_s, context.rng.random(), machine, checkpoint_s))
     options.sort(key=lambda option: option[:2])
     return options
 
--- a/oakmux/core/scheduling/queue_order.py
+++ b/oakmux/core/scheduling/queue_order.py
@@ -11,8 +11,12 @@
 from oakmux import constants
 from oakmux.core.context import Context
 from oakmux.core.model import JobSpec
+from oakmux.core.scheduling import quotas
 from oakmux.core.state.records import Job
 
+QueueRank = tuple[bool, int, bool, float, bool, float, float]
+"""What orders jobs in a queue, the smallest first: see `queue_rank`."""
+
 
 def is_starving(context: Context, job: Job) -> bool:
     """Whether a job comes before all others of its priority.
@@ -61,3 +65,21 @@
     objectives_s = context.start_objectives.get(spec.job_class)
     patience_s = constants.AGED_AIMS * max(objectives_s) if objectives_s else constants.AGED_S
     return context.wall_clock_ms - job.since > 1000 * patience_s or is_starving(context, job)
+
+
+def queue_rank(context: Context, job: Job, spec: JobSpec, usage: quotas.TeamUsage) -> QueueRank:
+    """Return the order of a job in a queue, the smallest first.
+
+    Guaranteed work and priority come first, then starving jobs, the latest start that meets a
+    deadline, jobs that can still meet their objective, teams that use little of their guarantee,
+    and the age of the job.
+    """
+    return (
+        not quotas.is_guaranteed(context, job, spec, usage),
+        -job.priority,
+        not is_starving(context, job),
+        job.latest_start_ms,
+        misses_objective(context, job, spec),
+        quotas.guarantee_share(context, job.team, usage),
+        effective_submission_ms(context, job, spec),
+    )
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -48,12 +48,12 @@
     name, machine = next(
         (n, m) for n, m in core.context.machines.items() if m.manager == core.context.label
     )
-    core.agents.workers.tracked[name].starting[("job-5/0", 1)] = term
+    core.agents.workers.tracked[name].unresolved_starts[("job-5/0", 1)] = term
     core.agents.commands._commands_answered(name, [("job-5/0", 1)], term, "lost", None)
     assert core.agents.heartbeats.visible_tasks(machine)[("job-5/0", 1)][0] == "starting"
     sim.run(6)
     assert core.context.term > term
-    assert ("job-5/0", 1) not in core.agents.workers.tracked[name].starting
+    assert ("job-5/0", 1) not in core.agents.workers.tracked[name].unresolved_starts
 
 
 def test_a_machine_that_vanishes_after_a_fleet_takeover_is_soon_proven_terminated():
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -2,6 +2,7 @@
 
 import pytest
 
+from oakmux.core.resources import Resources
 from oakmux.core.scheduling.placement import fetch_s, preference
 from oakmux.core.state.records import Binding, Job
 from tests.fakes import Simulation, spec
@@ -86,7 +87,7 @@
     context.replica.by_machine = {first.name: {("job-1", 0): bound}}
     other = spec("array", 1, "blue", image="b", image_gb=4.0, priority=2)
     job = Job("job-2", "blue", "queued", 1, other, 0, 1)
-    free = (4.0, 2.0, 32.0)
+    free = Resources(4.0, 2.0, 32.0)
     rows = [preference(context, job, other, machine, free) for machine in (first, second)]
     assert rows[1] < rows[0]
     assert fetch_s(context, other, first) == 2 * fetch_s(context, other, second)
