--- /dev/null
+++ b/tests/test_architecture.py
@@ -0,0 +1,197 @@
+"""The import contract: which parts of oakmux may import which, and that no imports form a circle.
+
+Imports for type checkers and inside functions count as well. What does not hold yet is listed as
+known exceptions, which fail here as soon as they are no longer needed.
+"""
+
+import ast
+from collections.abc import Iterator
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).parent.parent
+PARTS = ("agents", "api", "autoscaling", "leadership", "scheduling")
+
+# (importer, imported) pairs that break a layer, until they are mended.
+KNOWN_LAYER_BREAKS: set[tuple[str, str]] = {
+    ("oakmux.core.context", "oakmux.core.scheduling.backfill_reservations"),
+    ("oakmux.core.context", "oakmux.core.scheduling.failure_attribution"),
+    ("oakmux.core.state.write_buffer", "oakmux.core.scheduling.pending_job"),
+    ("oakmux.core.state.write_buffer", "oakmux.core.scheduling.queue_order"),
+    ("oakmux.core.state.write_buffer", "oakmux.core.scheduling.quotas"),
+}
+# Modules that import one another in a circle, until they are mended.
+KNOWN_CIRCLES: set[frozenset[str]] = {
+    frozenset(
+        {
+            "oakmux.core.context",
+            "oakmux.core.scheduling.backfill_reservations",
+            "oakmux.core.scheduling.queue_order",
+        }
+    ),
+    frozenset({"oakmux.cli", "oakmux.schedules.commands"}),
+}
+
+
+def module_name(path: Path) -> str:
+    return ".".join(path.relative_to(ROOT).with_suffix("").parts).removesuffix(".__init__")
+
+
+MODULES = {module_name(path): path for path in sorted((ROOT / "oakmux").rglob("*.py"))}
+
+
+def imported_names(module: str, source: str) -> Iterator[str]:
+    """Yield the full dotted names that a module's source imports, wherever the import stands."""
+    for node in ast.walk(ast.parse(source)):
+        if isinstance(node, ast.Import):
+            yield from (alias.name for alias in node.names)
+        elif isinstance(node, ast.ImportFrom):
+            assert node.level == 0, f"{module} has a relative import in line {node.lineno}"
+            yield from (f"{node.module}.{alias.name}" for alias in node.names)
+
+
+def resolve(name: str) -> str:
+    """Return the module of ours that a dotted name lies in, or the name itself."""
+    parts = name.split(".")
+    for length in range(len(parts), 0, -1):
+        if (module := ".".join(parts[:length])) in MODULES:
+            return module
+    return name
+
+
+def import_graph() -> dict[str, set[str]]:
+    """Return what each module imports: our own modules and the full names of others."""
+    return {
+        module: {resolve(name) for name in imported_names(module, path.read_text())} - {module}
+        for module, path in MODULES.items()
+    }
+
+
+GRAPH = import_graph()
+
+
+def within(module: str, *packages: str) -> bool:
+    return any(module == package or module.startswith(package + ".") for package in packages)
+
+
+def is_forbidden(importer: str, imported: str) -> bool:
+    """Whether an import goes against the layers, from the lowest to the highest."""
+    core_parts = [f"oakmux.core.{part}" for part in PARTS]
+    if within(imported, "tests", "tools"):
+        return True
+    if within(importer, "oakmux.constants", "oakmux.task_status"):
+        return within(imported, "oakmux")
+    if within(importer, "oakmux.settings"):
+        return not within(imported, "oakmux.constants") and within(imported, "oakmux")
+    if within(importer, "oakmux.core"):
+        if within(
+            imported, "oakmux.transport", "oakmux.service", "oakmux.cli", "oakmux.schedules"
+        ):
+            return True
+        if importer == "oakmux.core.controller":
+            return False
+        if imported == "oakmux.core.controller":
+            return True
+        # The records and what all parts share lie below the parts.
+        return not within(importer, *core_parts) and within(imported, *core_parts)
+    if within(importer, "oakmux.codec", "oakmux.transport"):
+        return within(
+            imported,
+            "oakmux.service",
+            "oakmux.cli",
+            "oakmux.schedules",
+            "oakmux.core.controller",
+            *core_parts,
+        )
+    if within(importer, "oakmux.service"):
+        return within(imported, "oakmux.cli")
+    return False
+
+
+def circles(graph: dict[str, set[str]]) -> set[frozenset[str]]:
+    """Return the strongly connected components of more than one module (Tarjan)."""
+    order: dict[str, int] = {}
+    lowest: dict[str, int] = {}
+    stack: list[str] = []
+    found: set[frozenset[str]] = set()
+
+    def visit(module: str) -> None:
+        order[module] = lowest[module] = len(order)
+        stack.append(module)
+        for other in sorted(graph[module] & graph.keys()):
+            if other not in order:
+                visit(other)
+                lowest[module] = min(lowest[module], lowest[other])
+            elif other in stack:
+                lowest[module] = min(lowest[module], order[other])
+        if lowest[module] == order[module]:
+            at = stack.index(module)
+            component = frozenset(stack[at:])
+            del stack[at:]
+            if len(component) > 1:
+                found.add(component)
+
+    for module in sorted(graph):
+        if module not in order:
+            visit(module)
+    return found
+
+
+def layer_breaks() -> set[tuple[str, str]]:
+    return {
+        (importer, imported)
+        for importer, names in GRAPH.items()
+        for imported in names
+        if is_forbidden(importer, imported)
+    }
+
+
+def test_the_import_graph_is_read():
+    assert len(MODULES) > 50
+    assert "oakmux.core.controller" in GRAPH["oakmux.service"]
+    assert "oakmux.core.context" in GRAPH["oakmux.core.controller"]
+
+
+def test_no_module_imports_against_the_layers():
+    assert layer_breaks() - KNOWN_LAYER_BREAKS == set()
+
+
+def test_every_known_layer_break_is_still_needed():
+    assert KNOWN_LAYER_BREAKS - layer_breaks() == set()
+
+
+def test_no_modules_import_one_another_in_a_circle():
+    assert circles(GRAPH) - KNOWN_CIRCLES == set()
+
+
+def test_every_known_circle_is_still_there():
+    assert KNOWN_CIRCLES - circles(GRAPH) == set()
+
+
+@pytest.mark.parametrize(
+    ("importer", "imported"),
+    [
+        ("oakmux.core.state.replica", "oakmux.core.agents.manager"),
+        ("oakmux.core.scheduling.binding", "oakmux.core.controller"),
+        ("oakmux.core.controller", "oakmux.transport.http"),
+        ("oakmux.core.api.jobs", "oakmux.service"),
+        ("oakmux.core.context", "oakmux.cli"),
+        ("oakmux.schedules.desk", "tools.bench"),
+        ("oakmux.service", "tests.fakes"),
+        ("oakmux.transport.http", "oakmux.core.controller"),
+        ("oakmux.constants", "oakmux.settings"),
+    ],
+)
+def test_the_contract_forbids(importer, imported):
+    assert is_forbidden(importer, imported)
+
+
+def test_a_circle_is_found_and_a_chain_is_none():
+    assert circles({"a": {"b"}, "b": {"c"}, "c": {"a"}, "d": {"a"}}) == {frozenset("abc")}
+    assert circles({"a": {"b", "os"}, "b": {"c"}, "c": set()}) == set()
+
+
+def test_imports_for_type_checkers_and_inside_functions_count():
+    source = "if TYPE_CHECKING:\n    from oakmux import cli\ndef f():\n    import oakmux.service\n"
+    assert set(imported_names("x", source)) == {"oakmux.cli", "oakmux.service"}
