--- a/oakmux/cli.py
+++ b/oakmux/cli.py
@@ -210,8 +210,8 @@
     except settings.SettingsError as error:
         fail(str(error), EXIT_BAD)
     context.show(
-        {"ok": True, "label": conf.label, "controllers": conf.size},
-        f"{config}: good (controller {conf.label}, {conf.size} in all, "
+        {"ok": True, "label": conf.controller_id, "controllers": conf.size},
+        f"{config}: good (controller {conf.controller_id}, {conf.size} in all, "
         f"{len(conf.facts.teams)} teams)",
     )
 
--- a/oakmux/core/agents/cancellation_log.py
+++ b/oakmux/core/agents/cancellation_log.py
@@ -35,11 +35,12 @@
         """Return the time up to which we know of every cancellation that was answered."""
         context = self.context
         known = max(context.store_seen_at, self.replicated_at)
-        members = context.settings.members
-        if all(m.label in self.acknowledged_at for m in members):
+        members = context.settings.peers
+        if all(m.controller_id in self.acknowledged_at for m in members):
             # Whatever any of them told a user until then, it has told us.
             known = max(
-                known, min((self.acknowledged_at[m.label] for m in members), default=context.now)
+                known,
+                min((self.acknowledged_at[m.controller_id] for m in members), default=context.now),
             )
         return known
 
@@ -58,9 +59,9 @@
 
     def isolated(self) -> bool:
         """Whether no peer has said a word of late, if there are any."""
-        members = self.context.settings.members
+        members = self.context.settings.peers
         return bool(members) and all(
-            self.context.now - self.peer_seen_at.get(m.label, -1e9) >= constants.ALONE_S
+            self.context.now - self.peer_seen_at.get(m.controller_id, -1e9) >= constants.ALONE_S
             for m in members
         )
 
--- a/oakmux/core/agents/capacity.py
+++ b/oakmux/core/agents/capacity.py
@@ -82,7 +82,10 @@
 
 def heartbeat_timeout_s(context: Context) -> float:
     """Return the seconds without a heartbeat after which a machine counts as silent."""
-    return constants.SILENT_REPORTS * context.facts.workers.report_s + 2 * constants.ALIVE_S
+    return (
+        constants.SILENT_REPORTS * context.facts.workers.heartbeat_interval_s
+        + 2 * constants.ALIVE_S
+    )
 
 
 def is_schedulable(context: Context, machine: Machine) -> bool:
--- a/oakmux/core/agents/worker_commands.py
+++ b/oakmux/core/agents/worker_commands.py
@@ -181,7 +181,10 @@
         ):
             return False
         worker_times = self.context.facts.workers
-        return machine.notice_at - self.context.now <= spec.save_s + 2 * worker_times.report_s
+        return (
+            machine.notice_at - self.context.now
+            <= spec.save_s + 2 * worker_times.heartbeat_interval_s
+        )
 
     def _stop(
         self,
--- a/oakmux/core/api/cancellation.py
+++ b/oakmux/core/api/cancellation.py
@@ -28,7 +28,7 @@
         # When to write the cancellation of a job whose dependency was cancelled.
         self.cascade_due: dict[str, float] = {}
         self.cascade_in_flight = False
-        self.max_writes = context.facts.state.least.txn_ops
+        self.max_writes = context.facts.store.strictest.txn_ops
 
     def cancel(self, request_id: RequestId, job_id: str, job: Job | None) -> None:
         """Record that a job is cancelled, then answer; `job` is its current record."""
--- a/oakmux/core/api/current_reads.py
+++ b/oakmux/core/api/current_reads.py
@@ -51,7 +51,7 @@
         self.queued: list[_Read] = []
         self.in_flight = 0
         self.revision_waits: list[_RevisionWait] = []
-        self.max_conditions = 4 * context.facts.state.least.txn_ops
+        self.max_conditions = 4 * context.facts.store.strictest.txn_ops
 
     def records_loaded(self, request_id: RequestId) -> bool:
         """Whether there are records to answer from; if not, the user is told to try again."""
--- a/oakmux/core/api/submission.py
+++ b/oakmux/core/api/submission.py
@@ -32,7 +32,7 @@
         self.answers = answers
         self.reads = reads
         self.view = view
-        self.max_value_bytes = value_limit(context.facts.state.least)
+        self.max_value_bytes = value_limit(context.facts.store.strictest)
 
     def submit(
         self, request_id: RequestId, job_id: str, spec: JobSpec | None, malformed: str
--- a/oakmux/core/autoscaling/instance_inventory.py
+++ b/oakmux/core/autoscaling/instance_inventory.py
@@ -166,14 +166,14 @@
 
     def controllers(self) -> list[str]:
         """Return the ids of all controllers, our own first."""
-        return [self.context.label, *(m.label for m in self.context.settings.members)]
+        return [self.context.label, *(m.controller_id for m in self.context.settings.peers)]
 
     def write_records(self) -> None:
         """Write changed machine types and terminations, and delete terminations not needed."""
         writes = [*self._changed_types(), *self._missing_terminations()]
         writes += self._expired_terminations()
         if writes:
-            writes = writes[: max(1, self.context.facts.state.least.txn_ops // 2)]
+            writes = writes[: max(1, self.context.facts.store.strictest.txn_ops // 2)]
             self.context.call(
                 lambda status, result: self._on_written(writes, status, result),
                 "txn",
@@ -189,7 +189,7 @@
         if set(context.types) == set(context.replica.types):
             return []
         rows = [list(msgspec.to_builtins(kind)) for kind in context.types.values()]
-        if value_bytes(rows) > value_limit(context.facts.state.least):
+        if value_bytes(rows) > value_limit(context.facts.store.strictest):
             return []
         return [(TYPES_KEY, rows, None)]
 
--- a/oakmux/core/context.py
+++ b/oakmux/core/context.py
@@ -94,7 +94,7 @@
     def __init__(self, settings: Settings, rng: random.Random, wall: int) -> None:
         self.settings = settings
         self.facts = settings.facts
-        self.label = settings.label
+        self.label = settings.controller_id
         self.rng = rng
         self.now = 0.0
         self.wall = wall
--- a/oakmux/core/controller.py
+++ b/oakmux/core/controller.py
@@ -189,7 +189,7 @@
         for name in machines | dirty:
             self.scheduler.binder.machine_changed(name)
         for name in dirty:
-            self._tell(name, [m.label for m in context.settings.members])
+            self._tell(name, [m.controller_id for m in context.settings.peers])
         return bool(jobs or machines or dirty)
 
     # --- commands ---
@@ -367,9 +367,9 @@
             for m in context.machines.values()
             if m.manager == context.label
             and context.now - m.last_heartbeat_at
-            < 2 * constants.ALIVE_S + context.facts.workers.report_s
+            < 2 * constants.ALIVE_S + context.facts.workers.heartbeat_interval_s
         ]
-        labels = [member.label for member in context.settings.members]
+        labels = [member.controller_id for member in context.settings.peers]
         for label in labels:
             context.emit("send", label, ("heard", heard))
         self._tell_again(sorted(heard), labels)
@@ -387,11 +387,11 @@
 
     def _short(self, wanted: float) -> None:
         """We lack changes at the state service: ask all peers for a part."""
-        members = self.context.settings.members
+        members = self.context.settings.peers
         for member in members:
             self.context.emit(
                 "send",
-                member.label,
+                member.controller_id,
                 ("borrow", self.context.label, constants.BORROW_MORE * wanted / len(members)),
             )
 
--- a/oakmux/core/leadership/leadership.py
+++ b/oakmux/core/leadership/leadership.py
@@ -109,14 +109,14 @@
         value: Any = replica.known_format
         guards: list[tuple[str, int]] = []
         if replica.versions.get(label, 0) >= replica.known_format:
-            labels = [label, *(member.label for member in self.context.settings.members)]
+            labels = [label, *(member.controller_id for member in self.context.settings.peers)]
             common = min(replica.versions.get(name, 0) for name in labels)
             if common <= replica.format or label != min([label, *replica.live_controllers]):
                 return
             key, guards = FORMAT_KEY, [(FORMAT_KEY, replica.format_revision)]
             # Tasks to a chunk stay as they were recorded first.
             tasks_per_record = replica.tasks_per_record or tasks_per_block(
-                self.context.facts.state.value_kb
+                self.context.facts.store.value_kb
             )
             value = [common, tasks_per_record]
         self.busy.add("version")
--- a/oakmux/core/scheduling/backfill_planner.py
+++ b/oakmux/core/scheduling/backfill_planner.py
@@ -77,7 +77,7 @@
     def _is_eligible(self, job: Job, spec: JobSpec) -> bool:
         """Whether a gang may have a backfill reservation at all."""
         return (
-            (self.context.settings.spread.openings or self.is_required(job, spec))
+            (self.context.settings.scheduling.backfill or self.is_required(job, spec))
             and self.context.replica.format >= FORMAT_COMPACT
             and spec.tasks >= constants.OPENING_TASKS
             and not spec.spread
@@ -122,7 +122,10 @@
 
     def _announce(self, job: Job, machines: list[str], ready_s: float) -> None:
         """Send a backfill reservation to all controllers; without machines it ends."""
-        for label in (self.context.label, *(m.label for m in self.context.settings.members)):
+        for label in (
+            self.context.label,
+            *(peer.controller_id for peer in self.context.settings.peers),
+        ):
             self.context.emit(
                 "send", label, ("opening", job.id, job.priority, job.since, machines, ready_s)
             )
--- a/oakmux/core/scheduling/minimum_share.py
+++ b/oakmux/core/scheduling/minimum_share.py
@@ -31,7 +31,7 @@
     def __init__(self, context: Context) -> None:
         self.context = context
         self.debt = 0.0  # in machines
-        self.share = context.settings.spread.minimum_share
+        self.share = context.settings.scheduling.minimum_share
 
     def due_job(self, kind: MachineType, free: Resources, jobs: Iterable[Job]) -> Job | None:
         """Return the job that is due by age among those with a reservation on a machine, if the
--- a/oakmux/core/state/formats.py
+++ b/oakmux/core/state/formats.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from oakmux import constants
-from oakmux.settings import StateLimits
+from oakmux.settings import StoreLimits
 
 # The format of the first version.
 FORMAT_FIRST = 1
@@ -26,7 +26,7 @@
     return len(msgspec.json.encode(value))
 
 
-def value_limit(limits: StateLimits) -> int:
+def value_limit(limits: StoreLimits) -> int:
     """Return the most bytes that one of our values may take."""
     return int(limits.value_kb * 1024) - constants.VALUE_SLACK_BYTES
 
--- a/oakmux/core/state/record_writer.py
+++ b/oakmux/core/state/record_writer.py
@@ -76,7 +76,7 @@
         self.write_after = 0.0
         self.in_flight = 0
         self.outgrown: set[str] = set()
-        limits = context.facts.state.least
+        limits = context.facts.store.strictest
         # A transaction far above our share of the rate would hold up all that comes after it.
         share = int(constants.WRITES_S * limits.write_rps / context.settings.size)
         self.most_writes = min(limits.txn_ops, max(constants.WRITES_LEAST, share))
@@ -157,7 +157,7 @@
         if len(found.writes) + len(numbers) + 1 > self.most_writes:
             if found.writes:
                 return
-            numbers = numbers[: self.context.facts.state.least.txn_ops - 1]
+            numbers = numbers[: self.context.facts.store.strictest.txn_ops - 1]
         form = self.buffer.form()
         work = self.buffer.work[job.id]
         values = {number: encode_block(work[number], form) for number in numbers}
--- a/oakmux/core/state/write_buffer.py
+++ b/oakmux/core/state/write_buffer.py
@@ -47,10 +47,10 @@
         # Whether a transaction was refused for its size.
         self.refused = False
         self.limit_claims: dict[str, LimitClaim] = {}
-        limits = context.facts.state.least
+        limits = context.facts.store.strictest
         self.least_bytes = value_limit(limits)
         share = limits.write_rps / context.settings.size
-        self.configured_tasks_per_record = tasks_per_block(context.facts.state.value_kb)
+        self.configured_tasks_per_record = tasks_per_block(context.facts.store.value_kb)
         self.coalesce_s = min(
             max(constants.COALESCE_S, constants.COALESCE_CHANGES / share),
             constants.COALESCE_MOST_S,
@@ -68,7 +68,7 @@
         be written so until the switch, unless a transaction was refused."""
         if self.form() >= FORMAT_COMPACT or self.refused:
             return self.least_bytes
-        return value_limit(self.context.facts.state)
+        return value_limit(self.context.facts.store)
 
     def form(self) -> int:
         """Return the format that records are written in."""
--- a/oakmux/schedules/api.py
+++ b/oakmux/schedules/api.py
@@ -292,7 +292,7 @@
 
     def _shard(self, number_of_new: int) -> tuple[int, int]:
         """Return a shard with room, and for how many of the new entries."""
-        capacity = max(1, value_limit(self.context.facts.state.least) // constants.SLOT_BYTES)
+        capacity = max(1, value_limit(self.context.facts.store.strictest) // constants.SLOT_BYTES)
         found: list[int] = []
         number = 0
         while len(found) < constants.SHARD_CHOICES:
@@ -353,7 +353,7 @@
             if args.get("if_match"):
                 raise RefusedError(412, "no such entry")
             number, room = self._shard(len(left))
-            limits = self.context.facts.state.least
+            limits = self.context.facts.store.strictest
             guards = self.store.guards(shard_key(number))
             writes: list[tuple] = []
             slots: dict[str, Slot] = {}
@@ -418,14 +418,14 @@
 
     def _sized(self, entry: Entry) -> Any:
         value = value_of(entry)
-        size, most = value_bytes(value), value_limit(self.context.facts.state.least)
+        size, most = value_bytes(value), value_limit(self.context.facts.store.strictest)
         if size > most:
             raise RefusedError(413, f"{entry.name}: {size} bytes: a record holds {most}")
         return value
 
     def _parts(self, name: str, text: str) -> list[tuple]:
         """Return the writes of a calendar object's text, cut so that each fits a record."""
-        limits = self.context.facts.state.least
+        limits = self.context.facts.store.strictest
         most = value_limit(limits)
         parts: list[tuple] = []
         rest = text
--- a/oakmux/schedules/dispatcher.py
+++ b/oakmux/schedules/dispatcher.py
@@ -410,7 +410,7 @@
         self, batch: FiringBatch, plan: FiringPlan, made: policy.Decision, at: int, now_ms: int
     ) -> bool:
         """Add the jobs of a decision if there is room in the transaction."""
-        limits = self.context.facts.state.least
+        limits = self.context.facts.store.strictest
         if not made.make:
             return len(batch.writes) + 1 <= limits.txn_ops
         entry, store = plan.entry, self.store
--- a/oakmux/schedules/replay/model.py
+++ b/oakmux/schedules/replay/model.py
@@ -24,12 +24,12 @@
 from oakmux.schedules.subsystem import SchedulesSubsystem
 from oakmux.settings import (
     CloudLimits,
-    External,
     Facts,
+    ServiceAddresses,
     Settings,
-    StateLimits,
+    StoreLimits,
     Team,
-    WorkerClient,
+    WorkerTimings,
 )
 
 TEAM = "press"
@@ -49,12 +49,12 @@
         label,
         "10.0.0.1:80",
         "10.0.0.1:81",
-        External("10.0.0.2:1", "10.0.0.3:1"),
+        ServiceAddresses("10.0.0.2:1", "10.0.0.3:1"),
         Facts(
             ["a"],
             [Team(TEAM)],
-            WorkerClient(1, 10, 10, 10, 30),
-            StateLimits(700, 250, 8, 12),
+            WorkerTimings(1, 10, 10, 10, 30),
+            StoreLimits(700, 250, 8, 12),
             CloudLimits(5, 5),
             3,
             skew_ms=SKEW_S * 1000,
--- a/oakmux/schedules/templates.py
+++ b/oakmux/schedules/templates.py
@@ -68,7 +68,7 @@
     The turn's record and all its jobs go into one transaction; should earlier jobs have to give
     way, so do their cancellations.
     """
-    limits = context.facts.state.least
+    limits = context.facts.store.strictest
     if 2 * len(template.steps) + 1 > limits.txn_ops and len(template.steps) > 1:
         most = max(1, (limits.txn_ops - 1) // 2)
         raise TemplateError(f"{len(template.steps)} jobs: a turn can make {most} here")
--- a/oakmux/service.py
+++ b/oakmux/service.py
@@ -64,10 +64,14 @@
         self.workers = WorkerClient(self.put)
         cancellations = self.core.agents.cancellations
         self.peers = {
-            m.label: PeerClient(
-                conf.label, m.label, m.peer_addr, self.put, lambda: cancellations.revision
+            m.controller_id: PeerClient(
+                conf.controller_id,
+                m.controller_id,
+                m.address,
+                self.put,
+                lambda: cancellations.revision,
             )
-            for m in conf.members
+            for m in conf.peers
         }
 
     def offer(self, command: tuple) -> bool:
@@ -137,16 +141,18 @@
     async def run(self) -> None:
         """Serve until killed."""
         most = int(self.conf.facts.resources.fd_limit * (1 - constants.OWN_SOCKETS_SHARE))
-        await self.listen(self.conf.public_addr, self.front.public, most, constants.MAX_BODY)
+        await self.listen(self.conf.public_address, self.front.public, most, constants.MAX_BODY)
         await self.listen(
-            self.conf.internal_addr,
+            self.conf.internal_address,
             self.front.internal,
             constants.PEER_CONNECTIONS * 4 * self.conf.size,
             constants.PEER_BODY,
         )
         for plugin in self.plugins:
             await plugin.start(self.offer, most)
-        log.info("event=started label=%s public=%s", self.conf.label, self.conf.public_addr)
+        log.info(
+            "event=started label=%s public=%s", self.conf.controller_id, self.conf.public_address
+        )
         self.spawn(self.state.pump(self.state.reads))
         self.spawn(self.state.pump(self.state.writes))
         self.spawn(self.state.follow())
@@ -189,7 +195,9 @@
     try:
         conf = settings.load(path)
         if spread is not None:
-            conf = msgspec.structs.replace(conf, spread=settings.load_spread(spread))
+            conf = msgspec.structs.replace(
+                conf, scheduling=settings.load_scheduling_options(spread)
+            )
         if schedules is not None:
             plugins.append(load_schedules(schedules))
     except settings.SettingsError as error:
--- a/oakmux/settings.py
+++ b/oakmux/settings.py
@@ -1,16 +1,26 @@
-"""The platform's settings file, checked."""
+"""Settings of a controller: the deployment's file (TOML) and the operator's files (INI).
+
+The fields have the code's names; `name=` maps those that the deployment's file calls otherwise.
+Texts of errors name the file's fields.
+"""
 
 import configparser
 import tomllib
-from collections.abc import Mapping
+from collections.abc import Callable, Iterator, Mapping
 from pathlib import Path
+from typing import Any
 
 import msgspec
 
 from oakmux import constants
 
-# A job's end is written together with the end of its last tasks.
 MIN_TXN_OPS = 2
+"""A job's end is written together with the end of its last tasks."""
+
+MAX_VALUE = 1e12
+"""Every number in the settings is smaller."""
+
+MAX_PORT = 65535
 
 
 class SettingsError(Exception):
@@ -28,7 +38,7 @@
 
 
 class Objective(msgspec.Struct, frozen=True):
-    """An aim for starting or finishing work."""
+    """A service-level objective for starting or finishing jobs."""
 
     kind: str
     job_class: str | None = msgspec.field(default=None, name="class")
@@ -36,18 +46,18 @@
     share: float | None = None
 
 
-class WorkerClient(msgspec.Struct, frozen=True):
-    """Times of the workers, in seconds."""
+class WorkerTimings(msgspec.Struct, frozen=True):
+    """Intervals and timeouts that the workers keep to, in seconds."""
 
-    report_s: float
+    heartbeat_interval_s: float = msgspec.field(name="report_s")
     lease_s: float
     gang_wait_s: float
     gang_peer_s: float
     cancel_s: float
 
 
-class ComingLimits(msgspec.Struct, frozen=True):
-    """Limits that the state service will have from some moment on; what is missing stays."""
+class UpcomingLimits(msgspec.Struct, frozen=True):
+    """Limits that the store will have from some moment on; what is missing does not change."""
 
     rps: float | None = None
     write_rps: float | None = None
@@ -55,35 +65,35 @@
     txn_ops: int | None = None
 
 
-class StateLimits(msgspec.Struct, frozen=True):
-    """Limits of the state service."""
+class StoreLimits(msgspec.Struct, frozen=True):
+    """Limits of the store: requests and writes a second, size of a value, writes at a time."""
 
     rps: float
     write_rps: float
     value_kb: float
     txn_ops: int
-    next: ComingLimits = ComingLimits()
+    upcoming: UpcomingLimits = msgspec.field(default=UpcomingLimits(), name="next")
 
     @property
-    def least(self) -> "StateLimits":
-        """The smaller of the present and the coming limits: they change without notice."""
-        coming = {
+    def strictest(self) -> "StoreLimits":
+        """The smaller of the present and the upcoming limits: they change without notice."""
+        smaller = {
             name: min(value, getattr(self, name))
-            for name, value in msgspec.structs.asdict(self.next).items()
+            for name, value in msgspec.structs.asdict(self.upcoming).items()
             if value is not None
         }
-        return msgspec.structs.replace(self, **coming)
+        return msgspec.structs.replace(self, **smaller)
 
 
 class CloudLimits(msgspec.Struct, frozen=True):
-    """Limits of the cloud."""
+    """Limits of the cloud: requests a second, and how late its list may be."""
 
     rps: float
     list_lag_s: float
 
 
 class Resources(msgspec.Struct, frozen=True):
-    """What a controller may use."""
+    """What a controller's process may use."""
 
     cores: float = 1.0
     ram_mb: float = 256.0
@@ -95,8 +105,8 @@
 
     zones: list[str]
     teams: list[Team]
-    workers: WorkerClient
-    state: StateLimits
+    workers: WorkerTimings
+    store: StoreLimits = msgspec.field(name="state")
     cloud: CloudLimits
     size: int = 1
     skew_ms: float = 0.0
@@ -104,110 +114,148 @@
     resources: Resources = Resources()
 
 
-class Member(msgspec.Struct, frozen=True):
+class Peer(msgspec.Struct, frozen=True):
     """Another controller."""
 
-    label: str
-    peer_addr: str
-    area: str = ""
+    controller_id: str = msgspec.field(name="label")
+    address: str = msgspec.field(name="peer_addr")
+    zone: str = msgspec.field(default="", name="area")
 
 
-class External(msgspec.Struct, frozen=True):
-    """Addresses of the platform's services."""
+class ServiceAddresses(msgspec.Struct, frozen=True):
+    """Addresses of the services that a controller depends on."""
 
     cloud: str
-    state: str
+    store: str = msgspec.field(name="state")
 
 
-class Spread(msgspec.Struct, frozen=True):
-    """The operator's settings for how load is spread."""
+class SchedulingOptions(msgspec.Struct, frozen=True):
+    """The operator's options of the scheduler."""
 
-    openings: bool = False
+    backfill: bool = msgspec.field(default=False, name="openings")
     minimum_share: float = constants.MINIMUM_SHARE
 
 
 class Settings(msgspec.Struct, frozen=True):
-    """All that the platform hands over, and what operators set beside it."""
+    """The deployment's settings, and what operators set beside them."""
 
-    label: str
-    public_addr: str
-    internal_addr: str
-    external: External
+    controller_id: str = msgspec.field(name="label")
+    public_address: str = msgspec.field(name="public_addr")
+    internal_address: str = msgspec.field(name="internal_addr")
+    services: ServiceAddresses = msgspec.field(name="external")
     facts: Facts
-    area: str = ""
-    members: list[Member] = []
-    # Not the platform's: its file has no key of this name.
-    spread: Spread = msgspec.field(default=Spread(), name="operators.spread")
+    zone: str = msgspec.field(default="", name="area")
+    peers: list[Peer] = msgspec.field(default_factory=list, name="members")
+    # From the operator's file: the deployment's file can have no key of this name.
+    scheduling: SchedulingOptions = msgspec.field(
+        default=SchedulingOptions(), name="operators.spread"
+    )
 
     @property
     def size(self) -> int:
-        """Number of controllers, ourselves included."""
-        return max(self.facts.size, len(self.members) + 1)
+        """Number of controllers, this one included."""
+        return max(self.facts.size, len(self.peers) + 1)
 
 
 def split_addr(addr: str) -> tuple[str, int]:
     """Split `host:port`; raises ValueError."""
     host, _, port = addr.rpartition(":")
-    if not host or not port.isdigit() or not 0 < int(port) < 65536:
+    if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         raise ValueError(f"not an address: {addr!r}")
     return host, int(port)
 
 
 def check(settings: Settings) -> Settings:
-    """Refuse settings that have the right form but can't work."""
-    addrs = {
-        "public_addr": settings.public_addr,
-        "internal_addr": settings.internal_addr,
-        "external.cloud": settings.external.cloud,
-        "external.state": settings.external.state,
+    """Return the settings; raises SettingsError if they are well formed but can't work."""
+    for check_part in _CHECKS:
+        check_part(settings)
+    return settings
+
+
+def _file_fields(struct: msgspec.Struct) -> Iterator[tuple[str, Any]]:
+    """Yield the fields of a struct with their names in the file."""
+    for field in msgspec.structs.fields(struct):
+        yield field.encode_name, getattr(struct, field.name)
+
+
+def _check_addresses(settings: Settings) -> None:
+    addresses = {
+        "public_addr": settings.public_address,
+        "internal_addr": settings.internal_address,
+        "external.cloud": settings.services.cloud,
+        "external.state": settings.services.store,
     }
-    addrs.update({f"members.{m.label}.peer_addr": m.peer_addr for m in settings.members})
-    for field, addr in addrs.items():
+    for peer in settings.peers:
+        addresses[f"members.{peer.controller_id}.peer_addr"] = peer.address
+    for name, address in addresses.items():
         try:
-            split_addr(addr)
+            split_addr(address)
         except ValueError as error:
-            raise SettingsError(f"{field}: {error}") from None
-    facts = settings.facts
-    positive = {
-        **{f"facts.workers.{k}": v for k, v in msgspec.structs.asdict(facts.workers).items()},
-        **{
-            f"facts.state.{k}": v
-            for k, v in msgspec.structs.asdict(facts.state).items()
-            if k != "next"
-        },
-        **{
-            f"facts.state.next.{k}": v
-            for k, v in msgspec.structs.asdict(facts.state.next).items()
-            if v is not None
-        },
-        **{f"facts.cloud.{k}": v for k, v in msgspec.structs.asdict(facts.cloud).items()},
-        "facts.resources.fd_limit": facts.resources.fd_limit,
-        "facts.size": facts.size,
-    }
-    for field, value in positive.items():
-        if not 0 < value < 1e12:
-            raise SettingsError(f"{field}: must be above 0, not {value}")
-    for team in facts.teams:
-        for name, value in msgspec.structs.asdict(team).items():
-            if name != "name" and not 0 <= value < 1e12:
+            raise SettingsError(f"{name}: {error}") from None
+
+
+def _positive_fields(facts: Facts) -> Iterator[tuple[str, float]]:
+    """Yield the numbers that must be above 0, in the order in which they are checked."""
+    for section, struct in (
+        ("facts.workers", facts.workers),
+        ("facts.state", facts.store),
+        ("facts.state.next", facts.store.upcoming),
+        ("facts.cloud", facts.cloud),
+    ):
+        for name, value in _file_fields(struct):
+            if value is not None and not isinstance(value, msgspec.Struct):
+                yield f"{section}.{name}", value
+    yield "facts.resources.fd_limit", facts.resources.fd_limit
+    yield "facts.size", facts.size
+
+
+def _check_positive(settings: Settings) -> None:
+    for name, value in _positive_fields(settings.facts):
+        if not 0 < value < MAX_VALUE:
+            raise SettingsError(f"{name}: must be above 0, not {value}")
+
+
+def _check_teams(settings: Settings) -> None:
+    for team in settings.facts.teams:
+        for name, value in _file_fields(team):
+            if name != "name" and not 0 <= value < MAX_VALUE:
                 raise SettingsError(
                     f"facts.teams.{team.name}.{name}: must be 0 or more, not {value}"
                 )
-    if facts.state.least.txn_ops < MIN_TXN_OPS:
+
+
+def _check_transaction_size(settings: Settings) -> None:
+    if settings.facts.store.strictest.txn_ops < MIN_TXN_OPS:
         raise SettingsError(
             f"facts.state.txn_ops: must be at least {MIN_TXN_OPS}: a job that "
             "ends takes that many changes"
         )
-    if not facts.zones:
+
+
+def _check_zones(settings: Settings) -> None:
+    if not settings.facts.zones:
         raise SettingsError("facts.zones: at least one zone is needed")
-    labels = [settings.label, *(m.label for m in settings.members)]
-    if len(set(labels)) != len(labels):
+
+
+def _check_controller_ids(settings: Settings) -> None:
+    controller_ids = [settings.controller_id, *(peer.controller_id for peer in settings.peers)]
+    if len(set(controller_ids)) != len(controller_ids):
         raise SettingsError("members.label: every controller needs a label of its own")
-    return settings
+
+
+# In the order in which settings with several faults are refused.
+_CHECKS: tuple[Callable[[Settings], None], ...] = (
+    _check_addresses,
+    _check_positive,
+    _check_teams,
+    _check_transaction_size,
+    _check_zones,
+    _check_controller_ids,
+)
 
 
 def load(path: str) -> Settings:
-    """Read and check a settings file; raises SettingsError with one line."""
+    """Read and check the deployment's settings file; raises SettingsError with one line."""
     try:
         raw = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as error:
@@ -238,11 +286,11 @@
     return parser
 
 
-def load_spread(path: str) -> Spread:
-    """Read the operator's settings for how load is spread; raises SettingsError with one line."""
+def load_scheduling_options(path: str) -> SchedulingOptions:
+    """Read the operator's options of the scheduler; raises SettingsError with one line."""
     parser = read_ini(path, {"spread": {"openings", "floor_share"}})
     try:
-        openings = parser.getboolean("spread", "openings", fallback=False)
+        backfill = parser.getboolean("spread", "openings", fallback=False)
         share = parser.getfloat("spread", "floor_share", fallback=constants.MINIMUM_SHARE)
     except ValueError as error:
         raise SettingsError(f"{path}: [spread] {error}") from None
@@ -251,4 +299,4 @@
             f"{path}: [spread] floor_share: must be from 0 to "
             f"{constants.MINIMUM_SHARE_LIMIT}, not {share}"
         )
-    return Spread(openings, share)
+    return SchedulingOptions(backfill, share)
--- a/oakmux/transport/cloud_client.py
+++ b/oakmux/transport/cloud_client.py
@@ -31,7 +31,7 @@
     """Carries out the core's calls one after another as the rate allows."""
 
     def __init__(self, settings: Settings, put: Callable[[tuple], None]) -> None:
-        self.addr = settings.external.cloud
+        self.addr = settings.services.cloud
         self.put = put
         # One controller holds the fleet; the others only read the catalogue now and then.
         self.bucket = TokenBucket(
--- a/oakmux/transport/store_client.py
+++ b/oakmux/transport/store_client.py
@@ -44,10 +44,10 @@
     """Carries out the core's operations within our share of the limits."""
 
     def __init__(self, settings: Settings, put: Callable[[tuple], None]) -> None:
-        self.addr = settings.external.state
+        self.addr = settings.services.store
         self.put = put
         # Of the present and the coming limits the smaller: they change without notice.
-        limits = settings.facts.state.least
+        limits = settings.facts.store.strictest
         share = constants.LIMIT_SHARE / settings.size
         self.requests = TokenBucket(limits.rps * share)
         self.changes = TokenBucket(limits.write_rps * share)
--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -8,14 +8,14 @@
 from oakmux.core.model import JobSpec, MachineType
 from oakmux.settings import (
     CloudLimits,
-    ComingLimits,
-    External,
     Facts,
-    Member,
+    Peer,
+    ServiceAddresses,
     Settings,
-    StateLimits,
+    StoreLimits,
     Team,
-    WorkerClient,
+    UpcomingLimits,
+    WorkerTimings,
 )
 
 ZONES = ["a", "b", "c"]
@@ -29,24 +29,27 @@
 
 
 def settings_for(
-    label: str, count: int = 3, coming: ComingLimits | None = None, teams: tuple[Team, ...] = TEAMS
+    label: str,
+    count: int = 3,
+    coming: UpcomingLimits | None = None,
+    teams: tuple[Team, ...] = TEAMS,
 ) -> Settings:
     """Return the settings of one controller of a small deployment."""
-    members = [Member(f"h{i}", f"10.0.0.{i + 1}:81") for i in range(count) if f"h{i}" != label]
+    peers = [Peer(f"h{i}", f"10.0.0.{i + 1}:81") for i in range(count) if f"h{i}" != label]
     return Settings(
         label,
         "10.0.0.1:80",
         "10.0.0.1:81",
-        External("10.2.0.2:1", "10.2.0.1:2"),
+        ServiceAddresses("10.2.0.2:1", "10.2.0.1:2"),
         Facts(
             ZONES,
             list(teams),
-            WorkerClient(REPORT_S, LEASE_S, GANG_WAIT_S, 3.0, CANCEL_S),
-            StateLimits(1000, 1000, 8, 12, coming or ComingLimits()),
+            WorkerTimings(REPORT_S, LEASE_S, GANG_WAIT_S, 3.0, CANCEL_S),
+            StoreLimits(1000, 1000, 8, 12, coming or UpcomingLimits()),
             CloudLimits(5, 2),
             count,
         ),
-        members=members,
+        peers=peers,
     )
 
 
--- a/tests/fakes/simulation.py
+++ b/tests/fakes/simulation.py
@@ -13,7 +13,7 @@
 from oakmux.core.controller import Controller
 from oakmux.core.model import Heartbeat
 from oakmux.core.state.formats import value_limit
-from oakmux.settings import ComingLimits, Settings, Spread, Team
+from oakmux.settings import Settings, SchedulingOptions, Team, UpcomingLimits
 from tests.fakes import deployment
 from tests.fakes.consistency import check_counts
 from tests.fakes.objectives import Objectives
@@ -24,7 +24,7 @@
     """Let a controller behave as the first version does where records are concerned: it neither
     says what it can read nor takes note of the format."""
     core.leadership._negotiate_format = lambda: None  # type: ignore[method-assign]
-    core.scheduler.buffer.least_bytes = value_limit(core.context.facts.state)
+    core.scheduler.buffer.least_bytes = value_limit(core.context.facts.store)
     replica, apply = core.context.replica, core.context.replica.apply
 
     def old_apply(key: str, value: Any, mod_revision: int) -> None:
@@ -41,17 +41,17 @@
         self,
         seed: int = 1,
         count: int = 3,
-        coming: ComingLimits | None = None,
+        coming: UpcomingLimits | None = None,
         old: tuple[str, ...] = (),
         parts: tuple = (),
-        spread: Spread | None = None,
+        scheduling: SchedulingOptions | None = None,
         teams: tuple[Team, ...] = deployment.TEAMS,
         formats: int | None = None,
     ) -> None:
         labels = [f"h{i}" for i in range(count)]
         super().__init__(seed, labels, teams)
         self.parts = parts
-        self.spread = spread or Spread()
+        self.scheduling = scheduling or SchedulingOptions()
         self.coming = coming
         self.old = set(old)
         # The latest format that a controller of an earlier version knows, by its label.
@@ -96,7 +96,7 @@
         conf = deployment.settings_for(
             label, len(self.labels), self.coming, tuple(self.teams.values())
         )
-        return msgspec.structs.replace(conf, spread=self.spread)
+        return msgspec.structs.replace(conf, scheduling=self.scheduling)
 
     def crash(self, label: str, back: float | None = 3.0) -> None:
         self.cores[label] = None
--- a/tests/recorded.py
+++ b/tests/recorded.py
@@ -49,7 +49,7 @@
 from oakmux.schedules import records
 from oakmux.schedules.firings import Rule
 from oakmux.service import Service
-from oakmux.settings import Spread
+from oakmux.settings import SchedulingOptions
 from oakmux.transport.cloud_client import CloudClient
 from oakmux.transport.http import Client, ClientProtocol, ServerProtocol
 from oakmux.transport.peer_client import PeerClient
@@ -478,7 +478,7 @@
 
 def play_crowded(seed: int) -> Noted:
     """Play three machines on which work gives way, gangs wait for openings, services move."""
-    sim = Noted(seed, 3, spread=Spread(openings=True))
+    sim = Noted(seed, 3, scheduling=SchedulingOptions(backfill=True))
     sim.capacity = 3
     sim.run(12)
     sim.submit("job-1", spec("array", 8, "red", estimate_s=14.0, priority=0))
@@ -1046,11 +1046,11 @@
         path.write_bytes(data)
         try:
             if name.startswith("spread/"):
-                return plain(settings.load_spread(str(path)))
+                return plain(settings.load_scheduling_options(str(path)))
             conf = settings.load(str(path))
         except settings.SettingsError as error:
             return str(error).replace(str(path), "FILE")
-    return [plain(conf), conf.size, plain(conf.facts.state.least)]
+    return [plain(conf), conf.size, plain(conf.facts.store.strictest)]
 
 
 # --- the command line's words -----------------------------------------------------------------
--- a/tests/test_backfill.py
+++ b/tests/test_backfill.py
@@ -19,7 +19,7 @@
 )
 from oakmux.core.scheduling.backfill_reservations import BackfillReservations
 from oakmux.core.state.records import Job
-from oakmux.settings import Spread
+from oakmux.settings import SchedulingOptions
 from tests.fakes import Simulation, settings_for, spec
 from tests.helpers.clusters import quiet
 
@@ -135,7 +135,7 @@
 
 def crowded(seed: int, capacity: int = 4) -> Simulation:
     """Return a fleet full of small gangs, of which more come, when a large one comes."""
-    sim = Simulation(seed, spread=Spread(openings=True))
+    sim = Simulation(seed, scheduling=SchedulingOptions(backfill=True))
     sim.run(12)
     sim.capacity = capacity
     dice = random.Random(seed)
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -5,10 +5,10 @@
 import pytest
 
 from oakmux.core.state.records import Job
-from oakmux.settings import ComingLimits
+from oakmux.settings import UpcomingLimits
 from tests.fakes import CANCEL_S, Simulation, spec
 
-COMING = ComingLimits(write_rps=500.0, value_kb=2.0, txn_ops=4)
+COMING = UpcomingLimits(write_rps=500.0, value_kb=2.0, txn_ops=4)
 
 
 def quiet(seed: int = 1) -> Simulation:
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -234,8 +234,8 @@
     file = tmp_path / "c.toml"
     coming = "\n[facts.state.next]\nwrite_rps = 1e6\nvalue_kb = 2.0\ntxn_ops = 4\n"
     file.write_text(CONFIG + coming)
-    present = settings.load(str(file)).facts.state
-    least = present.least
+    present = settings.load(str(file)).facts.store
+    least = present.strictest
     assert (least.rps, least.write_rps, least.value_kb, least.txn_ops) == (
         present.rps,
         present.write_rps,
@@ -429,7 +429,7 @@
     # Each went two seconds ahead of its share at once: thirty to forty submissions of a cold
     # start were refused 429. The service allows one second's worth of changes.
     async def play(state, sent, put):
-        limit = settings_for("h0", 3).facts.state.write_rps
+        limit = settings_for("h0", 3).facts.store.write_rps
         for number in range(int(limit)):
             state.submit("txn", number, [], [("user", 1, None)], 0)
         await turns(int(limit))
--- a/tests/test_schedule_settings.py
+++ b/tests/test_schedule_settings.py
@@ -80,11 +80,11 @@
     path = tmp_path / "spread.ini"
     path.write_text(text)
     with pytest.raises(settings.SettingsError) as error:
-        settings.load_spread(str(path))
+        settings.load_scheduling_options(str(path))
     assert word in str(error.value) and "\n" not in str(error.value)
 
 
 def test_the_file_under_deploy_is_good_and_says_what_it_switches_on():
-    assert settings.load_spread(str(ROOT / "deploy" / "spread.ini")) == settings.Spread(
-        openings=True
-    )
+    assert settings.load_scheduling_options(
+        str(ROOT / "deploy" / "spread.ini")
+    ) == settings.SchedulingOptions(backfill=True)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -16,12 +16,12 @@
 from oakmux.core.state.keys import FORMAT_KEY, block_key, job_key, version_key
 from oakmux.core.state.records import Binding, TaskBlock
 from oakmux.core.state.replica import Replica
-from oakmux.settings import ComingLimits
+from oakmux.settings import UpcomingLimits
 from oakmux.transport.peer_client import parse_batch
 from tests.fakes import TYPE, Simulation, settings_for, spec
 
 FIRST = json.loads((Path(__file__).parent / "data" / "first_version.json").read_text())
-COMING = ComingLimits(value_kb=2.0, txn_ops=4)
+COMING = UpcomingLimits(value_kb=2.0, txn_ops=4)
 ALL = ("h0", "h1", "h2")
 
 
@@ -239,7 +239,7 @@
 
 
 def test_records_left_too_large_are_shrunk_after_the_switch_and_can_be_released():
-    sim = Simulation(1, coming=ComingLimits(value_kb=1.2, txn_ops=4), old=ALL)
+    sim = Simulation(1, coming=UpcomingLimits(value_kb=1.2, txn_ops=4), old=ALL)
     sim.run(12)
     sim.submit("job-1", small(64, estimate_s=500.0))
     sim.run(8)
@@ -256,7 +256,7 @@
 
 def test_limits_that_fall_before_the_switch_are_not_run_into_for_ever():
     # The same transaction was once sent again unchanged until its job ended otherwise.
-    sim = Simulation(1, coming=ComingLimits(value_kb=1.0, txn_ops=4), old=ALL)
+    sim = Simulation(1, coming=UpcomingLimits(value_kb=1.0, txn_ops=4), old=ALL)
     sim.run(12)
     sim.submit("job-1", small(64, estimate_s=20.0))
     sim.run(8)
@@ -309,7 +309,7 @@
     core = sim.cores["h0"]
     assert core.scheduler.buffer.tasks_per_record == 64
     page = settings_for("h0")
-    limits = msgspec.structs.replace(page.facts.state, value_kb=2.0)  # the new limits, one day
+    limits = msgspec.structs.replace(page.facts.store, value_kb=2.0)  # the new limits, one day
     facts = msgspec.structs.replace(page.facts, state=limits)
     later = Controller(msgspec.structs.replace(page, facts=facts), random.Random(1), 0)
     assert later.scheduler.buffer.tasks_per_record == 18
--- a/tools/capacity/cell.py
+++ b/tools/capacity/cell.py
@@ -16,13 +16,13 @@
 from oakmux.core.state.keys import PREFIX
 from oakmux.settings import (
     CloudLimits,
-    External,
     Facts,
-    Member,
+    Peer,
+    ServiceAddresses,
     Settings,
-    StateLimits,
+    StoreLimits,
     Team,
-    WorkerClient,
+    WorkerTimings,
 )
 
 # Seconds from one step of the core to the next; a transaction is answered one step later.
@@ -49,12 +49,12 @@
 
 def cell_settings(teams: int, zones: int, controllers: int) -> Settings:
     """Return the settings of one controller of a deployment."""
-    members = [Member(f"h{number}", f"10.0.0.{number + 1}:81") for number in range(1, controllers)]
+    peers = [Peer(f"h{number}", f"10.0.0.{number + 1}:81") for number in range(1, controllers)]
     facts = Facts(
         zone_names(zones),
         [Team(name, cpus=UNLIMITED) for name in team_names(teams)],
-        WorkerClient(REPORT_S, 15.0, 30.0, 8.0, 35.0),
-        StateLimits(UNLIMITED, UNLIMITED, 8, 48),
+        WorkerTimings(REPORT_S, 15.0, 30.0, 8.0, 35.0),
+        StoreLimits(UNLIMITED, UNLIMITED, 8, 48),
         CloudLimits(5, 5),
         controllers,
     )
@@ -62,9 +62,9 @@
         "h0",
         "10.0.0.1:80",
         "10.0.0.1:81",
-        External("10.2.0.2:1", "10.2.0.1:2"),
+        ServiceAddresses("10.2.0.2:1", "10.2.0.1:2"),
         facts,
-        members=members,
+        peers=peers,
     )
 
 
--- a/tools/cost.py
+++ b/tools/cost.py
@@ -24,13 +24,13 @@
 from oakmux.core.state.records import Binding, JobState, TaskBlock
 from oakmux.settings import (
     CloudLimits,
-    External,
     Facts,
-    Member,
+    Peer,
+    ServiceAddresses,
     Settings,
-    StateLimits,
+    StoreLimits,
     Team,
-    WorkerClient,
+    WorkerTimings,
 )
 
 ZONES = ["a", "b", "c"]
@@ -78,16 +78,16 @@
             "h0",
             "10.0.0.1:80",
             "10.0.0.1:81",
-            External("10.2.0.2:1", "10.2.0.1:2"),
+            ServiceAddresses("10.2.0.2:1", "10.2.0.1:2"),
             Facts(
                 ZONES,
                 [Team("red", gpus=1e6), Team("blue", gpus=1e6)],
-                WorkerClient(REPORT_S, 15.0, 30.0, 8.0, 35.0),
-                StateLimits(1e6, 1e6, 8, 48),
+                WorkerTimings(REPORT_S, 15.0, 30.0, 8.0, 35.0),
+                StoreLimits(1e6, 1e6, 8, 48),
                 CloudLimits(5, 5),
                 2,
             ),
-            members=[Member("h1", "10.0.0.2:81")],
+            peers=[Peer("h1", "10.0.0.2:81")],
         )
         self.core = Controller(settings, random.Random(seed), 0)
         self.now, self.revision, self.kept = 0.0, 0, kept
