--- a/tests/fakes/simulation.py
+++ b/tests/fakes/simulation.py
@@ -13,7 +13,7 @@
 from oakmux.core.controller import Controller
 from oakmux.core.model import Heartbeat
 from oakmux.core.state.formats import value_limit
-from oakmux.settings import Settings, SchedulingOptions, Team, UpcomingLimits
+from oakmux.settings import SchedulingOptions, Settings, Team, UpcomingLimits
 from tests.fakes import deployment
 from tests.fakes.consistency import check_counts
 from tests.fakes.objectives import Objectives
