--- a/oakmux/core/autoscaling/demand_placement.py
+++ b/oakmux/core/autoscaling/demand_placement.py
@@ -26,16 +26,15 @@
 
     def fill(self, slot: Slot) -> bool:
         """Put as many tasks into a slot as fit; return whether all have one."""
-        spec = self.spec
-        while (
-            len(self.slots) < self.wanted
-            and fits_resources(slot.free, spec)
-            and zone_allowed(spec, self.zones, slot.kind.zone)
-        ):
-            slot.free = subtract(slot.free, spec)
-            self.zones.append(slot.kind.zone)
+        spec, zones, zone, free = self.spec, self.zones, slot.kind.zone, slot.free
+        missing = self.wanted - len(self.slots)
+        while missing > 0 and fits_resources(free, spec) and zone_allowed(spec, zones, zone):
+            free = subtract(free, spec)
+            zones.append(zone)
             self.slots.append(slot)
-        return len(self.slots) >= self.wanted
+            missing -= 1
+        slot.free = free
+        return missing <= 0
 
 
 class DemandPlacement:
