--- a/oakmux/core/agents/cancellation_log.py
+++ b/oakmux/core/agents/cancellation_log.py
@@ -81,11 +81,11 @@
         if since < 0:  # of a version that does not say what it has
             return [
                 job
-                for _, job in self.context.replica.cancellations_by_revision[
+                for _, job in self.context.replica.cancellations.by_revision[
                     -constants.CANCELS_UNASKED :
                 ]
             ], -1
-        found = self.context.replica.cancelled_since(since)
+        found = self.context.replica.cancellations.since(since)
         return ([], -1) if found is None else (found, self.context.replica.revision)
 
     def peer_alive(
--- a/oakmux/core/agents/capacity.py
+++ b/oakmux/core/agents/capacity.py
@@ -18,10 +18,10 @@
         machine: the machine in question.
         extra: jobs with one task each that count as if they ran there, such as open offers.
     """
-    free = context.replica.free_resources.get(machine.name)
+    free = context.replica.changes.free_resources.get(machine.name)
     if free is None:
         free = count_free_resources(context, machine)
-        context.replica.free_resources[machine.name] = free
+        context.replica.changes.free_resources[machine.name] = free
     for spec in extra or ():
         free = subtract(free, spec)
     return free
@@ -48,7 +48,9 @@
     tasks = {
         task for (task, _), status in machine.tasks.items() if status[0] not in (EXITED, REFUSED)
     }
-    for (job_id, index), binding in context.replica.by_machine.get(machine.name, {}).items():
+    for (job_id, index), binding in context.replica.bindings.by_machine.get(
+        machine.name, {}
+    ).items():
         task = f"{job_id}/{index}"
         if (
             binding.agent_epoch >= machine.agent_epoch
@@ -63,7 +65,7 @@
     return (
         free.cpus <= constants.EPSILON
         or free.memory_gb <= constants.EPSILON
-        or (free.gpus <= constants.EPSILON and not context.replica.jobs_without_gpus)
+        or (free.gpus <= constants.EPSILON and not context.replica.job_records.jobs_without_gpus)
     )
 
 
--- a/oakmux/core/agents/heartbeats.py
+++ b/oakmux/core/agents/heartbeats.py
@@ -151,7 +151,7 @@
     machine.manager, machine.manager_term = manager, manager_term
     if changed:
         context.changed_workers.add(machine.name)
-        context.replica.touch(machine.name)
+        context.replica.changes.touch(machine.name)
         note_task_results(context, machine, before)
 
 
@@ -198,5 +198,5 @@
 def hold_image(context: Context, machine: Machine, image: str, size_gb: float) -> None:
     """Remember that a machine uses an image now."""
     kind = context.types.get(machine.type)
-    context.replica.stale_machines.add(machine.name)  # no `touch`: its room stays as it is
+    context.replica.changes.stale_machines.add(machine.name)  # no `touch`: its room stays as it is
     machine.hold(image, size_gb, math.inf if kind is None else kind.cache_gb)
--- a/oakmux/core/agents/preemption.py
+++ b/oakmux/core/agents/preemption.py
@@ -95,7 +95,8 @@
     teams_above_guarantee = quotas.teams_over_guarantee(context, job, spec, usage)
     jobs = context.replica.jobs
     candidates = []
-    for (job_id, index), binding in context.replica.by_machine.get(machine.name, {}).items():
+    on_machine = context.replica.bindings.by_machine.get(machine.name, {})
+    for (job_id, index), binding in on_machine.items():
         other = jobs.get(job_id)
         if other is None or other.spec is None or binding.stop:
             continue
--- a/oakmux/core/agents/reservation_queue.py
+++ b/oakmux/core/agents/reservation_queue.py
@@ -112,7 +112,7 @@
         tracked = self.workers.tracked.get(name)
         if tracked is None:
             return
-        bindings = self.context.replica.by_machine.get(name, {})
+        bindings = self.context.replica.bindings.by_machine.get(name, {})
         bound_tasks = {
             (job_id, index, binding.attempt) for (job_id, index), binding in bindings.items()
         }
--- a/oakmux/core/agents/worker_commands.py
+++ b/oakmux/core/agents/worker_commands.py
@@ -38,7 +38,7 @@
         context = self.context
         commands: list[dict] = []
         starts: list[Task] = []
-        bound = context.replica.by_machine.get(machine.name, {})
+        bound = context.replica.bindings.by_machine.get(machine.name, {})
         settled = machine.fencing_token == context.term
         names: set[Task] = set()
         for (job_id, index), binding in bound.items():
@@ -121,7 +121,9 @@
             # Whoever kept it before us, and gave orders for a lease after that at the most, may
             # have given a start of a job that was cancelled since, whose bindings we never saw.
             return True
-        for (job_id, index), binding in context.replica.by_machine.get(machine.name, {}).items():
+        for (job_id, index), binding in context.replica.bindings.by_machine.get(
+            machine.name, {}
+        ).items():
             task = (f"{job_id}/{index}", binding.attempt)
             sent = binding.term != context.term or task in tracked.unresolved_starts
             if (
--- a/oakmux/core/api/cancellation.py
+++ b/oakmux/core/api/cancellation.py
@@ -64,7 +64,7 @@
 
     def _hasten_cascade(self) -> None:
         """Make the whole cascade due, since this controller recorded the cancellation."""
-        for job_id in self.context.replica.cascade_cancelled:
+        for job_id in self.context.replica.dependencies.cascade_cancelled:
             due = self.cascade_due.get(job_id, math.inf)
             self.cascade_due[job_id] = min(self.context.now, due)
 
@@ -74,7 +74,7 @@
         Users are told of them in any case. If the controller that recorded the first cancellation
         fails to write the cascade, those that schedule the teams of the jobs do, CASCADE_S later.
         """
-        if not (self.context.replica.cascade_cancelled or self.cascade_due):
+        if not (self.context.replica.dependencies.cascade_cancelled or self.cascade_due):
             return
         due = self._due_jobs()
         if not due or self.cascade_in_flight:
@@ -98,7 +98,7 @@
     def _due_jobs(self) -> list[str]:
         """Bring the due times up to date; return the jobs to write now."""
         context = self.context
-        cascade = context.replica.cascade_cancelled
+        cascade = context.replica.dependencies.cascade_cancelled
         for job_id in cascade:
             if context.replica.jobs[job_id].team in context.held_roles:
                 self.cascade_due.setdefault(job_id, context.now + constants.CASCADE_S)
--- a/oakmux/core/api/job_view.py
+++ b/oakmux/core/api/job_view.py
@@ -16,7 +16,7 @@
 
     def show(self, request_id: RequestId, job: Job) -> None:
         """Answer with a job's state; a cancellation by cascade is recorded before it is shown."""
-        if job.id in self.context.replica.cascade_cancelled:
+        if job.id in self.context.replica.dependencies.cascade_cancelled:
             self.cancellation.cancel(request_id, job.id, job)
         else:
             self.answers.job(request_id, job)
--- a/oakmux/core/api/submission.py
+++ b/oakmux/core/api/submission.py
@@ -137,7 +137,8 @@
     def _depends_on_cancelled(self, spec: JobSpec) -> bool:
         replica = self.context.replica
         return any(
-            replica.jobs[name].state == "cancelled" or name in replica.cascade_cancelled
+            replica.jobs[name].state == "cancelled"
+            or name in replica.dependencies.cascade_cancelled
             for name in spec.waits_on
         )
 
--- a/oakmux/core/autoscaling/consolidation.py
+++ b/oakmux/core/autoscaling/consolidation.py
@@ -96,7 +96,7 @@
         # Zones of each job's tasks after the moves so far: several tasks of one job may move.
         zones_by_job: dict[str, list[str]] = {}
         tasks: list[Task] = []
-        for (job_id, index), binding in replica.by_machine.get(machine.name, {}).items():
+        for (job_id, index), binding in replica.bindings.by_machine.get(machine.name, {}).items():
             job = replica.jobs.get(job_id)
             task = (f"{job_id}/{index}", binding.attempt)
             spec = self._movable_spec(job, machine, task)
--- a/oakmux/core/autoscaling/instance_inventory.py
+++ b/oakmux/core/autoscaling/instance_inventory.py
@@ -98,7 +98,7 @@
             listed.add(row.name)
             if row.name not in self.returned:
                 self._update_listed(row, requested_at)
-        known = {*self.instances, *context.machines, *context.replica.by_machine}
+        known = {*self.instances, *context.machines, *context.replica.bindings.by_machine}
         for name in known - listed:
             self._check_absent(name, requested_at)
 
@@ -197,7 +197,7 @@
         """Return the records of terminated machines that bindings still refer to."""
         now, replica = self.context.now, self.context.replica
         writes: list[StoreWrite] = []
-        for name in replica.by_machine:
+        for name in replica.bindings.by_machine:
             if (
                 name in self.returned
                 and name not in replica.terminated_machines
@@ -212,7 +212,7 @@
         now, replica = self.context.now, self.context.replica
         writes: list[StoreWrite] = []
         for name in replica.terminated_machines:
-            if name in replica.by_machine:
+            if name in replica.bindings.by_machine:
                 self.record_touched_at[name] = now
             elif now - self.record_touched_at.setdefault(name, now) > constants.GONE_KEEP_S:
                 self.record_touched_at[name] = now
@@ -221,7 +221,7 @@
 
     def _forget_oldest(self) -> None:
         for name in list(self.returned)[: constants.MAX_QUEUE // 2]:
-            if name not in self.context.replica.by_machine:
+            if name not in self.context.replica.bindings.by_machine:
                 del self.returned[name]
                 self.record_touched_at.pop(name, None)
 
--- a/oakmux/core/autoscaling/machine_returns.py
+++ b/oakmux/core/autoscaling/machine_returns.py
@@ -27,7 +27,7 @@
     def is_empty(self, name: str) -> bool:
         """Whether a machine has neither bindings nor tasks."""
         machine = self.context.machines.get(name)
-        return not self.context.replica.by_machine.get(name) and (
+        return not self.context.replica.bindings.by_machine.get(name) and (
             machine is None or machine.idle_since is not None
         )
 
--- a/oakmux/core/context.py
+++ b/oakmux/core/context.py
@@ -178,35 +178,35 @@
     def drain(self, name: str) -> None:
         """Put nothing new on a machine; said anew, the time of it counts from now."""
         if name not in self.draining:  # a notice is repeated once a second
-            self.replica.touch(name)
+            self.replica.changes.touch(name)
         self.draining[name] = self.now
 
     def undrain(self, name: str) -> None:
         """Use a machine again."""
         if self.draining.pop(name, None) is not None:
-            self.replica.touch(name)
+            self.replica.changes.touch(name)
 
     def note_heartbeat(self, machine: Machine) -> None:
         """A machine was heard just now, by us or by a peer that said so."""
         machine.last_heartbeat_at = self.now
         if machine.name in self.unresponsive:
             self.unresponsive.discard(machine.name)
-            self.replica.touch(machine.name)
+            self.replica.changes.touch(machine.name)
 
     def mark_terminated(self, name: str) -> None:
         """A machine is certainly gone, and its name never comes again: forget what is on it."""
         self.machines.pop(name, None)
         self.draining.pop(name, None)
         self.unresponsive.discard(name)
-        self.replica.touch(name)
+        self.replica.changes.touch(name)
         self.terminated[name] = None
         while len(self.terminated) > constants.MAX_QUEUE:
             del self.terminated[next(iter(self.terminated))]
 
     def types_changed(self) -> None:
         """The catalogue changed: what is free on a machine counts anew."""
-        self.replica.free_resources.clear()
-        self.replica.stale_machines.update(self.machines)
+        self.replica.changes.free_resources.clear()
+        self.replica.changes.stale_machines.update(self.machines)
 
     def fits_type(self, spec: JobSpec, type_name: str) -> bool:
         """Whether a task of the job fits an empty machine of an allowed type."""
--- a/oakmux/core/controller.py
+++ b/oakmux/core/controller.py
@@ -171,12 +171,12 @@
             self.format = replica.format
             event("format", format=self.format)
             self.scheduler.buffer.switched()
-        freed, replica.released = replica.released, []
+        freed, replica.changes.released_jobs = replica.changes.released_jobs, []
         for job_id in freed:  # age and the aims for starting count from now
             replica.jobs[job_id].since = context.wall + int(context.now * 1000)
             event("ready", job=job_id)
-        jobs, replica.changed_jobs = replica.changed_jobs, set()
-        machines, replica.changed_machines = replica.changed_machines, set()
+        jobs, replica.changes.jobs = replica.changes.jobs, set()
+        machines, replica.changes.machines = replica.changes.machines, set()
         dirty, context.changed_workers = context.changed_workers, set()
         for job_id in jobs:
             job = replica.jobs.get(job_id)
--- a/oakmux/core/scheduling/backfill_candidates.py
+++ b/oakmux/core/scheduling/backfill_candidates.py
@@ -50,7 +50,9 @@
     candidates = []
     for machine in machines:
         tasks = []
-        for (job_id, index), binding in context.replica.by_machine.get(machine.name, {}).items():
+        for (job_id, index), binding in context.replica.bindings.by_machine.get(
+            machine.name, {}
+        ).items():
             other = context.replica.jobs.get(job_id)
             if other is not None and other.spec is not None and job_id != job.id:
                 bound = BoundTask(other, other.spec, index, binding)
--- a/oakmux/core/scheduling/binding.py
+++ b/oakmux/core/scheduling/binding.py
@@ -223,7 +223,7 @@
     def machine_changed(self, name: str) -> None:
         """End the shard's bindings on a machine for which there is a termination proof now."""
         context = self.context
-        bound = context.replica.by_machine.get(name)
+        bound = context.replica.bindings.by_machine.get(name)
         if not bound:
             return
         machine = context.machines.get(name)
--- a/oakmux/core/scheduling/capacity_claims.py
+++ b/oakmux/core/scheduling/capacity_claims.py
@@ -77,7 +77,7 @@
             return free
         bound: set[str] = set()
         if self.until_bound:
-            bindings = self.context.replica.by_machine.get(machine.name, ())
+            bindings = self.context.replica.bindings.by_machine.get(machine.name, ())
             bound = {other for other, _ in bindings}
         for other, claim in list(claims.items()):
             if claim.until <= self.context.now or other in bound:
--- a/oakmux/core/scheduling/machine_index.py
+++ b/oakmux/core/scheduling/machine_index.py
@@ -171,7 +171,10 @@
         if self.types is not self.context.types:
             self.types = self.context.types
             self.class_orders.clear()
-        stale, self.context.replica.stale_machines = self.context.replica.stale_machines, set()
+        stale, self.context.replica.changes.stale_machines = (
+            self.context.replica.changes.stale_machines,
+            set(),
+        )
         for name in stale:
             machine = self.context.machines.get(name)
             if machine is None or machine.type not in self.context.types:
@@ -275,7 +278,7 @@
     def _preemptible_work(self, machine: Machine) -> PreemptibleWork:
         replica = self.context.replica
         work = PreemptibleWork(set(), set())
-        for job_id, _ in replica.by_machine.get(machine.name, ()):
+        for job_id, _ in replica.bindings.by_machine.get(machine.name, ()):
             job = replica.jobs.get(job_id)
             if (
                 job is not None
--- a/oakmux/core/scheduling/placement.py
+++ b/oakmux/core/scheduling/placement.py
@@ -71,7 +71,9 @@
     """
     has_image = spec.image in machine.images
     others: list[Job] = []
-    for (job_id, index), binding in context.replica.by_machine.get(machine.name, {}).items():
+    for (job_id, index), binding in context.replica.bindings.by_machine.get(
+        machine.name, {}
+    ).items():
         state = machine.tasks.get((f"{job_id}/{index}", binding.attempt))
         job = context.replica.jobs.get(job_id)
         if job is None or job.spec is None or binding.agent_epoch != machine.agent_epoch:
--- a/oakmux/core/scheduling/quotas.py
+++ b/oakmux/core/scheduling/quotas.py
@@ -65,7 +65,7 @@
 
 def usage(context: Context) -> dict[str, Usage]:
     """Return what the tasks of each team use by the records; not to be modified."""
-    return context.replica.team_usage
+    return context.replica.usage.by_team
 
 
 def is_within_guarantee(context: Context, team: str, cpus: float, gpus: float) -> bool:
--- a/oakmux/core/state/batch_allocator.py
+++ b/oakmux/core/state/batch_allocator.py
@@ -31,7 +31,7 @@
         return name
 
     def _taken(self, name: str) -> int:
-        batch = self.context.replica.batches.get(name)
+        batch = self.context.replica.job_records.batches.get(name)
         return self.pending_bytes[name] + (batch.reserved if batch is not None else 0)
 
     def release(self, job_id: str) -> None:
--- /dev/null
+++ b/oakmux/core/state/dependencies.py
@@ -0,0 +1,106 @@
+"""Dependencies between jobs: which are unmet, and what follows for priorities and deadlines."""
+
+import math
+
+from oakmux.core.model import JobSpec
+from oakmux.core.state.changes import ChangeTracker
+from oakmux.core.state.records import Job
+from oakmux.core.state.usage_accounting import UsageAccounting
+
+
+class DependencyGraph:
+    """The graph of unfinished jobs and the jobs that they depend on."""
+
+    def __init__(
+        self, jobs: dict[str, Job], usage: UsageAccounting, changes: ChangeTracker
+    ) -> None:
+        self.jobs = jobs
+        self.usage = usage
+        self.changes = changes
+        # Unfinished jobs by each dependency of theirs that is not done.
+        self.dependents: dict[str, set[str]] = {}
+        # Unfinished jobs that depend on a cancelled one, directly or through others. They can
+        # never have started, so that they are cancelled follows from final records alone.
+        self.cascade_cancelled: dict[str, None] = {}
+
+    def add(self, job: Job, spec: JobSpec) -> None:
+        """Add an unfinished job with its dependencies."""
+        for name in spec.waits_on:
+            other = self.jobs.get(name)
+            if other is not None and other.state == "done":
+                continue
+            job.unmet_dependencies.add(name)
+            self.dependents.setdefault(name, set()).add(job.id)
+            if other is not None and (
+                other.state == "cancelled" or name in self.cascade_cancelled
+            ):
+                self._cascade(job.id)
+        self._propagate_urgency(job.id, *job.unmet_dependencies)
+
+    def finish(self, job: Job) -> list[Job]:
+        """Remove a job that is final; return its dependents that became ready.
+
+        If it was cancelled, all that depend on it are marked as cancelled with it.
+        """
+        self._remove_edges(job)
+        self.cascade_cancelled.pop(job.id, None)
+        if job.state == "cancelled":
+            for name in list(self.dependents.get(job.id, ())):
+                self._cascade(name)
+            return []
+        ready = []
+        for name in self.dependents.pop(job.id, ()):
+            dependent = self.jobs[name]
+            dependent.unmet_dependencies.discard(job.id)
+            if dependent.ready:
+                self.changes.released_jobs.append(name)
+                self.changes.jobs.add(name)
+                ready.append(dependent)
+        return ready
+
+    def _remove_edges(self, job: Job) -> None:
+        """Remove the edges from a job to its dependencies."""
+        for name in job.unmet_dependencies:
+            others = self.dependents.get(name, set())
+            others.discard(job.id)
+            if not others:
+                self.dependents.pop(name, None)
+        self._propagate_urgency(*job.unmet_dependencies)
+        job.unmet_dependencies = set()
+
+    def _cascade(self, job_id: str) -> None:
+        """Mark a job that depends on a cancelled one, and all that depend on it."""
+        stack = [job_id]
+        while stack:
+            name = stack.pop()
+            if name not in self.cascade_cancelled and not self.jobs[name].final:
+                self.cascade_cancelled[name] = None
+                self.changes.jobs.add(name)
+                stack += self.dependents.get(name, ())
+
+    def _propagate_urgency(self, *names: str) -> None:
+        """Update priority and deadline of jobs from their dependents, and so on upstream."""
+        stack = list(names)
+        while stack:
+            job = self.jobs.get(stack.pop())
+            if job is None or job.final or job.spec is None:
+                continue
+            priority, due_ms = self._urgency(job, job.spec)
+            if (priority, due_ms) != (job.priority, job.due_ms):
+                bound = job.bound_count()
+                self.usage.add(job, -bound)
+                job.priority, job.due_ms = priority, due_ms
+                self.usage.add(job, bound)
+                self.changes.jobs.add(job.id)
+                stack += job.unmet_dependencies
+
+    def _urgency(self, job: Job, spec: JobSpec) -> tuple[int, float]:
+        """Return the priority of a job and the time (ms) by which it must end, with regard to all
+        jobs that depend on it."""
+        priority, due_ms = spec.priority, math.inf
+        if spec.deadline_s is not None:
+            due_ms = job.order + spec.deadline_s * 1000
+        for name in self.dependents.get(job.id, ()):
+            priority = max(priority, self.jobs[name].priority)
+            due_ms = min(due_ms, self.jobs[name].latest_start_ms)
+        return priority, due_ms
--- a/oakmux/core/state/record_writer.py
+++ b/oakmux/core/state/record_writer.py
@@ -263,7 +263,7 @@
         Other rows stay as the records have them. A job's stamp guards what binds tasks of it; what
         only lets go of tasks can't undo anything that happened to the job.
         """
-        batch = self.context.replica.batches.get(name) or BindingBatch(0, {})
+        batch = self.context.replica.job_records.batches.get(name) or BindingBatch(0, {})
         rows = dict(batch.rows)
         part = Transaction()
         part.batches.add(name)
--- /dev/null
+++ b/oakmux/core/state/usage_accounting.py
@@ -0,0 +1,25 @@
+"""Usage of teams, counted from the recorded bindings."""
+
+from oakmux.core.resources import NO_USAGE, Usage
+from oakmux.core.state.records import Job
+
+
+class UsageAccounting:
+    """What the bound tasks of each team use; updated with each change of a task block."""
+
+    def __init__(self) -> None:
+        self.by_team: dict[str, Usage] = {}
+        # The part of it that ends by itself (all but services), by team and priority.
+        self.preemptible: dict[str, dict[int, Usage]] = {}
+
+    def add(self, job: Job, tasks: int) -> None:
+        """Add bound tasks of a job; a negative number subtracts."""
+        if not tasks:
+            return
+        more_cpus, more_gpus = tasks * job.resources.cpus, tasks * job.resources.gpus
+        cpus, gpus = self.by_team.get(job.team, NO_USAGE)
+        self.by_team[job.team] = Usage(cpus + more_cpus, gpus + more_gpus)
+        if not job.service:
+            by_priority = self.preemptible.setdefault(job.team, {})
+            cpus, gpus = by_priority.get(job.priority, NO_USAGE)
+            by_priority[job.priority] = Usage(cpus + more_cpus, gpus + more_gpus)
--- a/oakmux/core/state/write_buffer.py
+++ b/oakmux/core/state/write_buffer.py
@@ -237,7 +237,7 @@
             spec.kind == "gang"
             and (self.context.wall_clock_ms - job.since > 1000 * constants.OPENING_AFTER_S)
         )
-        for priority, lower in self.context.replica.preemptible_usage.get(job.team, {}).items():
+        for priority, lower in self.context.replica.usage.preemptible.get(job.team, {}).items():
             if priority < job.priority or (priority == job.priority and old):
                 cpus -= lower[0]
                 gpus -= lower[1]
--- a/oakmux/schedules/replay/model.py
+++ b/oakmux/schedules/replay/model.py
@@ -253,7 +253,7 @@
             for one in self.controllers:
                 if one.part is not None:
                     one.context.replica.jobs.pop(old, None)
-                    one.context.replica.changed_jobs.discard(old)
+                    one.context.replica.changes.jobs.discard(old)
 
     def _note(self, value: list) -> None:
         """Collect the decisions that a shard's record shows."""
--- a/tests/fakes/consistency.py
+++ b/tests/fakes/consistency.py
@@ -11,7 +11,7 @@
 def check_counts(core: Controller) -> None:
     """Compare what a controller keeps up to date with a full count."""
     context, replica = core.context, core.context.replica
-    for name, free in replica.free_resources.items():
+    for name, free in replica.changes.free_resources.items():
         counted = count_free_resources(context, context.machines[name])
         assert astuple(free) == pytest.approx(astuple(counted)), name
     check_index(core)
@@ -26,9 +26,9 @@
             core.scheduler.buffer.bindings(job)
         )
     for team in context.teams:
-        assert replica.team_usage.get(team, (0, 0))[1] == pytest.approx(used.get(team, 0)), team
+        assert replica.usage.by_team.get(team, (0, 0))[1] == pytest.approx(used.get(team, 0)), team
         assert sum(
-            at[1] for at in replica.preemptible_usage.get(team, {}).values()
+            at[1] for at in replica.usage.preemptible.get(team, {}).values()
         ) == pytest.approx(ending.get(team, 0)), team
         if team in context.held_roles:
             assert core.scheduler.buffer.team_use(team)[1] == pytest.approx(mine.get(team, 0)), (
@@ -41,7 +41,7 @@
     context, index = core.context, core.scheduler.index
     index.refresh()
     fresh = MachineIndex(context)
-    context.replica.stale_machines.update(context.machines)
+    context.replica.changes.stale_machines.update(context.machines)
     unresponsive = set(context.unresponsive)
     fresh.refresh()
     context.unresponsive = unresponsive
--- a/tests/recorded.py
+++ b/tests/recorded.py
@@ -321,7 +321,7 @@
     replica.apply(key, value, STAMP)
     blocks = [
         [job_id, number, *plain_chunk(block)]
-        for job_id, found in replica.orphan_blocks.items()
+        for job_id, found in replica.job_records.orphan_blocks.items()
         for number, block in found.items()
     ]
     jobs = [
@@ -341,7 +341,7 @@
     ]
     pages = [
         [name, page.mod_revision, list(page.rows.values())]
-        for name, page in replica.batches.items()
+        for name, page in replica.job_records.batches.items()
     ]
     return plain(
         [
@@ -360,7 +360,7 @@
             replica.unreadable,
         ]
         + [
-            replica.cancellations_by_revision,
+            replica.cancellations.by_revision,
             store.entries,
             store.templates,
             store.calendars,
--- a/tests/test_binding_batches.py
+++ b/tests/test_binding_batches.py
@@ -96,7 +96,7 @@
     sim.submit("job-100", spec("array", constants.PAGE_TASKS + 1, gpus=0.0, cpus=0.1))
     sim.run(15)
     least = sim.cores["h0"].scheduler.buffer.least_bytes
-    found = sim.cores["h0"].context.replica.batches
+    found = sim.cores["h0"].context.replica.job_records.batches
     assert len(found) > 1
     for page in found.values():
         assert page.reserved == sum(reserved_bytes(row.tasks) for row in page.rows.values())
@@ -140,32 +140,37 @@
         replica.apply(job_key(name), encode_job("queued", "red", spec(), 0, 1), number)
     key = batch_key("red/0")
     replica.apply(key, [row("job-1"), row("job-2", "m2")], 10)
-    assert {name: list(bound) for name, bound in replica.by_machine.items()} == {
+    assert {name: list(bound) for name, bound in replica.bindings.by_machine.items()} == {
         "m1": [("job-1", 0)],
         "m2": [("job-2", 0)],
     }
     kept = replica.jobs["job-2"].blocks[0]
-    replica.changed_jobs.clear()
+    replica.changes.jobs.clear()
     replica.apply(key, [row("job-1", "m3", 2), row("job-2", "m2")], 12)
-    assert replica.changed_jobs == {"job-1"} and replica.jobs["job-2"].blocks[0] is kept
+    assert replica.changes.jobs == {"job-1"} and replica.jobs["job-2"].blocks[0] is kept
     replica.apply(key, [row("job-1"), row("job-2", "m9")], 11)  # older: it changes nothing
-    assert list(replica.by_machine) == ["m2", "m3"] and replica.batches["red/0"].mod_revision == 12
+    assert (
+        list(replica.bindings.by_machine) == ["m2", "m3"]
+        and replica.job_records.batches["red/0"].mod_revision == 12
+    )
     replica.apply(key, [row("job-2", "m2")], 13)
-    assert not replica.jobs["job-1"].blocks and list(replica.by_machine) == ["m2"]
+    assert not replica.jobs["job-1"].blocks and list(replica.bindings.by_machine) == ["m2"]
     replica.apply(batch_key("red/7"), None, 13)  # read, and not there
-    assert "red/7" not in replica.batches
+    assert "red/7" not in replica.job_records.batches
     replica.apply(key, [row("job-1"), ["torn"]], 14)  # all of it or nothing
-    assert replica.batches["red/0"].mod_revision == 13 and list(replica.by_machine) == ["m2"]
+    assert replica.job_records.batches["red/0"].mod_revision == 13 and list(
+        replica.bindings.by_machine
+    ) == ["m2"]
 
 
 def test_a_batch_counts_before_the_record_of_its_job_is_known():
     replica = Replica()
     replica.apply(batch_key("red/0"), [row("job-1")], 5)
-    assert list(replica.by_machine) == ["m1"]
+    assert list(replica.bindings.by_machine) == ["m1"]
     replica.apply(job_key("job-1"), encode_job("queued", "red", spec(gpus=2.0), 0, 1), 4)
-    assert replica.team_usage["red"] == (1.0, 2.0)
+    assert replica.usage.by_team["red"] == (1.0, 2.0)
     replica.load([(job_key("job-1"), encode_job("queued", "red", spec(gpus=2.0), 0, 1), 4)], 9)
-    assert replica.team_usage["red"] == (0.0, 0.0) and not replica.by_machine
+    assert replica.usage.by_team["red"] == (0.0, 0.0) and not replica.bindings.by_machine
 
 
 # --- rules: one binder, durable before it is told, cancellation or binding ---
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -330,11 +330,11 @@
     replica.apply(job_key("job-1"), ["queued", "red", None, 1, 2], 5)
     replica.apply(block_key("job-1", 0), bound, 6)
     replica.apply(block_key("job-1", 0), encode_block(TaskBlock(0, 1, 0, {}), 1), 4)
-    assert replica.by_machine == {"m": {("job-1", 0): Binding(1, "m", 1, 1, "a")}}
+    assert replica.bindings.by_machine == {"m": {("job-1", 0): Binding(1, "m", 1, 1, "a")}}
     replica.apply(block_key("job-1", 0), None, 8)
     # A late answer must not bring a deleted chunk back.
     replica.apply(block_key("job-1", 0), bound, 7)
-    assert replica.by_machine == {}
+    assert replica.bindings.by_machine == {}
     replica.apply(job_key("job-1"), ["done", "red", None, 1, 2], 9)
     replica.apply(job_key("job-1"), ["queued", "red", None, 1, 2], 5)
     assert replica.jobs["job-1"].state == "done"
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -76,7 +76,9 @@
     )  # any list may prove it now
     sim.kill(worker.name)
     killed = sim.now
-    while any(worker.name in core.context.replica.by_machine for core in sim.cores.values()):
+    while any(
+        worker.name in core.context.replica.bindings.by_machine for core in sim.cores.values()
+    ):
         sim.run(0.1)
     # Silent for a lease, as far as others tell; then missing in two lists.
     assert sim.now - killed < LEASE_S + 2 * constants.ALIVE_S + 2 * REPORT_S + 2.0
@@ -108,7 +110,9 @@
     [(worker, _, _)] = sim.live()
     sim.kill(worker.name)
     sim.run(lease_s - 2)
-    assert not any(worker.name in core.context.replica.by_machine for core in sim.cores.values())
+    assert not any(
+        worker.name in core.context.replica.bindings.by_machine for core in sim.cores.values()
+    )
 
 
 @pytest.mark.parametrize("seconds", [3.0, 9.0])  # within its lease, and beyond it
--- a/tests/test_machine_index.py
+++ b/tests/test_machine_index.py
@@ -109,7 +109,7 @@
     def gone(self, name):
         self.context.machines.pop(name, None)
         self.context.draining.pop(name, None)
-        self.context.replica.touch(name)
+        self.context.replica.changes.touch(name)
 
     def wait(self, seconds):
         self.context.now += seconds
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -42,7 +42,9 @@
     for label, core in sim.cores.items():
         core.scheduler.writer.flush = writes[label]
     sim.run(1)
-    assert [len(rows) for rows in sim.cores["h0"].context.replica.by_machine.values()] == [1]
+    assert [
+        len(rows) for rows in sim.cores["h0"].context.replica.bindings.by_machine.values()
+    ] == [1]
 
 
 def test_a_tick_stays_short_with_a_huge_job_and_a_thousand_pending():
@@ -64,7 +66,7 @@
     )
     assert (
         sum(
-            len(c.context.replica.by_machine.get(m, {}))
+            len(c.context.replica.bindings.by_machine.get(m, {}))
             for c in [core]
             for m in core.context.machines
         )
@@ -82,9 +84,9 @@
     first, second = (context.machines[name] for name in sorted(context.machines)[:2])
     for machine in (first, second):
         machine.tasks, machine.images, machine.since = {}, {}, {}
-        context.replica.touch(machine.name)
+        context.replica.changes.touch(machine.name)
     bound = Binding(1, first.name, first.agent_epoch, 1, first.zone)
-    context.replica.by_machine = {first.name: {("job-1", 0): bound}}
+    context.replica.bindings.by_machine = {first.name: {("job-1", 0): bound}}
     other = spec("array", 1, "blue", image="b", image_gb=4.0, priority=2)
     job = Job("job-2", "blue", "queued", 1, other, 0, 1)
     free = Resources(4.0, 2.0, 32.0)
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -83,10 +83,10 @@
         (block_key("job-1", 0), encode_block(bound, 2), 4),
     ]
     replica.load(rows[::order], 5)
-    assert replica.team_usage == {"red": (4.0, 2.0)}
-    assert replica.preemptible_usage["red"][1] == (4.0, 2.0)
+    assert replica.usage.by_team == {"red": (4.0, 2.0)}
+    assert replica.usage.preemptible["red"][1] == (4.0, 2.0)
     replica.apply(block_key("job-1", 0), None, 6)
-    assert replica.team_usage["red"] == (0.0, 0.0)
+    assert replica.usage.by_team["red"] == (0.0, 0.0)
 
 
 def test_a_gang_that_needs_quota_used_by_services_does_not_reserve_it():
