--- a/oakmux/cli.py
+++ b/oakmux/cli.py
@@ -105,7 +105,7 @@
     try:
         conn.request(method, path, None if body is None else encode(body))
         answer = conn.getresponse()
-        data = answer.read(constants.MAX_BODY)
+        data = answer.read(constants.MAX_BODY_BYTES)
         return answer.status, decode(data) if data else None
     finally:
         conn.close()
@@ -114,7 +114,7 @@
 def ask(context: Context, method: str, path: str, body: Any = None) -> tuple[int, Any]:
     """Ask one controller after another until one can answer."""
     trouble = ""
-    for attempt in range(constants.CLI_TRIES):
+    for attempt in range(constants.CLI_ROUNDS):
         for server in context.need_servers():
             try:
                 status, answer = ask_one(server, method, path, body)
@@ -124,7 +124,7 @@
             if status not in (429, 503, 504):
                 return status, answer
             trouble = f"{server}: status {status}"
-        if attempt + 1 < constants.CLI_TRIES:
+        if attempt + 1 < constants.CLI_ROUNDS:
             time.sleep(constants.RETRY_AFTER_S)
     fail(f"no controller could answer ({trouble})", EXIT_UNREACHABLE)
 
--- a/oakmux/core/agents/cancellation_log.py
+++ b/oakmux/core/agents/cancellation_log.py
@@ -47,7 +47,9 @@
     def staleness_bound_s(self) -> float:
         """Return the seconds for which leases renewed after a cancellation still end in time."""
         worker_times = self.context.facts.workers
-        return max(worker_times.cancel_s - worker_times.lease_s - constants.CANCEL_MARGIN_S, 0.0)
+        return max(
+            worker_times.cancel_s - worker_times.lease_s - constants.CANCELLATION_MARGIN_S, 0.0
+        )
 
     def may_renew_leases(self) -> bool:
         """Whether leases that we renew still end before a cancellation we can't know of."""
@@ -55,13 +57,14 @@
 
     def store_fresh(self) -> bool:
         """Whether our own records are current."""
-        return self.context.now - self.context.store_seen_at < constants.STATE_STALE_S
+        return self.context.now - self.context.store_seen_at < constants.STORE_STALE_S
 
     def isolated(self) -> bool:
         """Whether no peer has said a word of late, if there are any."""
         members = self.context.settings.peers
         return bool(members) and all(
-            self.context.now - self.peer_seen_at.get(m.controller_id, -1e9) >= constants.ALONE_S
+            self.context.now - self.peer_seen_at.get(m.controller_id, -1e9)
+            >= constants.ISOLATION_S
             for m in members
         )
 
@@ -82,7 +85,7 @@
             return [
                 job
                 for _, job in self.context.replica.cancellations.by_revision[
-                    -constants.CANCELS_UNASKED :
+                    -constants.CANCELLATIONS_SENT_UNASKED :
                 ]
             ], -1
         found = self.context.replica.cancellations.since(since)
@@ -115,7 +118,7 @@
             job = self.context.replica.jobs.get(job_id)
             if job_id in self.cancelled or (job is not None and job.final):
                 continue
-            if len(self.cancelled) >= constants.CANCELS_KEPT:
+            if len(self.cancelled) >= constants.CANCELLATIONS_KEPT:
                 complete = False  # leases that we can't answer for end by themselves
                 break
             self.cancelled[job_id] = not_before
--- a/oakmux/core/agents/capacity.py
+++ b/oakmux/core/agents/capacity.py
@@ -78,15 +78,15 @@
         return 0.0
     return min(
         constants.GANG_GATHER_S + spec.tasks * constants.GANG_GATHER_TASK_S,
-        constants.GANG_GATHER_MOST_S,
+        constants.GANG_GATHER_MAX_S,
     )
 
 
 def heartbeat_timeout_s(context: Context) -> float:
     """Return the seconds without a heartbeat after which a machine counts as silent."""
     return (
-        constants.SILENT_REPORTS * context.facts.workers.heartbeat_interval_s
-        + 2 * constants.ALIVE_S
+        constants.MISSED_HEARTBEATS * context.facts.workers.heartbeat_interval_s
+        + 2 * constants.PEER_HEARTBEAT_S
     )
 
 
@@ -123,7 +123,7 @@
 def is_quarantined(context: Context, machine: Machine) -> bool:
     """Whether tasks of several jobs failed on a machine for which the jobs aren't to blame."""
     return (
-        len(machine.errors) >= constants.SICK_ERRORS
+        len(machine.errors) >= constants.QUARANTINE_FAILED_JOBS
         and sum(context.failures.blames(job_id, machine.name) for job_id in machine.errors)
-        >= constants.SICK_ERRORS
+        >= constants.QUARANTINE_FAILED_JOBS
     )
--- a/oakmux/core/agents/heartbeats.py
+++ b/oakmux/core/agents/heartbeats.py
@@ -64,7 +64,7 @@
         if not self.cancellations.store_fresh():
             # Refused by the state service alone: hand the worker over to a peer that is not.
             for label, fresh in self.cancellations.peer_store_seen_at.items():
-                if context.now - fresh < constants.STATE_STALE_S / 2:
+                if context.now - fresh < constants.STORE_STALE_S / 2:
                     context.emit("answer", rid, 421, ("report_to", label))
                     return
         if self.commands.late_start_possible(tracked, machine):
@@ -176,7 +176,7 @@
                 context.failures.record(job_id, machine.name)
                 if job_id not in machine.errors:
                     machine.errors.append(job_id)
-                    del machine.errors[: -constants.ERRORS_KEPT]
+                    del machine.errors[: -constants.FAILED_JOBS_KEPT]
             if old[0] == "fetching" and why != "done" and spec is not None:
                 machine.images.pop(spec.image, None)  # a fetch that nobody waits for is given up
     for spec in live:
--- a/oakmux/core/agents/preemption.py
+++ b/oakmux/core/agents/preemption.py
@@ -128,7 +128,7 @@
     if spec.checkpoint_s and state == RUNNING:
         lost_work_s = min(lost_work_s, spec.save_s)
     weight = 1 if start_counts else 2
-    return lost_work_s + job.priority**2 * constants.VICTIM_RANK_S * weight
+    return lost_work_s + job.priority**2 * constants.VICTIM_PRIORITY_COST_S * weight
 
 
 def _without_needless(
--- a/oakmux/core/agents/reachability.py
+++ b/oakmux/core/agents/reachability.py
@@ -15,7 +15,7 @@
     """Judge a machine that nobody here knew. A report to us proves nothing, whatever it says; a
     peer that has settled it under its own term has heard it before."""
     if ours or machine.fencing_token != term:
-        machine.unreachable_signs = constants.UNHEARD_MOST
+        machine.unreachable_signs = constants.UNREACHABLE_SIGNS
         machine.unreachable_since = context.now
 
 
@@ -40,17 +40,20 @@
         return False
     spoke = context.now - machine.last_heartbeat_at < context.facts.workers.lease_s / 2
     if heartbeat.agent_epoch > machine.agent_epoch and spoke:
-        machine.unreachable_signs = constants.UNHEARD_MOST
+        machine.unreachable_signs = constants.UNREACHABLE_SIGNS
     elif heartbeat.agent_epoch > machine.agent_epoch or manager != machine.manager:
         machine.unreachable_signs += 1
-    if machine.unreachable_signs >= constants.UNHEARD_MOST and machine.unreachable_since is None:
+    if (
+        machine.unreachable_signs >= constants.UNREACHABLE_SIGNS
+        and machine.unreachable_since is None
+    ):
         machine.unreachable_since = context.now
     return False
 
 
 def is_reachable(machine: Machine) -> bool:
     """Whether nothing speaks against it that a machine hears us."""
-    return machine.unreachable_signs < constants.UNHEARD_MOST
+    return machine.unreachable_signs < constants.UNREACHABLE_SIGNS
 
 
 def unreachable_s(context: Context, machine: Machine) -> float:
--- a/oakmux/core/agents/reservation_queue.py
+++ b/oakmux/core/agents/reservation_queue.py
@@ -49,7 +49,7 @@
         known = tracked.queue.get(job_id)
         if known is not None:
             known.count = max(known.count, count)
-        elif len(tracked.queue) < constants.MAX_QUEUE_PER_MACHINE:
+        elif len(tracked.queue) < constants.MAX_RESERVATIONS_PER_MACHINE:
             tracked.queue[job_id] = Reservation(job_id, count, self.context.now)
         if preempt:
             self._preempt(tracked, machine, job_id)
@@ -171,7 +171,7 @@
                 job is None
                 or job.final
                 or job.spec is None
-                or context.now - reservation.since > constants.RETRY_MOST_S
+                or context.now - reservation.since > constants.RETRY_MAX_S
             ):
                 del tracked.queue[reservation.job_id]
                 continue
@@ -219,7 +219,7 @@
         self.next_offer += 1
         hold_s = constants.OFFER_HOLD_S
         if spec.joint:
-            hold_s += gang_hold_s(spec) + constants.PREEMPT_S
+            hold_s += gang_hold_s(spec) + constants.PREEMPTION_RETRY_S
         tracked.offers[self.next_offer] = Offer(job.id, context.now + hold_s, role_claim)
         context.emit(
             "send",
--- a/oakmux/core/agents/worker_commands.py
+++ b/oakmux/core/agents/worker_commands.py
@@ -149,7 +149,7 @@
         context, spec = self.context, job.spec
         if spec is None or not spec.joint or spec.image not in machine.images:
             return False
-        slowest = context.fetch_s(spec, machine.type) * constants.FETCH_SPREAD
+        slowest = context.fetch_s(spec, machine.type) * constants.FETCH_TIME_FACTOR
         patience = slowest - context.facts.workers.gang_wait_s * constants.GANG_WAIT_SHARE
         if context.now - tracked.delayed_since.setdefault(task, context.now) >= patience:
             return False
@@ -220,11 +220,11 @@
             # Our replica may lag behind the agent manager that started the task: wait a while.
             if machine.tasks[task][0] == "exited":
                 if (
-                    context.now - since >= constants.ALIVE_S
+                    context.now - since >= constants.PEER_HEARTBEAT_S
                     and task not in tracked.unresolved_starts
                 ):
                     commands.append(command_body("forget", *task))
-            elif context.now - since >= constants.ORPHAN_S:
+            elif context.now - since >= constants.ORPHAN_GRACE_S:
                 commands.append(command_body("stop", task[0], task[1], 0.0))
 
     def reconcile(self, name: str) -> None:
@@ -270,14 +270,14 @@
         tracked.command_in_flight = False
         if outcome == "lost":
             # They may still be carried out, minutes later: only a newer term settles that.
-            tracked.next_command_at = context.now + constants.ORDERS_TIMEOUT_S
+            tracked.next_command_at = context.now + constants.COMMAND_TIMEOUT_S
             self.leadership.need_term_above(term)
             return
         for task in starts:
             if tracked.unresolved_starts.get(task) == term:
                 del tracked.unresolved_starts[task]
         if outcome == "unsent":
-            tracked.next_command_at = context.now + constants.ORDERS_TIMEOUT_S
+            tracked.next_command_at = context.now + constants.COMMAND_TIMEOUT_S
         if heartbeat is not None and heartbeat.machine == name:
             machine = context.machines.get(name)
             if machine is None or (heartbeat.agent_epoch, heartbeat.sequence) > machine.version:
--- a/oakmux/core/api/cancellation.py
+++ b/oakmux/core/api/cancellation.py
@@ -72,7 +72,7 @@
         """Record the cancellations that follow from others, many in one transaction.
 
         Users are told of them in any case. If the controller that recorded the first cancellation
-        fails to write the cascade, those that schedule the teams of the jobs do, CASCADE_S later.
+        fails to write the cascade, those that schedule the jobs do so, CASCADE_RETRY_S later.
         """
         if not (self.context.replica.dependencies.cascade_cancelled or self.cascade_due):
             return
@@ -84,7 +84,7 @@
         conditions, writes = [], []
         for job_id in due:
             job = context.replica.jobs[job_id]
-            self.cascade_due[job_id] = context.now + constants.CASCADE_S
+            self.cascade_due[job_id] = context.now + constants.CASCADE_RETRY_S
             conditions.append((job_key(job_id), job.mod_revision))
             writes.append((job_key(job_id), _cancelled_value(job), None))
         context.call(
@@ -101,7 +101,7 @@
         cascade = context.replica.dependencies.cascade_cancelled
         for job_id in cascade:
             if context.replica.jobs[job_id].team in context.held_roles:
-                self.cascade_due.setdefault(job_id, context.now + constants.CASCADE_S)
+                self.cascade_due.setdefault(job_id, context.now + constants.CASCADE_RETRY_S)
         for job_id in [job_id for job_id in self.cascade_due if job_id not in cascade]:
             del self.cascade_due[job_id]
         due = [job_id for job_id, at in self.cascade_due.items() if at <= context.now]
--- a/oakmux/core/api/current_reads.py
+++ b/oakmux/core/api/current_reads.py
@@ -63,7 +63,7 @@
 
     def read(self, request_id: RequestId, job_id: str, resume: Continuation) -> None:
         """Call `resume` with the current job; the user is refused if that fails."""
-        if len(self.queued) >= constants.MAX_WAITING:
+        if len(self.queued) >= constants.MAX_WAITING_REQUESTS:
             self.answers.unavailable(request_id, TOO_MANY_REQUESTS)
         else:
             self.queued.append(_Read(request_id, job_id, resume))
@@ -173,8 +173,8 @@
         """Resume a read once the watch has brought all changes up to a revision."""
         if self.context.replica.revision >= revision:
             read.resume(self.context.replica.jobs.get(read.job_id))
-        elif len(self.revision_waits) >= constants.MAX_WAITING:
+        elif len(self.revision_waits) >= constants.MAX_WAITING_REQUESTS:
             self.answers.unavailable(read.request_id, TOO_MANY_REQUESTS)
         else:
-            deadline = self.context.now + constants.STATE_TIMEOUT_S
+            deadline = self.context.now + constants.STORE_TIMEOUT_S
             self.revision_waits.append(_RevisionWait(revision, deadline, read))
--- a/oakmux/core/api/submission.py
+++ b/oakmux/core/api/submission.py
@@ -127,7 +127,7 @@
         users who had such a job before the reservation are still shown it.
         """
         prefix = self.context.reserved
-        if prefix and job_id.startswith(prefix) and len(job_id) == constants.RESERVED_TEXT:
+        if prefix and job_id.startswith(prefix) and len(job_id) == constants.RESERVED_ID_CHARS:
             return f"id: {prefix}... of 18 digits is kept for schedules"
         return None
 
--- a/oakmux/core/autoscaling/autoscaler.py
+++ b/oakmux/core/autoscaling/autoscaler.py
@@ -37,7 +37,7 @@
             return
         self.inventory.request_list()
         if context.now >= self.next_pass and self.cancellations.store_fresh():
-            self.next_pass = context.now + constants.FLEET_PASS_S
+            self.next_pass = context.now + constants.AUTOSCALING_INTERVAL_S
             self.inventory.write_records()
             slots = self.scale_out.plan()
             if not self.scale_out.unplaced:
--- a/oakmux/core/autoscaling/consolidation.py
+++ b/oakmux/core/autoscaling/consolidation.py
@@ -50,7 +50,7 @@
         if move is None:
             return
         context.drain(move.machine)
-        self.moving_until[move.machine] = context.now + constants.MOVE_S
+        self.moving_until[move.machine] = context.now + constants.MOVE_TIMEOUT_S
         event("move", machine=move.machine, tasks=len(move.tasks))
         manager = context.machines[move.machine].manager
         for task, attempt in move.tasks:
@@ -62,7 +62,7 @@
             if not self._is_candidate(slot):
                 continue
             free_share = self._free_share(slot)
-            if free_share < constants.MOVE_FREE or (
+            if free_share < constants.MOVE_FREE_SHARE or (
                 best is not None and free_share <= best.free_share
             ):
                 continue
--- a/oakmux/core/autoscaling/expected_capacity.py
+++ b/oakmux/core/autoscaling/expected_capacity.py
@@ -56,9 +56,9 @@
             ):
                 continue
             age_s = context.now - instance.created_at
-            if age_s > constants.BOOT_PATIENCE * machine_type.boot_s:
+            if age_s > constants.BOOT_TIMEOUT_FACTOR * machine_type.boot_s:
                 continue
-            if age_s > constants.BOOT_LATE * machine_type.boot_s:
+            if age_s > constants.BOOT_LATE_FACTOR * machine_type.boot_s:
                 # Every second late instance is counted on. With all of them, jobs would wait for
                 # instances that never come up; with none, a slow hour would rent everything twice.
                 late[instance.kind] += 1
@@ -84,7 +84,7 @@
             if now - failed.at < constants.BOOT_TROUBLE_S
         ]
         late.update(failed.kind for failed in inventory.failed_boots)
-        troubled = {kind for kind, count in late.items() if count >= constants.BOOT_TROUBLE}
+        troubled = {kind for kind, count in late.items() if count >= constants.BOOT_TROUBLE_COUNT}
         for kind in troubled - self.troubled:
             event(
                 "boot_trouble",
--- a/oakmux/core/autoscaling/instance_inventory.py
+++ b/oakmux/core/autoscaling/instance_inventory.py
@@ -73,7 +73,7 @@
 
     def back_off(self) -> None:
         """Pause calls to the cloud after one that failed."""
-        self.cloud_retry_at = self.context.now + constants.BACKOFF_MOST_S
+        self.cloud_retry_at = self.context.now + constants.BACKOFF_MAX_S
 
     def request_list(self) -> None:
         """Request the cloud's list when it is due."""
@@ -81,7 +81,9 @@
         if self.listing or context.now < max(self.next_list, self.cloud_retry_at):
             return
         self.listing = True
-        self.next_list = context.now + constants.LIST_EVERY_LAGS * context.facts.cloud.list_lag_s
+        self.next_list = (
+            context.now + constants.LIST_INTERVAL_LAGS * context.facts.cloud.list_lag_s
+        )
         requested_at = context.now
         context.call(
             lambda status, rows: self._on_list(requested_at, status, rows), "cloud", "list"
@@ -181,7 +183,7 @@
                 writes,
                 1,
             )
-        if len(self.returned) > constants.MAX_QUEUE:
+        if len(self.returned) > constants.MAX_REMEMBERED:
             self._forget_oldest()
 
     def _changed_types(self) -> list[StoreWrite]:
@@ -201,26 +203,26 @@
             if (
                 name in self.returned
                 and name not in replica.terminated_machines
-                and now - self.record_touched_at.get(name, NEVER) > constants.STATE_TIMEOUT_S
+                and now - self.record_touched_at.get(name, NEVER) > constants.STORE_TIMEOUT_S
             ):
                 self.record_touched_at[name] = now
                 writes.append((termination_key(name), True, None))
         return writes
 
     def _expired_terminations(self) -> list[StoreWrite]:
-        """Return the deletions of records that no binding has needed for GONE_KEEP_S."""
+        """Return the deletions of records that no binding has needed for TERMINATION_KEEP_S."""
         now, replica = self.context.now, self.context.replica
         writes: list[StoreWrite] = []
         for name in replica.terminated_machines:
             if name in replica.bindings.by_machine:
                 self.record_touched_at[name] = now
-            elif now - self.record_touched_at.setdefault(name, now) > constants.GONE_KEEP_S:
+            elif now - self.record_touched_at.setdefault(name, now) > constants.TERMINATION_KEEP_S:
                 self.record_touched_at[name] = now
                 writes.append((termination_key(name),))
         return writes
 
     def _forget_oldest(self) -> None:
-        for name in list(self.returned)[: constants.MAX_QUEUE // 2]:
+        for name in list(self.returned)[: constants.MAX_REMEMBERED // 2]:
             if name not in self.context.replica.bindings.by_machine:
                 del self.returned[name]
                 self.record_touched_at.pop(name, None)
--- a/oakmux/core/autoscaling/rental_requests.py
+++ b/oakmux/core/autoscaling/rental_requests.py
@@ -42,10 +42,10 @@
         return self.no_capacity_until.get(kind, 0.0) <= self.context.now
 
     def rent_all(self, counts: dict[InstanceKind, int]) -> None:
-        """Rent so many instances of each kind, MAX_RENT at most in one request."""
+        """Rent so many instances of each kind, MAX_RENTAL_SIZE at most in one request."""
         for kind, count in counts.items():
-            for start in range(0, count, constants.MAX_RENT):
-                self.rent(kind, min(count - start, constants.MAX_RENT))
+            for start in range(0, count, constants.MAX_RENTAL_SIZE):
+                self.rent(kind, min(count - start, constants.MAX_RENTAL_SIZE))
 
     def rent(self, kind: InstanceKind, count: int) -> None:
         """Send one request, unless calls to the cloud are backing off."""
@@ -91,9 +91,9 @@
                     request.kind, InstanceState.BOOTING, now
                 )
             if len(result) < request.size:
-                self.no_capacity_until[request.kind] = now + constants.NO_CAPACITY_S
+                self.no_capacity_until[request.kind] = now + constants.NO_CAPACITY_RETRY_S
         elif status == 503 and result == NO_CAPACITY:
-            self.no_capacity_until[request.kind] = now + constants.NO_CAPACITY_S
+            self.no_capacity_until[request.kind] = now + constants.NO_CAPACITY_RETRY_S
         else:
             self.inventory.back_off()
         event("rented", request=name, status=status, got=len(result) if status == 200 else 0)
--- a/oakmux/core/autoscaling/scale_in.py
+++ b/oakmux/core/autoscaling/scale_in.py
@@ -49,7 +49,7 @@
                 context.undrain(name)
                 self.consolidation.forget(name)
         elif (
-            context.now - drained_at >= constants.DRAIN_S
+            context.now - drained_at >= constants.DRAIN_GRACE_S
             and name not in self.unhealthy.quarantined_since
         ):
             self.returns.request(name, ReturnReason.IDLE)
--- a/oakmux/core/autoscaling/scale_out.py
+++ b/oakmux/core/autoscaling/scale_out.py
@@ -79,7 +79,7 @@
         return placement.slots
 
     def _place_pending(self, placement: DemandPlacement) -> None:
-        """Place the jobs of all queues in their order, DEMAND_TASKS tasks at most.
+        """Place the jobs of all queues in their order, MAX_DEMAND_TASKS tasks at most.
 
         A queue is left at the first job for which nothing is found: the jobs behind it need the
         same resources.
@@ -91,7 +91,7 @@
             if (head := self._queue_head(shape, 0, usage)) is not None
         ]
         heapq.heapify(heads)
-        budget = constants.DEMAND_TASKS
+        budget = constants.MAX_DEMAND_TASKS
         while heads and budget > 0:
             head = heads[0]
             placed, proceed = self._place_job(head.job_id, placement, usage, budget)
--- a/oakmux/core/autoscaling/slot_pool.py
+++ b/oakmux/core/autoscaling/slot_pool.py
@@ -87,8 +87,8 @@
     def estimate_tasks(self, spec: JobSpec, capacity: CapacityClass) -> int:
         """Return a lower bound of how many tasks of a job fit into a class."""
         machine_type = self.context.types[capacity.type]
-        cpus = capacity.cpu_level / constants.ROOM_LEVELS * machine_type.cpus
-        memory_gb = capacity.memory_level / constants.ROOM_LEVELS * machine_type.memory_gb
+        cpus = capacity.cpu_level / constants.CAPACITY_LEVELS * machine_type.cpus
+        memory_gb = capacity.memory_level / constants.CAPACITY_LEVELS * machine_type.memory_gb
         free = Resources(cpus, float(capacity.gpus), memory_gb)
         return len(self.classes[capacity]) * task_capacity(free, spec)
 
@@ -96,12 +96,12 @@
         """Pass the slots of a class to `fill` until it returns True; return whether it did.
 
         Slots that `fill` took resources from move to the class of what is left. The search ends
-        after DRAW_LOOKS slots that nothing was placed on.
+        after SAMPLE_EXTRA_MACHINES slots that nothing was placed on.
         """
         slots = self.classes.pop(capacity)
         unchanged: list[Slot] = []
         enough = False
-        while slots and not enough and len(unchanged) < constants.DRAW_LOOKS:
+        while slots and not enough and len(unchanged) < constants.SAMPLE_EXTRA_MACHINES:
             slot = slots.pop()
             before = slot.free
             enough = fill(slot)
--- a/oakmux/core/autoscaling/unhealthy_machines.py
+++ b/oakmux/core/autoscaling/unhealthy_machines.py
@@ -60,7 +60,7 @@
     @property
     def _contact_timeout_s(self) -> float:
         """Seconds without contact after which a machine is returned."""
-        return constants.SILENT_LEASES * self.context.facts.workers.lease_s
+        return constants.CONTACT_TIMEOUT_LEASES * self.context.facts.workers.lease_s
 
     def _check_unregistered(self, name: str, instance: Instance) -> None:
         """Return an instance that has sent no heartbeat and is overdue."""
@@ -69,7 +69,7 @@
         boot_timeout_s = (
             self._contact_timeout_s
             if machine_type is None
-            else constants.BOOT_PATIENCE * machine_type.boot_s
+            else constants.BOOT_TIMEOUT_FACTOR * machine_type.boot_s
         )
         if instance.state == InstanceState.BOOTING and now - instance.created_at > boot_timeout_s:
             inventory.failed_boots.append(FailedBoot(now, instance.kind))
@@ -104,7 +104,7 @@
         return (
             manager in context.replica.live_controllers
             and manager != context.label
-            and context.now - peer_seen_at > constants.ALIVE_S * 3
+            and context.now - peer_seen_at > constants.PEER_HEARTBEAT_S * 3
         )
 
     def _check_quarantine(self, machine: Machine) -> None:
@@ -118,7 +118,7 @@
             context.drain(name)
         elif (
             self.returns.is_empty(name)
-            and context.now - self.quarantined_since[name] > constants.SICK_HOLD_S
+            and context.now - self.quarantined_since[name] > constants.QUARANTINE_HOLD_S
         ):
             self.returns.request(name, ReturnReason.QUARANTINED)
 
@@ -134,6 +134,6 @@
             total[machine.zone] += 1
             unreachable[machine.zone] += not is_reachable(machine)
         for zone, count in unreachable.items():
-            if count > 1 and count > total[zone] * constants.DEAF_SHARE:
+            if count > 1 and count > total[zone] * constants.UNREACHABLE_ZONE_SHARE:
                 self.zone_unreachable_until[zone] = now + self.context.facts.workers.lease_s
         return {zone for zone, until in self.zone_unreachable_until.items() if until > now}
--- a/oakmux/core/context.py
+++ b/oakmux/core/context.py
@@ -107,7 +107,8 @@
         # The GPUs that one array is taken to have to itself when its size makes it younger.
         self.array_share_gpus = max(
             1.0,
-            constants.SIZE_PART * sum(team.gpus or team.gpus_max for team in settings.facts.teams),
+            constants.ARRAY_SHARE
+            * sum(team.gpus or team.gpus_max for team in settings.facts.teams),
         )
         for aim in settings.facts.objectives:
             if aim.kind == "wait" and aim.job_class and aim.within_s is not None:
@@ -171,7 +172,7 @@
 
     def note_store_answer(self, asked: float) -> None:
         """The state service answered a question about all records, asked at a time."""
-        if self.now - self.store_seen_at >= constants.STATE_STALE_S:
+        if self.now - self.store_seen_at >= constants.STORE_STALE_S:
             self.store_recovered_at = self.now
         self.store_seen_at = max(self.store_seen_at, asked)
 
@@ -200,7 +201,7 @@
         self.unresponsive.discard(name)
         self.replica.changes.touch(name)
         self.terminated[name] = None
-        while len(self.terminated) > constants.MAX_QUEUE:
+        while len(self.terminated) > constants.MAX_REMEMBERED:
             del self.terminated[next(iter(self.terminated))]
 
     def types_changed(self) -> None:
--- a/oakmux/core/controller.py
+++ b/oakmux/core/controller.py
@@ -89,7 +89,7 @@
     def step(self, now: float, commands: Iterable[tuple]) -> list[tuple]:
         """Work through a batch of commands; return the effects."""
         context = self.context
-        if now - context.now > constants.STOOD_STILL_S:
+        if now - context.now > constants.PROCESS_PAUSE_S:
             # The process stood still while its clocks ran on. What is in its queue was said at
             # some time meanwhile: machines heard before are not silent, only unheard by us.
             context.resumed_at = now
@@ -227,7 +227,7 @@
         context = self.context
         fresh = self.agents.cancellations.store_fresh()
         served = any(
-            context.now - at < constants.STATE_STALE_S
+            context.now - at < constants.STORE_STALE_S
             for at in self.agents.cancellations.peer_store_seen_at.values()
         )
         # Without the state service alone, all may be: an outage. Without any peer as well, users
@@ -354,12 +354,12 @@
         context = self.context
         if context.now < self.next_alive:
             return
-        self.next_alive = context.now + constants.ALIVE_S
+        self.next_alive = context.now + constants.PEER_HEARTBEAT_S
         self.agents.cancellations.forget()
         for name in [
             n
             for n, at in context.draining.items()
-            if FLEET not in context.held_roles and context.now - at > constants.DRAIN_NOTICE_S
+            if FLEET not in context.held_roles and context.now - at > constants.DRAIN_NOTICE_TTL_S
         ]:
             context.undrain(name)
         heard = [
@@ -367,7 +367,7 @@
             for m in context.machines.values()
             if m.manager == context.label
             and context.now - m.last_heartbeat_at
-            < 2 * constants.ALIVE_S + context.facts.workers.heartbeat_interval_s
+            < 2 * constants.PEER_HEARTBEAT_S + context.facts.workers.heartbeat_interval_s
         ]
         labels = [member.controller_id for member in context.settings.peers]
         for label in labels:
@@ -378,7 +378,7 @@
         """Tell peers some of what we hear once more, all of it in turn, also where nothing
         changed: a peer that saw a machine come and go, of which we never heard, would take it for
         one that does not hear us, and leave its room unused for ever."""
-        count = math.ceil(len(mine) * constants.ALIVE_S / constants.VIEW_AGAIN_S)
+        count = math.ceil(len(mine) * constants.PEER_HEARTBEAT_S / constants.VIEW_RESEND_S)
         first = bisect.bisect_right(mine, self.last_resent)
         chosen = mine[first : first + count]
         for name in chosen:
@@ -392,7 +392,7 @@
             self.context.emit(
                 "send",
                 member.controller_id,
-                ("borrow", self.context.label, constants.BORROW_MORE * wanted / len(members)),
+                ("borrow", self.context.label, constants.BORROW_FACTOR * wanted / len(members)),
             )
 
     def _heard(self, label: str, heard: list[str]) -> None:
--- a/oakmux/core/leadership/leadership.py
+++ b/oakmux/core/leadership/leadership.py
@@ -70,16 +70,16 @@
         if self.lease is None:
             if "lease" not in self.busy:
                 self.busy.add("lease")
-                context.call(self._granted, "grant", constants.NODE_LEASE_S)
+                context.call(self._granted, "grant", constants.CONTROLLER_LEASE_S)
             return
         if context.now >= self.next_renew and "renew" not in self.busy:
             self.busy.add("renew")
-            self.next_renew = context.now + constants.NODE_RENEW_S
+            self.next_renew = context.now + constants.LEASE_RENEWAL_S
             context.call(self._renewed, "renew", self.lease)
         if (
             self.key_written
             and context.replica.live_controllers.get(context.label) != context.incarnation
-            and context.now - self.key_written_at > constants.STATE_STALE_S
+            and context.now - self.key_written_at > constants.STORE_STALE_S
         ):
             # A late write of the process before us has put its own life and lease there: once
             # that lease ends the key is gone, and others would share out roles without us.
@@ -91,9 +91,9 @@
                 "txn",
                 [],
                 [(controller_key(context.label), context.incarnation, self.lease)],
-                constants.FIRST,
+                constants.LEADERSHIP_WRITE_PRIORITY,
             )
-        if self.key_written and context.now - self.lease_since > constants.CLAIM_DELAY_S:
+        if self.key_written and context.now - self.lease_since > constants.ROLE_CLAIM_DELAY_S:
             self._acquire_roles()
 
     def _negotiate_format(self) -> None:
@@ -145,7 +145,7 @@
             "txn",
             [(TERM_KEY, mod_revision)],
             [(TERM_KEY, new, None)],
-            constants.FIRST,
+            constants.LEADERSHIP_WRITE_PRIORITY,
         )
 
     def _term_done(self, new: int, status: int, result: Any) -> None:
@@ -160,7 +160,7 @@
         elif status == 409:
             # Others raise it too, as all do at a cold start; what fails counts as a change.
             self.next_try = context.now + context.rng.uniform(
-                0.0, constants.TERM_SPREAD_S * context.settings.size
+                0.0, constants.TERM_RETRY_SPREAD_S * context.settings.size
             )
             context.call(self._term_read, "get", TERM_KEY, 0)
             self.busy.add("term")
@@ -178,7 +178,7 @@
         if status == 200:
             self.lease = result
             self.lease_since = self.context.now
-            self.next_renew = self.context.now + constants.NODE_RENEW_S
+            self.next_renew = self.context.now + constants.LEASE_RENEWAL_S
             self.key_written = False
         else:
             self.next_try = self.context.now + constants.BACKOFF_FIRST_S
@@ -230,10 +230,10 @@
                 "txn",
                 [(key, row[2] if row else 0)],
                 [(key, value, self.lease)],
-                constants.FIRST,
+                constants.LEADERSHIP_WRITE_PRIORITY,
             )
         if not due and context.now >= self.next_yield:
-            self.next_yield = context.now + constants.YIELD_S
+            self.next_yield = context.now + constants.ROLE_REBALANCE_S
             self._rebalance(held, nodes)
 
     def _rebalance(self, held: dict[str, str], nodes: list[str]) -> None:
--- a/oakmux/core/scheduling/backfill_candidates.py
+++ b/oakmux/core/scheduling/backfill_candidates.py
@@ -38,7 +38,7 @@
     if state != RUNNING:  # it has yet to fetch its image, or waits for the rest of its gang
         return spec.estimate_s + context.fetch_s(spec, machine.type)
     ran_s = context.now - machine.since.get(task, context.now)
-    overrun_s = max(constants.OVERRUN_LEAST_S, constants.OVERRUN_SHARE * ran_s)
+    overrun_s = max(constants.OVERRUN_MIN_S, constants.OVERRUN_SHARE * ran_s)
     return max(spec.estimate_s - ran_s, overrun_s if ran_s > spec.estimate_s else 0.0)
 
 
--- a/oakmux/core/scheduling/backfill_plan.py
+++ b/oakmux/core/scheduling/backfill_plan.py
@@ -78,7 +78,7 @@
     """Return how many tasks fit into free resources; as many as a record can hold if a task needs
     nothing."""
     if need == NO_RESOURCES:
-        return constants.CHUNK_TASKS
+        return constants.BLOCK_TASKS
     return task_capacity(free, need)
 
 
@@ -151,7 +151,7 @@
 
     The zone (or all zones together) with capacity for all tasks soonest is chosen; in it, of the
     capacity that is ready by then, what costs least. The `previous` plan's machines are kept
-    unless others are ready sooner by OPENING_MARGIN_S, so that plans don't alternate.
+    unless others are ready sooner by BACKFILL_MARGIN_S, so that plans don't alternate.
     """
     previous = previous or {}
     groups: dict[str | None, list[TaskSlot]] = {}
@@ -184,14 +184,14 @@
 
 def _plan_rank(plan: BackfillPlan, tasks: int, previous: Mapping[str, int]) -> PlanRank:
     kept = sum(min(count, previous.get(name, 0)) for name, count in plan.machines.items())
-    return PlanRank(plan.ready_s - constants.OPENING_MARGIN_S * kept / tasks, plan.lost_s)
+    return PlanRank(plan.ready_s - constants.BACKFILL_MARGIN_S * kept / tasks, plan.lost_s)
 
 
 def _cheapest_slots(
     slots: list[TaskSlot], tasks: int, ready_s: float, previous: Mapping[str, int]
 ) -> list[TaskSlot]:
     """Choose the cheapest slots that are ready in time, on each machine in their order."""
-    deadline_s = ready_s + min(ready_s, constants.OPENING_MARGIN_S)
+    deadline_s = ready_s + min(ready_s, constants.BACKFILL_MARGIN_S)
     by_machine: dict[str, list[TaskSlot]] = {}  # the next slot of a machine is the last
     for slot in reversed(slots):
         if slot.ready_s <= deadline_s:
--- a/oakmux/core/scheduling/backfill_planner.py
+++ b/oakmux/core/scheduling/backfill_planner.py
@@ -40,8 +40,9 @@
             default=0.0,
         )
         large = min(
-            constants.OPENING_MACHINES,
-            constants.OPENING_SHARE * len(self.index.feasible(spec, self.context.facts.zones)),
+            constants.BACKFILL_MIN_MACHINES,
+            constants.BACKFILL_FLEET_SHARE
+            * len(self.index.feasible(spec, self.context.facts.zones)),
         )
         return machines >= large
 
@@ -56,7 +57,7 @@
             return False
         if context.now < state.next_backfill_at:  # the announcement is valid for longer than that
             return bool(state.backfill_machines)
-        state.next_backfill_at = context.now + constants.OPENING_EVERY_S
+        state.next_backfill_at = context.now + constants.BACKFILL_PLAN_INTERVAL_S
         plan = self._plan(job, spec, state)
         if plan is None:
             return False
@@ -79,9 +80,9 @@
         return (
             (self.context.settings.scheduling.backfill or self.is_required(job, spec))
             and self.context.replica.format >= FORMAT_COMPACT
-            and spec.tasks >= constants.OPENING_TASKS
+            and spec.tasks >= constants.BACKFILL_MIN_TASKS
             and not spec.spread
-            and self.context.wall_clock_ms - job.since >= 1000 * constants.OPENING_AFTER_S
+            and self.context.wall_clock_ms - job.since >= 1000 * constants.BACKFILL_MIN_WAIT_S
         )
 
     def _plan(self, job: Job, spec: JobSpec, state: PendingJob) -> BackfillPlan | None:
@@ -95,18 +96,18 @@
             job,
             spec,
             self.index.sample(
-                feasible - reserved, constants.OPENING_LOOKS, state.excluded_machines
+                feasible - reserved, constants.BACKFILL_CANDIDATES, state.excluded_machines
             ),
         )
         need = Resources(spec.cpus, spec.gpus, spec.memory_gb)
-        spare = math.ceil(spec.tasks * constants.OPENING_SPARE)
+        spare = math.ceil(spec.tasks * constants.BACKFILL_SPARE_SHARE)
         plan = choose_plan(
             need, spec.tasks + spare, candidates, spec.one_zone, state.backfill_machines
         ) or choose_plan(need, spec.tasks, candidates, spec.one_zone, state.backfill_machines)
-        if plan is None or plan.ready_s > constants.OPENING_MOST_S:
+        if plan is None or plan.ready_s > constants.BACKFILL_HORIZON_S:
             return None
         # The first reservation is always allowed; further ones must leave enough for other work.
-        if reserved and len(reserved) + len(plan.machines) > constants.OPENING_SHARE * len(
+        if reserved and len(reserved) + len(plan.machines) > constants.BACKFILL_FLEET_SHARE * len(
             feasible
         ):
             return None
--- a/oakmux/core/scheduling/backfill_reservations.py
+++ b/oakmux/core/scheduling/backfill_reservations.py
@@ -38,11 +38,11 @@
         self.by_job.pop(job_id, None)
         for other in [other for other, row in self.by_job.items() if row.until <= now]:
             del self.by_job[other]
-        if machines and len(self.by_job) < constants.OPENINGS_MOST:
+        if machines and len(self.by_job) < constants.BACKFILL_MAX_RESERVATIONS:
             self.by_job[job_id] = BackfillReservation(
                 priority,
                 submitted_ms,
-                now + constants.OPENING_S,
+                now + constants.BACKFILL_RESERVATION_TTL_S,
                 now + ready_s,
                 frozenset(machines),
             )
@@ -72,11 +72,11 @@
             return False
         left_s = reservation.ready_at - self.context.now
         if job.priority < reservation.priority and spec.kind != "service" and not spec.joint:
-            return left_s < constants.OPENING_SOON_S
+            return left_s < constants.BACKFILL_FREEZE_S
         fetch_s = max(
             (self.context.fetch_s(spec, name) for name in self.context.types), default=0.0
         )
-        ends_s = spec.estimate_s * constants.OPENING_ERROR + fetch_s
+        ends_s = spec.estimate_s * constants.BACKFILL_ESTIMATE_FACTOR + fetch_s
         return spec.kind == "service" or ends_s > left_s
 
     def _precedes(self, job: Job, gang_id: str, reservation: BackfillReservation) -> bool:
--- a/oakmux/core/scheduling/binding.py
+++ b/oakmux/core/scheduling/binding.py
@@ -329,5 +329,5 @@
         state.excluded_machines.add(machine)
         if len(state.excluded_machines) > max(1, len(self.context.machines) // 2):
             state.excluded_machines.clear()
-        pause_s = min(constants.RETRY_FIRST_S * 2 ** (state.failures - 1), constants.RETRY_MOST_S)
+        pause_s = min(constants.RETRY_FIRST_S * 2 ** (state.failures - 1), constants.RETRY_MAX_S)
         state.retry_at = self.context.now + (pause_s if state.failures > 1 else 0.0)
--- a/oakmux/core/scheduling/gangs.py
+++ b/oakmux/core/scheduling/gangs.py
@@ -146,7 +146,7 @@
         spec, state = gang.spec, gang.state
         if self.context.now < max(state.next_wide_sample_at, state.preempt_at):
             return False
-        state.next_wide_sample_at = self.context.now + constants.WIDE_S
+        state.next_wide_sample_at = self.context.now + constants.FULL_SAMPLE_INTERVAL_S
         for group in groups:
             sampled = (row.machine.name for row in group.sampled)
             candidates = self.index.feasible(spec, group.zones) - self.index.bitmap(
--- a/oakmux/core/scheduling/machine_index.py
+++ b/oakmux/core/scheduling/machine_index.py
@@ -30,7 +30,7 @@
     """Machines that are alike for sampling.
 
     `gpus` are whole free GPUs. The levels are the free shares of CPUs and of memory, in steps of
-    1 / ROOM_LEVELS, rounded down. `idle` machines run nothing.
+    1 / CAPACITY_LEVELS, rounded down. `idle` machines run nothing.
     """
 
     type: str
@@ -111,13 +111,13 @@
 
 
 def free_level(share: float) -> int:
-    """Return a free share in steps of 1 / ROOM_LEVELS, rounded down."""
-    return math.floor(share * constants.ROOM_LEVELS + constants.EPSILON)
+    """Return a free share in steps of 1 / CAPACITY_LEVELS, rounded down."""
+    return math.floor(share * constants.CAPACITY_LEVELS + constants.EPSILON)
 
 
 def required_level(share: float) -> int:
-    """Return a required share in steps of 1 / ROOM_LEVELS, rounded up."""
-    return math.ceil(share * constants.ROOM_LEVELS - constants.EPSILON)
+    """Return a required share in steps of 1 / CAPACITY_LEVELS, rounded up."""
+    return math.ceil(share * constants.CAPACITY_LEVELS - constants.EPSILON)
 
 
 def may_fit(spec: JobSpec, kind: MachineType, capacity: CapacityClass) -> bool:
@@ -128,8 +128,8 @@
     """
     return (
         spec.gpus < capacity.gpus + 1
-        and spec.cpus / kind.cpus * constants.ROOM_LEVELS < capacity.cpu_level + 1
-        and spec.memory_gb / kind.memory_gb * constants.ROOM_LEVELS < capacity.memory_level + 1
+        and spec.cpus / kind.cpus * constants.CAPACITY_LEVELS < capacity.cpu_level + 1
+        and spec.memory_gb / kind.memory_gb * constants.CAPACITY_LEVELS < capacity.memory_level + 1
     )
 
 
@@ -308,7 +308,7 @@
         )
         order = self.class_orders.get(key)
         if order is None:
-            if len(self.class_orders) >= constants.MAX_QUEUE:
+            if len(self.class_orders) >= constants.MAX_REMEMBERED:
                 self.class_orders.clear()
             ranked = [
                 (rank, capacity)
@@ -334,7 +334,7 @@
             not capacity.spot if spec.gpus else capacity.spot,
             0 if spec.gpus else capacity.gpus,
             capacity.idle,
-            max(capacity.gpus / (kind.gpus or 1.0), capacity.level / constants.ROOM_LEVELS),
+            max(capacity.gpus / (kind.gpus or 1.0), capacity.level / constants.CAPACITY_LEVELS),
         )
 
     def draw(
@@ -350,8 +350,8 @@
         Machines that hold the image come before all others, better classes before worse ones.
         `available` may reduce a machine's free resources by what is promised to others.
         """
-        missing = wanted * constants.DRAW_RATIO + constants.DRAW_MORE
-        probes_left = constants.DRAW_LOOKS + math.ceil(missing)
+        missing = wanted * constants.SAMPLE_RATIO + constants.SAMPLE_EXTRA_TASKS
+        probes_left = constants.SAMPLE_EXTRA_MACHINES + math.ceil(missing)
         drawn: list[SampledMachine] = []
         for members, has_image in self._member_sets(spec, zones):
             for number in sample_members(self.context.rng, members, probes_left):
--- a/oakmux/core/scheduling/minimum_share.py
+++ b/oakmux/core/scheduling/minimum_share.py
@@ -58,6 +58,6 @@
     def granted_by_rank(self, spec: JobSpec, kind: MachineType) -> None:
         """Add the aged jobs' share of a grant to another job to the debt."""
         self.debt = min(
-            constants.MINIMUM_SHARE_OWED,
+            constants.MINIMUM_SHARE_DEBT_MAX,
             self.debt + self.share / (1 - self.share) * machine_share(spec, kind),
         )
--- a/oakmux/core/scheduling/pending_queues.py
+++ b/oakmux/core/scheduling/pending_queues.py
@@ -25,7 +25,7 @@
 class Requirement(NamedTuple):
     """What a task takes of a machine type that it fits.
 
-    The levels are shares of CPUs and of memory in steps of 1 / ROOM_LEVELS, rounded up.
+    The levels are shares of CPUs and of memory in steps of 1 / CAPACITY_LEVELS, rounded up.
     """
 
     type: str
--- a/oakmux/core/scheduling/placement.py
+++ b/oakmux/core/scheduling/placement.py
@@ -175,9 +175,9 @@
     the job's class.
     """
     fetch = fetch_s(context, spec, machine)
-    slow = fetch * constants.FETCH_SPREAD
+    slow = fetch * constants.FETCH_TIME_FACTOR
     if any(within < slow for within in context.start_objectives.get(spec.job_class, ())):
-        return fetch + constants.AIM_WORTH_S
+        return fetch + constants.OBJECTIVE_WORTH_S
     return fetch
 
 
@@ -197,7 +197,9 @@
     if spec.kind == "gang" and len(options) < wanted:
         return []
     for _, _, machine, saving in options[:wanted]:
-        state.preempt_at = max(state.preempt_at, context.now + constants.PREEMPT_S + saving)
+        state.preempt_at = max(
+            state.preempt_at, context.now + constants.PREEMPTION_RETRY_S + saving
+        )
         context.emit("send", machine.manager, ("reserve", machine.name, job.id, 1, True))
     return [option.machine.name for option in options[:wanted]]
 
@@ -211,7 +213,9 @@
     candidates = candidates & index.preemptible(
         job, quotas.teams_over_guarantee(context, job, spec, used)
     )
-    limit = math.ceil(constants.PREEMPT_LOOKS * wanted) + constants.DRAW_LOOKS
+    limit = (
+        math.ceil(constants.PREEMPTION_CANDIDATE_RATIO * wanted) + constants.SAMPLE_EXTRA_MACHINES
+    )
     with_image = candidates & index.image_holders.get(spec.image, BitMap())
     machines = index.sample(with_image, limit, state.excluded_machines)
     machines += index.sample(
--- a/oakmux/core/scheduling/queue_order.py
+++ b/oakmux/core/scheduling/queue_order.py
@@ -38,15 +38,17 @@
     on it has to end first.
     """
     joint = job.spec is not None and job.spec.joint
-    return constants.BEGIN_S * (constants.ELDER_GANG_SHARE if joint else constants.ELDER_SHARE)
+    return constants.START_LIMIT_S * (
+        constants.STARVATION_GANG_SHARE if joint else constants.STARVATION_SHARE
+    )
 
 
 def effective_submission_ms(context: Context, job: Job, spec: JobSpec) -> float:
     """Return the time (ms) that a job's age counts from: later for an array with much work."""
     if spec.kind != "array" or is_starving(context, job):
         return job.since
-    work = spec.tasks * spec.estimate_s * max(spec.gpus, constants.GPULESS_WEIGHT)
-    return job.since + 1000 * min(constants.SIZE_MOST_S, work / context.array_share_gpus)
+    work = spec.tasks * spec.estimate_s * max(spec.gpus, constants.CPU_TASK_GPUS)
+    return job.since + 1000 * min(constants.ARRAY_AGE_CUT_MAX_S, work / context.array_share_gpus)
 
 
 def misses_objective(context: Context, job: Job, spec: JobSpec) -> bool:
@@ -63,7 +65,9 @@
 def is_aged(context: Context, job: Job, spec: JobSpec) -> bool:
     """Whether a job has waited for so long that it is granted a minimum share of capacity."""
     objectives_s = context.start_objectives.get(spec.job_class)
-    patience_s = constants.AGED_AIMS * max(objectives_s) if objectives_s else constants.AGED_S
+    patience_s = (
+        constants.AGED_OBJECTIVES * max(objectives_s) if objectives_s else constants.AGED_S
+    )
     return context.wall_clock_ms - job.since > 1000 * patience_s or is_starving(context, job)
 
 
--- a/oakmux/core/scheduling/sampling.py
+++ b/oakmux/core/scheduling/sampling.py
@@ -83,7 +83,7 @@
         for job_id in gathering:
             self._sample(job_id)
         heads = self.schedule.heads()
-        for _ in range(constants.SAMPLES_PER_TICK - len(gathering)):
+        for _ in range(constants.SAMPLED_JOBS_PER_TICK - len(gathering)):
             if not heads:
                 break
             head = heads[0]
@@ -93,7 +93,7 @@
                 heapq.heappop(heads)
             else:
                 heapq.heapreplace(heads, next_head)
-        others = self.context.rng.sample(heads, min(len(heads), constants.SAMPLES_LOWER))
+        others = self.context.rng.sample(heads, min(len(heads), constants.SAMPLED_EXTRA_QUEUES))
         for head in others:
             self._sample(head.position.job_id)
 
@@ -104,7 +104,7 @@
             job = self.context.replica.jobs[job_id]
             if state is None or not state.offers or job.spec is None:
                 del self.binder.collecting[job_id]
-            elif self.context.now - state.offers[0].received_at >= constants.GATHER_S:
+            elif self.context.now - state.offers[0].received_at >= constants.OFFER_WINDOW_S:
                 del self.binder.collecting[job_id]
                 self.binder.choose(job, job.spec, state)
 
@@ -230,7 +230,7 @@
             self._request_capacity(sample, rows)
             self.schedule.defer(job.id, state.next_sample_at)
             found = sum(task_capacity(row.free, spec) for row in rows)
-            all_drawn = found < probes * constants.DRAW_RATIO + constants.DRAW_MORE
+            all_drawn = found < probes * constants.SAMPLE_RATIO + constants.SAMPLE_EXTRA_TASKS
             self.schedule.capacity_requested(shape, wanted, found if all_drawn else None)
         elif self._sample_widely(sample):
             self.schedule.defer(job.id, state.preempt_at)
@@ -241,7 +241,7 @@
     def _nothing_found(self, job: Job, state: PendingJob, shape: Shape, zones: list[str]) -> None:
         """Close the queue of a job that found nothing, unless that is due to the job itself."""
         if state.excluded_machines or len(zones) < len(self.context.facts.zones):
-            self.schedule.defer(job.id, self.context.now + constants.WIDE_S)
+            self.schedule.defer(job.id, self.context.now + constants.FULL_SAMPLE_INTERVAL_S)
         else:
             self.schedule.close_queue(shape)
 
@@ -255,7 +255,7 @@
         context = self.context
         if context.now < state.next_wide_sample_at:
             return False
-        state.next_wide_sample_at = context.now + constants.WIDE_S
+        state.next_wide_sample_at = context.now + constants.FULL_SAMPLE_INTERVAL_S
         feasible = self.index.feasible(spec, zones)
         preempted = request_preemption(
             context,
@@ -319,7 +319,7 @@
         if len(image_holders) >= wanted > sum(
             task_capacity(row.free, spec) for row in with_image
         ) and self._waits_for_image(spec, state, rows[0].machine):
-            state.next_sample_at = self.context.now + constants.WAIT_RESAMPLE_S
+            state.next_sample_at = self.context.now + constants.IMAGE_WAIT_RESAMPLE_S
             full = self.index.sample(image_holders, probes, state.excluded_machines)
             chosen = {machine.name: 1 for machine in full}
             chosen.update(choose_machines(self.context, job, spec, with_image, probes))
@@ -344,10 +344,12 @@
 
     def _max_image_wait_s(self, spec: JobSpec, machine: Machine) -> float:
         fetch_s = self.context.fetch_s(spec, machine.type)
-        slow_fetch_s = fetch_s * constants.FETCH_SPREAD
-        wait_s = fetch_s * constants.PATIENCE_SHARE
+        slow_fetch_s = fetch_s * constants.FETCH_TIME_FACTOR
+        wait_s = fetch_s * constants.IMAGE_WAIT_SHARE
         for within_s in self.context.start_objectives.get(spec.job_class, ()):
-            if fetch_s / constants.FETCH_SPREAD < within_s:  # a fetch now may meet the objective
+            if (
+                fetch_s / constants.FETCH_TIME_FACTOR < within_s
+            ):  # a fetch now may meet the objective
                 wait_s = min(wait_s, max(0.0, within_s - slow_fetch_s))
         if self.context.guarantee_objective_s is not None:
             wait_s = min(wait_s, self.context.guarantee_objective_s / 2)
--- a/oakmux/core/scheduling/sampling_schedule.py
+++ b/oakmux/core/scheduling/sampling_schedule.py
@@ -106,16 +106,20 @@
         smaller for urgent work: what it may preempt changes with time.
         """
         max_pause_s = (
-            constants.LINE_URGENT_S if shape.priority >= Priority.URGENT else constants.LINE_MOST_S
+            constants.QUEUE_RESAMPLE_URGENT_S
+            if shape.priority >= Priority.URGENT
+            else constants.QUEUE_RESAMPLE_MAX_S
         )
         old = self.closed.get(shape)
-        pause_s = constants.WIDE_S if old is None else min(max_pause_s, 2 * old.pause_s)
+        pause_s = (
+            constants.FULL_SAMPLE_INTERVAL_S if old is None else min(max_pause_s, 2 * old.pause_s)
+        )
         self.closed[shape] = ClosedQueue(self.context.now + pause_s, pause_s, False)
 
     def close_by_limit(self, shape: Shape) -> None:
         """Close a queue whose next task would exceed the team's limit."""
         self.closed[shape] = ClosedQueue(
-            self.context.now + constants.RESAMPLE_S, constants.WIDE_S, True
+            self.context.now + constants.RESAMPLE_S, constants.FULL_SAMPLE_INTERVAL_S, True
         )
 
     def capacity_requested(self, shape: Shape, tasks: int, found: int | None) -> None:
@@ -131,7 +135,9 @@
         requests.append(CapacityRequest(now + constants.RESAMPLE_S, tasks))
         self.requested[shape] = requests
         if found is not None and sum(request.tasks for request in requests) >= found:
-            self.closed[shape] = ClosedQueue(requests[0].until, constants.WIDE_S, False)
+            self.closed[shape] = ClosedQueue(
+                requests[0].until, constants.FULL_SAMPLE_INTERVAL_S, False
+            )
 
     def reopen_fitting(self, gained: Collection[CapacityClass]) -> None:
         """Reopen the queues that capacity gained by machines may suit."""
--- a/oakmux/core/state/batch_allocator.py
+++ b/oakmux/core/state/batch_allocator.py
@@ -14,7 +14,7 @@
 
     def __init__(self, context: Context, value_bytes: int) -> None:
         self.context = context
-        self.limit = min(constants.PAGE_BYTES, value_bytes)
+        self.limit = min(constants.BATCH_BYTES, value_bytes)
         # Rows that are not written yet, or not known to be: their page and bytes, by job.
         self.pending: dict[str, tuple[str, int]] = {}
         self.pending_bytes: Counter[str] = Counter()
--- a/oakmux/core/state/binding_batches.py
+++ b/oakmux/core/state/binding_batches.py
@@ -61,9 +61,9 @@
 
 def shares_batch(tasks: int, tasks_per_record: int) -> bool:
     """Whether the only block of a job of so many tasks goes into a batch."""
-    return tasks <= min(constants.PAGE_TASKS, tasks_per_record)
+    return tasks <= min(constants.BATCH_JOB_TASKS, tasks_per_record)
 
 
 def reserved_bytes(tasks: int) -> int:
     """Return the bytes that a job's row may take once all of its tasks are bound."""
-    return constants.PAGE_ROW_BYTES + tasks * constants.BINDING_BYTES
+    return constants.BATCH_ROW_BYTES + tasks * constants.BINDING_BYTES
--- a/oakmux/core/state/cancellation_index.py
+++ b/oakmux/core/state/cancellation_index.py
@@ -18,9 +18,9 @@
         if revision <= self.floor:
             return
         bisect.insort(self.by_revision, (revision, job_id))
-        if len(self.by_revision) > 2 * constants.CANCELS_KEPT:
-            self.floor = self.by_revision[constants.CANCELS_KEPT - 1][0]
-            self.by_revision = self.by_revision[constants.CANCELS_KEPT :]
+        if len(self.by_revision) > 2 * constants.CANCELLATIONS_KEPT:
+            self.floor = self.by_revision[constants.CANCELLATIONS_KEPT - 1][0]
+            self.by_revision = self.by_revision[constants.CANCELLATIONS_KEPT :]
 
     def since(self, revision: int) -> list[str] | None:
         """Return the jobs known to be cancelled after a revision; None if it is below the floor.
--- a/oakmux/core/state/formats.py
+++ b/oakmux/core/state/formats.py
@@ -33,4 +33,4 @@
 
 def tasks_per_block(value_kb: float) -> int:
     """Return how many tasks share a task block, so that its value stays below the limit."""
-    return max(1, min(constants.CHUNK_TASKS, int(value_kb * 1024 / constants.BINDING_BYTES)))
+    return max(1, min(constants.BLOCK_TASKS, int(value_kb * 1024 / constants.BINDING_BYTES)))
--- a/oakmux/core/state/record_writer.py
+++ b/oakmux/core/state/record_writer.py
@@ -78,8 +78,8 @@
         self.outgrown: set[str] = set()
         limits = context.facts.store.strictest
         # A transaction far above our share of the rate would hold up all that comes after it.
-        share = int(constants.WRITES_S * limits.write_rps / context.settings.size)
-        self.most_writes = min(limits.txn_ops, max(constants.WRITES_LEAST, share))
+        share = int(constants.TRANSACTION_RATE_S * limits.write_rps / context.settings.size)
+        self.most_writes = min(limits.txn_ops, max(constants.TRANSACTION_MIN_CHANGES, share))
         self.most_guards = 4 * limits.txn_ops
 
     def flush(self) -> None:
@@ -231,7 +231,7 @@
             limit = self.buffer.limit()
             log.error("event=record_too_large key=%s bytes=%s limit=%s", key, size, limit)
         for block in blocks:
-            self.buffer.dirty[block] = self.context.now + constants.RETRY_MOST_S
+            self.buffer.dirty[block] = self.context.now + constants.RETRY_MAX_S
 
     # --- chunks in pages ---
 
@@ -337,7 +337,7 @@
         if status == 400:
             # Certainly not written, and never will be as it is: the limits have fallen.
             self.buffer.refused = True
-            self.write_after = self.context.now + constants.BACKOFF_MOST_S
+            self.write_after = self.context.now + constants.BACKOFF_MAX_S
         elif status == 409 and result is not None:
             self._reread(result[1])
         elif status != 503:  # 503: certainly not written
--- a/oakmux/core/state/write_buffer.py
+++ b/oakmux/core/state/write_buffer.py
@@ -52,8 +52,8 @@
         share = limits.write_rps / context.settings.size
         self.configured_tasks_per_record = tasks_per_block(context.facts.store.value_kb)
         self.coalesce_s = min(
-            max(constants.COALESCE_S, constants.COALESCE_CHANGES / share),
-            constants.COALESCE_MOST_S,
+            max(constants.COALESCE_MIN_S, constants.COALESCE_CHANGES / share),
+            constants.COALESCE_MAX_S,
         )
         self.batches = BatchAllocator(context, self.least_bytes)
 
@@ -235,7 +235,7 @@
         first = is_starving(self.context, job)
         old = first or (
             spec.kind == "gang"
-            and (self.context.wall_clock_ms - job.since > 1000 * constants.OPENING_AFTER_S)
+            and (self.context.wall_clock_ms - job.since > 1000 * constants.BACKFILL_MIN_WAIT_S)
         )
         for priority, lower in self.context.replica.usage.preemptible.get(job.team, {}).items():
             if priority < job.priority or (priority == job.priority and old):
@@ -253,7 +253,7 @@
                 ),
             )
             self.limit_claims[job.id] = LimitClaim(
-                now + constants.LIMIT_CLAIM_S,
+                now + constants.LIMIT_CLAIM_TTL_S,
                 job.team,
                 job.priority,
                 job.since if old else math.inf,
--- a/oakmux/schedules/api.py
+++ b/oakmux/schedules/api.py
@@ -85,7 +85,7 @@
             self._error(rid, RefusedError(404, "unknown operation"))
         elif not context.replica.loaded or context.replica.unknown_format:
             self._error(rid, RefusedError(503, "starting"))
-        elif context.now - context.store_seen_at > constants.STATE_STALE_S:
+        elif context.now - context.store_seen_at > constants.STORE_STALE_S:
             self._error(rid, RefusedError(503, "no current records"))
         else:
             self._attempt(rid, partial(serve, rid, args))
@@ -99,7 +99,7 @@
         except UNPROCESSABLE as error:
             self._error(rid, RefusedError(422, str(error)))
         except (KeyError, TypeError, ValueError, OverflowError, msgspec.ValidationError) as error:
-            self._error(rid, RefusedError(400, f"bad request: {error!r}"[: constants.NOTE_TEXT]))
+            self._error(rid, RefusedError(400, f"bad request: {error!r}"[: constants.NOTE_CHARS]))
 
     def _error(self, rid: Any, error: RefusedError) -> None:
         self.context.emit("answer", rid, error.status, ("error", str(error)))
@@ -155,8 +155,8 @@
                 answer(status, body)
             elif (
                 outcome == 409
-                and tries < constants.DESK_TRIES
-                and len(self.again) < constants.MAX_WAITING
+                and tries < constants.REQUEST_TRIES
+                and len(self.again) < constants.MAX_WAITING_REQUESTS
             ):
                 # The watch brings what was in the way within a moment.
                 self.again.append(
@@ -233,10 +233,10 @@
             raise RefusedError(422, f"overlap: one of {', '.join(OVERLAPS)}")
         if made.catch_up not in CATCH_UPS:
             raise RefusedError(422, f"catch_up: one of {', '.join(CATCH_UPS)}")
-        if not 0 < made.window_s <= constants.WINDOW_MOST_S:
-            raise RefusedError(422, f"window_s: 1 to {constants.WINDOW_MOST_S}")
-        if not 0 <= made.jitter_s <= constants.JITTER_MOST_S:
-            raise RefusedError(422, f"jitter_s: 0 to {constants.JITTER_MOST_S}")
+        if not 0 < made.window_s <= constants.CATCH_UP_WINDOW_MAX_S:
+            raise RefusedError(422, f"window_s: 1 to {constants.CATCH_UP_WINDOW_MAX_S}")
+        if not 0 <= made.jitter_s <= constants.JITTER_MAX_S:
+            raise RefusedError(422, f"jitter_s: 0 to {constants.JITTER_MAX_S}")
         return made
 
     def _made(self, args: dict) -> Entry:
@@ -249,12 +249,12 @@
             made = msgspec.convert(rule, Rule)
             if made.kind not in ("cron", "calendar"):
                 raise RefusedError(
-                    422, f"unknown kind of rule {made.kind[: constants.LOG_TEXT]!r}"
+                    422, f"unknown kind of rule {made.kind[: constants.LOG_TEXT_CHARS]!r}"
                 )
         zones.zone(made.zone)
         template = str(args["template"])
         if template not in self.store.templates:
-            raise RefusedError(422, f"no template {template[: constants.LOG_TEXT]}")
+            raise RefusedError(422, f"no template {template[: constants.LOG_TEXT_CHARS]}")
         if template.partition("/")[0] != name.partition("/")[0]:
             raise RefusedError(422, f"{template} is another team's template")
         self._need_types()
@@ -271,10 +271,10 @@
             bool(args.get("paused")),
             self.wall_clock.now_ms(),
             deadline_s=None if deadline is None else float(deadline),
-            note=str(args.get("note", ""))[: constants.NOTE_TEXT],
-            etag=str(args.get("etag", ""))[: constants.ETAG_TEXT],
-            component=str(args.get("component", ""))[: constants.ETAG_TEXT],
-            uid=str(args.get("uid", ""))[: constants.NOTE_TEXT],
+            note=str(args.get("note", ""))[: constants.NOTE_CHARS],
+            etag=str(args.get("etag", ""))[: constants.ETAG_CHARS],
+            component=str(args.get("component", ""))[: constants.ETAG_CHARS],
+            uid=str(args.get("uid", ""))[: constants.NOTE_CHARS],
         )
 
     def _now_s(self) -> int:
@@ -322,8 +322,8 @@
 
     def _few(self, rows: list) -> list:
         """Bound what one request computes: the turns of an entry may take milliseconds."""
-        if not isinstance(rows, list) or not 0 < len(rows) <= constants.SHOW_TURNS:
-            raise RefusedError(400, f"entries: 1 to {constants.SHOW_TURNS} in a request")
+        if not isinstance(rows, list) or not 0 < len(rows) <= constants.SHOWN_FIRINGS:
+            raise RefusedError(400, f"entries: 1 to {constants.SHOWN_FIRINGS} in a request")
         return rows
 
     def _put(self, rid: Any, args: dict) -> None:
@@ -530,7 +530,7 @@
         """Make one turn by hand. Asked again with the same word, the same jobs are told."""
         said: dict[str, Any] = {}
         word = str(args["word"])
-        if not NAME.match(word) or len(word) > constants.WORD_TEXT:
+        if not NAME.match(word) or len(word) > constants.MANUAL_FIRING_KEY_CHARS:
             raise RefusedError(400, "word: up to 16 letters and digits")
 
         def build() -> Change:
@@ -567,7 +567,7 @@
     def _put_calendar(self, rid: Any, args: dict) -> None:
         name, team = self._named("calendar", args)
         made = Calendar(
-            str(args.get("title") or name.partition("/")[2])[: constants.NOTE_TEXT],
+            str(args.get("title") or name.partition("/")[2])[: constants.NOTE_CHARS],
             str(args.get("zone") or "UTC"),
             str(args.get("template") or ""),
         )
--- a/oakmux/schedules/calendars.py
+++ b/oakmux/schedules/calendars.py
@@ -51,7 +51,7 @@
     except (BadCalendar, RuleError, zones.UnknownZoneError) as error:
         raise BadCalendar(str(error)) from None
     except Exception as error:  # the parser's and its values' errors are of many kinds
-        raise BadCalendar(f"not iCalendar: {error!r}"[: constants.NOTE_TEXT]) from None
+        raise BadCalendar(f"not iCalendar: {error!r}"[: constants.NOTE_CHARS]) from None
 
 
 def _object(parsed: Any, components: list, zone: str) -> Object:
@@ -91,7 +91,7 @@
         _policy(master),
         _deadline(master, first, own, zone),
         str(master.get("STATUS", "")).upper() in ("CANCELLED", "COMPLETED"),
-        str(master.get("SUMMARY", ""))[: constants.NOTE_TEXT],
+        str(master.get("SUMMARY", ""))[: constants.NOTE_CHARS],
     )
 
 
@@ -108,7 +108,7 @@
             return tried
         except zones.UnknownZoneError:
             continue
-    raise BadCalendar(f"TZID {name[: constants.LOG_TEXT]!r}: only zones of the tz database")
+    raise BadCalendar(f"TZID {name[: constants.LOG_TEXT_CHARS]!r}: only zones of the tz database")
 
 
 def _wall(moment: date, params: Any, own: str, zone: str) -> int:
--- a/oakmux/schedules/commands.py
+++ b/oakmux/schedules/commands.py
@@ -295,7 +295,7 @@
 
 def slug(text: str) -> str:
     """Return what of a text may stand in a name."""
-    return WORD.sub("-", text).strip("-")[: constants.SLUG_TEXT] or "entry"
+    return WORD.sub("-", text).strip("-")[: constants.SLUG_CHARS] or "entry"
 
 
 def qualified(team: str, name: str) -> str:
@@ -336,7 +336,7 @@
             "rule": {"cron": line.rule.text, "zone": line.rule.zone},
             "template": qualified(team, what),
             "policy": rules,
-            "note": note[: constants.NOTE_TEXT],
+            "note": note[: constants.NOTE_CHARS],
         }
 
     def name(self, team: str, word: str, text: str) -> str:
--- a/oakmux/schedules/dav/serve.py
+++ b/oakmux/schedules/dav/serve.py
@@ -91,7 +91,7 @@
         live: set[ServerProtocol] = set()
         host, port = settings.split_addr(addr)
         server = await asyncio.get_running_loop().create_server(
-            lambda: DavProtocol(self.handle, live, limit, constants.DAV_BODY),
+            lambda: DavProtocol(self.handle, live, limit, constants.DAV_BODY_BYTES),
             host,
             port,
             ssl=context,
@@ -102,7 +102,7 @@
     def handle(self, request: Request) -> None:
         """Take one request; it is answered from a task of its own."""
         assert isinstance(request, DavRequest)
-        if len(self.tasks) >= constants.MAX_WAITING:
+        if len(self.tasks) >= constants.MAX_WAITING_REQUESTS:
             request.reply(503, Retry_After=str(constants.RETRY_AFTER_S))
             return
         task = asyncio.get_running_loop().create_task(self._serve(request))
@@ -202,7 +202,7 @@
             CAL + "supported-calendar-component-set": Prop(
                 "", tuple(_component(name) for name in calendars.KEPT)
             ),
-            CAL + "max-resource-size": Prop(str(constants.DAV_BODY)),
+            CAL + "max-resource-size": Prop(str(constants.DAV_BODY_BYTES)),
         }
 
     def _object_props(self, row: dict, data: bool) -> dict[str, Prop]:
--- a/oakmux/schedules/dav/tokens.py
+++ b/oakmux/schedules/dav/tokens.py
@@ -46,7 +46,7 @@
             if hmac.compare_digest(_hash(salt, token), hashed):
                 found = team
         if found is not None:
-            if len(self._known) >= constants.TOKENS_KEPT:
+            if len(self._known) >= constants.CACHED_TOKENS:
                 self._known.clear()
             self._known[quick] = found
         return found
--- a/oakmux/schedules/dispatcher.py
+++ b/oakmux/schedules/dispatcher.py
@@ -178,7 +178,7 @@
         # Without news from the state service nothing can be written, and what runs is not known.
         if (
             not self.wall_clock.is_steady
-            or self.context.now - self.context.store_seen_at > constants.STATE_STALE_S
+            or self.context.now - self.context.store_seen_at > constants.STORE_STALE_S
         ):
             return
         now_ms = self.wall_clock.now_ms()
@@ -190,7 +190,7 @@
             if plan is not None and id(plan) == serial:
                 self._mark_due(plan)
         if self.context.now >= self.next_look:
-            self.next_look = self.context.now + constants.QUEUED_LOOK_S
+            self.next_look = self.context.now + constants.QUEUE_CHECK_INTERVAL_S
             for name in sorted(self.queued):
                 plan = self.plans.get(name)
                 if plan is not None and not self.has_unfinished_jobs(plan.entry, plan.slot):
@@ -239,7 +239,7 @@
             try:
                 plan = FiringPlan(entry, slot)
             except Exception as error:  # one rule that fails must not hold up all others
-                event("firing_failed", entry=name, why=repr(error)[: constants.LOG_TEXT])
+                event("firing_failed", entry=name, why=repr(error)[: constants.LOG_TEXT_CHARS])
                 continue
             plan.tries = self.id_attempts.get(name, 0)
             self.plans[name] = plan
@@ -305,7 +305,7 @@
                     event(
                         "firing_failed",
                         entry=plan.entry.name,
-                        why=repr(error)[: constants.LOG_TEXT],
+                        why=repr(error)[: constants.LOG_TEXT_CHARS],
                     )
                     self.due.pop(plan.entry.name)
                     continue
@@ -500,11 +500,11 @@
         """Try turns again later. 409: the watch brings what was in the way. No answer: they may
         still be written late; then what we try again fails on the shard's version."""
         failures = self.failed.get(batch.shard, 0)
-        pause = min(constants.BACKOFF_MOST_S, constants.FIRING_RETRY_S * 2**failures)
+        pause = min(constants.BACKOFF_MAX_S, constants.FIRING_RETRY_S * 2**failures)
         self.failed[batch.shard] = min(failures + 1, 10)
         if status == 400:
             event("firings_refused", shard=batch.shard, jobs=len(batch.writes))
-            pause = constants.RETRY_MOST_S
+            pause = constants.RETRY_MAX_S
         self.retry_at[batch.shard] = self.context.now + pause
         if status == 409 and result is not None:
             self._resolve_id_conflicts(batch, result)
@@ -517,6 +517,6 @@
             return  # perhaps it is our own that was written without our hearing of it
         for name, owner in batch.owners.items():
             if job_key(name) in failed:
-                tries = min(self.id_attempts.get(owner, 0) + 1, constants.ID_TRIES)
+                tries = min(self.id_attempts.get(owner, 0) + 1, constants.JOB_ID_TRIES)
                 self.id_attempts[owner] = tries
                 event("job_id_conflict", job=name, entry=owner, tries=tries)
--- a/oakmux/schedules/firings.py
+++ b/oakmux/schedules/firings.py
@@ -131,7 +131,7 @@
 def _stars(rule: Rule, after: int, explain: bool) -> Iterator[Firing]:
     start = zones.as_wall(zones.local(after, rule.zone))
     if zones.change_near(after, rule.zone):
-        start -= int(constants.FOLD_MOST_S)
+        start -= int(constants.CLOCK_CHANGE_MAX_S)
     held: list[Firing] = []  # second showings come after first ones of later wall times
     twice = "clocks show this hour twice: so often runs in both" if explain else ""
     for moment in CronSim(rule.text, zones.from_wall(start)):
@@ -161,7 +161,7 @@
     found: list[int] = []
     for moment in CronSim(rule.text, zones.from_wall(first)):
         wall = zones.as_wall(moment)
-        if wall >= last or len(found) >= constants.SHOW_TURNS:
+        if wall >= last or len(found) >= constants.SHOWN_FIRINGS:
             break
         found.append(wall)
     return found
@@ -185,8 +185,8 @@
         raise RuleError("RRULE: COUNT and UNTIL exclude each other")
     for name in ("COUNT", "INTERVAL"):
         value = parts.get(name, "1")
-        if not value.isdigit() or not 0 < int(value) <= constants.RRULE_COUNT:
-            raise RuleError(f"RRULE: {name} must be 1 to {constants.RRULE_COUNT}")
+        if not value.isdigit() or not 0 < int(value) <= constants.RRULE_MAX_COUNT:
+            raise RuleError(f"RRULE: {name} must be 1 to {constants.RRULE_MAX_COUNT}")
     if "BYSECOND" in parts or "BYMINUTE" in parts and freq == "HOURLY":
         raise RuleError("RRULE: minutes are not the finest that is kept")
     if start < 0:
@@ -206,7 +206,7 @@
     for part in text.upper().split(";"):
         match = RULE_PART.match(part)
         if match is None:
-            raise RuleError(f"RRULE: {part[: constants.LOG_TEXT]!r} is not a part of a rule")
+            raise RuleError(f"RRULE: {part[: constants.LOG_TEXT_CHARS]!r} is not a part of a rule")
         parts[match[1]] = match[2]
     return parts
 
@@ -241,7 +241,7 @@
     place = max((abs(n) for n in _numbers(parts.get("BYSETPOS", ""))), default=1)
     times = [len(_numbers(parts.get(name, ""))) or 1 for name in ("BYHOUR", "BYMINUTE")]
     found: dict[tuple, int] = {}
-    for shift in range(constants.HORIZON_DAYS[freq]):
+    for shift in range(constants.RECURRENCE_HORIZON_DAYS[freq]):
         day = first + timedelta(days=shift)
         phase, period = _period(freq, first, day)
         length = calendar.monthrange(day.year, day.month)[1]
@@ -312,7 +312,7 @@
         wall = zones.as_wall(moment)
         seen += 1
         if wall <= rule.start or wall <= after:
-            if seen > constants.RRULE_COUNT:
+            if seen > constants.RRULE_MAX_COUNT:
                 return
             continue
         seen = 0
@@ -330,7 +330,7 @@
         {w for w in rule.more if w not in moved and w not in gone}
         | {new for new in moved.values() if new is not None}
     )
-    reach = int(constants.FOLD_MOST_S)
+    reach = int(constants.CLOCK_CHANGE_MAX_S)
     regular = _instances(rule, after - reach) if rule.text else iter([rule.start])
     plain = (wall for wall in regular if wall not in moved and wall not in gone)
     last = after
--- a/oakmux/schedules/queries.py
+++ b/oakmux/schedules/queries.py
@@ -37,7 +37,7 @@
     def team(self, name: Any) -> str:
         """Check a team's name."""
         if not isinstance(name, str) or name not in self.context.teams:
-            raise RefusedError(422, f"unknown team {str(name)[: constants.LOG_TEXT]!r}")
+            raise RefusedError(422, f"unknown team {str(name)[: constants.LOG_TEXT_CHARS]!r}")
         return name
 
     def name(self, name: Any) -> str:
@@ -46,7 +46,7 @@
         if not 2 <= len(parts) <= 3 or not all(NAME.match(part) for part in parts):
             raise RefusedError(
                 422,
-                f"{str(name)[: constants.LOG_TEXT]!r}: a name is TEAM/NAME, "
+                f"{str(name)[: constants.LOG_TEXT_CHARS]!r}: a name is TEAM/NAME, "
                 "letters, digits and _.@+=-, 80 at most",
             )
         if parts[0] not in self.context.teams and name not in self.store.entries:
@@ -77,13 +77,13 @@
             for name, template in sorted(self.store.templates.items())
             if name.startswith(prefix)
         ]
-        self.say(rid, {"templates": rows[: constants.SHOW_TURNS]})
+        self.say(rid, {"templates": rows[: constants.SHOWN_FIRINGS]})
 
     def entries(self, rid: Any, args: dict) -> None:
         """Tell entries, a page at a time."""
         prefix, after = str(args.get("prefix", "")), str(args.get("after", ""))
         names = sorted(n for n in self.store.entries if n.startswith(prefix) and n > after)
-        rows = [self.row(self.store.entries[name]) for name in names[: constants.SHOW_TURNS]]
+        rows = [self.row(self.store.entries[name]) for name in names[: constants.SHOWN_FIRINGS]]
         self.say(rid, {"entries": rows, "more": len(names) > len(rows)})
 
     def row(self, entry: Entry) -> dict:
@@ -139,7 +139,7 @@
     def next(self, rid: Any, args: dict) -> None:
         """Tell the turns to come, and what a change of clocks leaves out."""
         entry, slot = self.entry(args)
-        count = max(1, min(int(args.get("count", 10)), constants.SHOW_TURNS))
+        count = max(1, min(int(args.get("count", 10)), constants.SHOWN_FIRINGS))
         mark = (
             max(slot.mark, mark_at(entry.rule, int(args["since"])))
             if "since" in args
--- a/oakmux/schedules/records.py
+++ b/oakmux/schedules/records.py
@@ -108,8 +108,8 @@
     ) -> "Slot":
         """Return the slot after one more decision; old rows fall away."""
         rows = [row for row in self.rows if not (row[0] == at and row[1] == QUEUED)]
-        rows.append((at, outcome, tries, note[: constants.ROW_TEXT]))
-        return Slot(self.name, mark, pending, rows[-constants.ROWS_KEPT :])
+        rows.append((at, outcome, tries, note[: constants.DECISION_NOTE_BYTES]))
+        return Slot(self.name, mark, pending, rows[-constants.DECISIONS_KEPT :])
 
 
 def entry_key(name: str) -> str:
--- a/oakmux/schedules/replay/model.py
+++ b/oakmux/schedules/replay/model.py
@@ -149,7 +149,7 @@
         firing = model.queue(len(writes))
         model.after(firing + model.rng.uniform(*way), arrive)
         if lost or model.down:
-            model.after(firing + constants.STATE_TIMEOUT_S, lambda: answer(0, None))
+            model.after(firing + constants.STORE_TIMEOUT_S, lambda: answer(0, None))
 
     def hear(self, events: list[tuple[str, Any, int]]) -> None:
         """Take news of the watch."""
@@ -285,7 +285,7 @@
 
     def takeover(self) -> None:
         """The holder is gone: its lease ends, another takes the role."""
-        self.after(constants.NODE_LEASE_S + self.rng.uniform(0.1, 1.0), self.elect)
+        self.after(constants.CONTROLLER_LEASE_S + self.rng.uniform(0.1, 1.0), self.elect)
 
     def crash(self, one: Controller, back: float) -> None:
         """End a controller; it comes back after a time."""
--- a/oakmux/schedules/templates.py
+++ b/oakmux/schedules/templates.py
@@ -36,7 +36,9 @@
         except (TypeError, ValueError):
             raise TemplateError("a step is a name, a job and what it waits on") from None
         if not isinstance(name, str) or not NAME.match(name) or name in names:
-            raise TemplateError(f"step {str(name)[: constants.LOG_TEXT]!r}: not a name of its own")
+            raise TemplateError(
+                f"step {str(name)[: constants.LOG_TEXT_CHARS]!r}: not a name of its own"
+            )
         if not isinstance(job, dict) or not isinstance(needs, list):
             raise TemplateError(f"{name}: not a job")
         if name in needs:
@@ -44,7 +46,7 @@
         unknown = [need for need in needs if need not in names]
         if unknown:
             raise TemplateError(
-                f"{name}: waits on {str(unknown[0])[: constants.LOG_TEXT]!r}, which "
+                f"{name}: waits on {str(unknown[0])[: constants.LOG_TEXT_CHARS]!r}, which "
                 "is not a step before it"
             )
         try:
--- a/oakmux/schedules/zones.py
+++ b/oakmux/schedules/zones.py
@@ -13,7 +13,7 @@
     """A name that tzdata does not know; the text says so."""
 
 
-@lru_cache(maxsize=constants.ZONES_KEPT)
+@lru_cache(maxsize=constants.CACHED_TIME_ZONES)
 def zone(name: str) -> tzinfo:
     """Return the time zone of a name like `Africa/Nairobi`; raises UnknownZone."""
     if name == "UTC":
@@ -21,7 +21,7 @@
     try:
         return zoneinfo.ZoneInfo(name)
     except (zoneinfo.ZoneInfoNotFoundError, ValueError, OSError):
-        raise UnknownZoneError(f"unknown time zone {name[: constants.LOG_TEXT]!r}") from None
+        raise UnknownZoneError(f"unknown time zone {name[: constants.LOG_TEXT_CHARS]!r}") from None
 
 
 def local(at: int, name: str) -> datetime:
@@ -62,7 +62,7 @@
 
 def change_before(at: int, name: str) -> int:
     """Return the first instant of an offset that began within hours before an instant."""
-    return change_between(at - int(constants.FOLD_MOST_S), at, name)
+    return change_between(at - int(constants.CLOCK_CHANGE_MAX_S), at, name)
 
 
 def change_between(low: int, high: int, name: str) -> int:
@@ -79,7 +79,7 @@
 
 def change_near(at: int, name: str) -> tuple[timedelta, timedelta] | None:
     """Return the offsets before and after if clocks were changed in the hours round an instant."""
-    reach = int(constants.FOLD_MOST_S)
+    reach = int(constants.CLOCK_CHANGE_MAX_S)
     before = local(at - reach, name).utcoffset() or timedelta(0)
     after = local(at + reach, name).utcoffset() or timedelta(0)
     return (before, after) if before != after else None
--- a/oakmux/service.py
+++ b/oakmux/service.py
@@ -76,7 +76,7 @@
 
     def offer(self, command: tuple) -> bool:
         """Queue a command from outside unless too many wait."""
-        if len(self.commands) >= constants.MAX_QUEUE:
+        if len(self.commands) >= constants.MAX_QUEUED_COMMANDS:
             return False
         self.put(command)
         return True
@@ -86,7 +86,7 @@
         self.commands.append(command)
         if not self.scheduled:
             self.scheduled = True
-            self.loop.call_later(constants.BATCH_S, self.turn)
+            self.loop.call_later(constants.COMMAND_BATCH_S, self.turn)
 
     def turn(self) -> None:
         """Give the core its batch and carry out the effects."""
@@ -140,13 +140,15 @@
 
     async def run(self) -> None:
         """Serve until killed."""
-        most = int(self.conf.facts.resources.fd_limit * (1 - constants.OWN_SOCKETS_SHARE))
-        await self.listen(self.conf.public_address, self.front.public, most, constants.MAX_BODY)
+        most = int(self.conf.facts.resources.fd_limit * (1 - constants.CLIENT_SOCKETS_SHARE))
+        await self.listen(
+            self.conf.public_address, self.front.public, most, constants.MAX_BODY_BYTES
+        )
         await self.listen(
             self.conf.internal_address,
             self.front.internal,
             constants.PEER_CONNECTIONS * 4 * self.conf.size,
-            constants.PEER_BODY,
+            constants.PEER_BODY_BYTES,
         )
         for plugin in self.plugins:
             await plugin.start(self.offer, most)
--- a/oakmux/transport/cloud_client.py
+++ b/oakmux/transport/cloud_client.py
@@ -35,7 +35,7 @@
         self.put = put
         # One controller holds the fleet; the others only read the catalogue now and then.
         self.bucket = TokenBucket(
-            settings.facts.cloud.rps * constants.CLOUD_SHARE, constants.CLOUD_BURST_S
+            settings.facts.cloud.rps * constants.CLOUD_RATE_SHARE, constants.CLOUD_BURST_S
         )
         self.turn = asyncio.Lock()
         self.client = Client(constants.CLOUD_CONNECTIONS)
@@ -48,7 +48,12 @@
             self.bucket.take(1)
         data = b"" if body is None else encode(body)
         status, answer = await self.client.request(
-            self.addr, method, path, data, constants.CLOUD_TIMEOUT_S, constants.MAX_STATE_BODY
+            self.addr,
+            method,
+            path,
+            data,
+            constants.CLOUD_TIMEOUT_S,
+            constants.MAX_STORE_BODY_BYTES,
         )
         return status, decode(answer) if answer else None
 
@@ -70,7 +75,7 @@
         rows: list[ListedInstance] = []
         since = ""
         while True:
-            path = f"{PATH_INSTANCES}?page={constants.STATE_PAGE}"
+            path = f"{PATH_INSTANCES}?page={constants.LIST_PAGE_ITEMS}"
             if since:
                 path += f"&since={quote(since)}"
             status, answer = await self._call("GET", path)
@@ -104,7 +109,7 @@
                 if status == 200:
                     self.put(("catalogue", parse_catalogue(answer)))
                     tries = 0
-                    await asyncio.sleep(constants.CATALOGUE_S)
+                    await asyncio.sleep(constants.CATALOGUE_INTERVAL_S)
                     continue
             except (RequestNotSent, NoResponse, Malformed) as error:
                 log.info("event=catalogue_failed why=%s", error)
--- a/oakmux/transport/http.py
+++ b/oakmux/transport/http.py
@@ -77,7 +77,7 @@
         handler: Callable[[Request], None],
         live: set["ServerProtocol"],
         limit: int,
-        max_body: int = constants.MAX_BODY,
+        max_body: int = constants.MAX_BODY_BYTES,
     ) -> None:
         self.handler = handler
         self.max_body = max_body
@@ -120,7 +120,7 @@
     def on_url(self, url: bytes) -> None:
         """Collect the path."""
         self.url += url
-        if len(self.url) > constants.MAX_BODY:
+        if len(self.url) > constants.MAX_BODY_BYTES:
             raise httptools.HttpParserError("path too long")
 
     def on_body(self, body: bytes) -> None:
@@ -246,7 +246,7 @@
         path: str,
         body: bytes,
         timeout: float,
-        limit: int = constants.MAX_BODY,
+        limit: int = constants.MAX_BODY_BYTES,
     ) -> tuple[int, bytes]:
         """Return (status, body); raises NotSent or NoAnswer."""
         data = (
@@ -271,7 +271,7 @@
             except TimeoutError:
                 raise NoResponse("timeout") from None
             finally:
-                if kept and len(pool) < constants.POOL_PER_ADDR:
+                if kept and len(pool) < constants.IDLE_CONNECTIONS_PER_ADDRESS:
                     pool.append(proto)
                 else:
                     proto.usable = False
--- a/oakmux/transport/peer_client.py
+++ b/oakmux/transport/peer_client.py
@@ -113,19 +113,19 @@
         """Wait until a batch is worth its request: longer for mere news of machines."""
         if len(self.outbox) < constants.PEER_BATCH and not self.hurry.is_set():
             try:
-                async with asyncio.timeout(constants.PEER_NEWS_S):
+                async with asyncio.timeout(constants.PEER_UPDATE_WINDOW_S):
                     await self.hurry.wait()
             except TimeoutError:
                 pass
         if len(self.outbox) < constants.PEER_BATCH:
-            await asyncio.sleep(constants.PEER_GATHER_S)
+            await asyncio.sleep(constants.PEER_BATCH_WINDOW_S)
         self.hurry.clear()
 
     async def _send(self, batch: list[tuple]) -> None:
         asked = asyncio.get_running_loop().time()
         body = encode(["batch", self.label, batch, self.since()])
         status, answer = await self.client.request(
-            self.addr, "POST", PATH, body, constants.PEER_TIMEOUT_S, constants.PEER_BODY
+            self.addr, "POST", PATH, body, constants.PEER_TIMEOUT_S, constants.PEER_BODY_BYTES
         )
         if status != 200:
             raise NoResponse(f"status {status}")
--- a/oakmux/transport/rate_limit.py
+++ b/oakmux/transport/rate_limit.py
@@ -47,11 +47,11 @@
         """Return the changes that may be taken ahead."""
         if self.since is None:
             self.since = now
-        grown = min(1.0, (now - self.since) / constants.USER_AHEAD_GROWS_S)
-        return self.rate * constants.USER_AHEAD_S * grown
+        grown = min(1.0, (now - self.since) / constants.USER_ADVANCE_GROWTH_S)
+        return self.rate * constants.USER_ADVANCE_S * grown
 
 
 async def pause(tries: int) -> None:
     """Wait before another try: doubling, bounded, with jitter."""
-    longest = min(constants.BACKOFF_FIRST_S * 2 ** min(tries, 10), constants.BACKOFF_MOST_S)
+    longest = min(constants.BACKOFF_FIRST_S * 2 ** min(tries, 10), constants.BACKOFF_MAX_S)
     await asyncio.sleep(longest * random.uniform(0.5, 1.0))
--- a/oakmux/transport/store_client.py
+++ b/oakmux/transport/store_client.py
@@ -48,17 +48,17 @@
         self.put = put
         # Of the present and the coming limits the smaller: they change without notice.
         limits = settings.facts.store.strictest
-        share = constants.LIMIT_SHARE / settings.size
+        share = constants.RATE_LIMIT_SHARE / settings.size
         self.requests = TokenBucket(limits.rps * share)
         self.changes = TokenBucket(limits.write_rps * share)
         self.ahead = BurstAllowance(self.changes.rate)
-        self.client = Client(constants.STATE_CONNECTIONS)
+        self.client = Client(constants.STORE_CONNECTIONS)
         self.reads = Line()
         self.writes = Line()
         self.count = 0
         self.next_borrow = 0.0
         self.watch_gap = max(
-            constants.WATCH_GAP_S, 1.0 / (limits.rps * share * constants.WATCH_SHARE)
+            constants.WATCH_MIN_INTERVAL_S, 1.0 / (limits.rps * share * constants.WATCH_RATE_SHARE)
         )
         self.tasks: set[asyncio.Task] = set()
         self.refused: set[tuple[int, str]] = set()
@@ -72,7 +72,7 @@
         else:
             priority, cost = -1, 0
         line = self.writes if cost else self.reads
-        if len(line.heap) >= constants.MAX_QUEUE:
+        if len(line.heap) >= constants.MAX_QUEUED_COMMANDS:
             self.put(("done", op, 503, None))
             return
         now = asyncio.get_running_loop().time()
@@ -88,7 +88,7 @@
         before = sum(op[3] for op in self.writes.heap if op[0] <= 0)
         self.changes.wait(now, 0)  # brings the level up to date
         short = before + cost - self.changes.level - self.ahead.allowed(now)
-        return short > self.changes.rate * constants.STATE_QUEUE_S
+        return short > self.changes.rate * constants.STORE_QUEUE_TIMEOUT_S
 
     async def pump(self, line: Line) -> None:
         """Start the operations of a line as the limits allow, the most urgent first.
@@ -104,7 +104,7 @@
                 continue
             priority, _, since, cost, op = line.heap[0]
             now = loop.time()
-            if now - since > constants.STATE_QUEUE_S:
+            if now - since > constants.STORE_QUEUE_TIMEOUT_S:
                 heapq.heappop(line.heap)
                 self.put(("done", op[1], 503, None))
                 continue
@@ -135,7 +135,7 @@
         not. What is lent was their own share, so that the sum keeps within the limit."""
         short = sum(op[3] for op in self.writes.heap) - self.changes.level
         if short > 0 and now >= self.next_borrow:
-            self.next_borrow = now + constants.BORROW_S
+            self.next_borrow = now + constants.BORROW_INTERVAL_S
             self.put(("short", short))
 
     def lend(self, wanted: float) -> float:
@@ -143,8 +143,8 @@
         if self.writes.heap:
             return 0.0
         self.changes.wait(asyncio.get_running_loop().time(), 0)
-        given = min(wanted, self.changes.level - constants.LEND_KEEP)
-        if given < constants.LEND_LEAST:
+        given = min(wanted, self.changes.level - constants.LENDER_RESERVE)
+        if given < constants.LEND_MIN:
             return 0.0
         self.changes.take(given)
         return given
@@ -171,11 +171,11 @@
         self.put(("done", number, status, result))
 
     async def _call(
-        self, method: str, path: str, body: Any = None, timeout: float = constants.STATE_TIMEOUT_S
+        self, method: str, path: str, body: Any = None, timeout: float = constants.STORE_TIMEOUT_S
     ) -> tuple[int, Any]:
         data = b"" if body is None else encode(body)
         status, answer = await self.client.request(
-            self.addr, method, path, data, timeout, constants.MAX_STATE_BODY
+            self.addr, method, path, data, timeout, constants.MAX_STORE_BODY_BYTES
         )
         if status == 503:
             return 503, None
@@ -199,7 +199,7 @@
     def _refused(self, status: int, guards: list, writes: list, answer: Any) -> None:
         """Say once a key that we went beyond a limit; the value itself is the users'."""
         key = writes[0][0] if writes else guards[0][0] if guards else "none"
-        if (status, key) in self.refused or len(self.refused) >= constants.MAX_QUEUE:
+        if (status, key) in self.refused or len(self.refused) >= constants.MAX_REMEMBERED:
             return
         self.refused.add((status, key))
         size = max((value_bytes(write[1]) for write in writes if len(write) > 1), default=0)
@@ -210,7 +210,7 @@
             size,
             len(writes),
             len(guards),
-            str(answer)[: constants.LOG_TEXT],
+            str(answer)[: constants.LOG_TEXT_CHARS],
         )
 
     async def _get(self, key: str, _: int) -> tuple[int, Any]:
@@ -248,10 +248,10 @@
                 asked = loop.time()
                 path = (
                     f"{PATH_WATCH}?prefix={PREFIX}&since={revision}"
-                    f"&block_ms={int(constants.WATCH_BLOCK_S * 1000)}"
+                    f"&block_ms={int(constants.WATCH_TIMEOUT_S * 1000)}"
                 )
                 status, answer = await self._paced(
-                    path, constants.WATCH_BLOCK_S + constants.STATE_TIMEOUT_S
+                    path, constants.WATCH_TIMEOUT_S + constants.STORE_TIMEOUT_S
                 )
                 if status == 200:
                     events, revision = parse_watch_events(answer)
@@ -275,10 +275,10 @@
         since, first = "", None
         asked = asyncio.get_running_loop().time()
         while True:
-            path = f"{PATH_ITEMS}?prefix={PREFIX}&page={constants.STATE_PAGE}"
+            path = f"{PATH_ITEMS}?prefix={PREFIX}&page={constants.LIST_PAGE_ITEMS}"
             if since:
                 path += f"&since={quote(since)}"
-            status, answer = await self._paced(path, 2 * constants.STATE_TIMEOUT_S)
+            status, answer = await self._paced(path, 2 * constants.STORE_TIMEOUT_S)
             if status != 200:
                 raise NoResponse(f"status {status}")
             items, more, revision = parse_item_page(answer)
--- a/oakmux/transport/worker_client.py
+++ b/oakmux/transport/worker_client.py
@@ -26,7 +26,7 @@
         try:
             body = encode(commands_body(fencing_token, agent_epoch, orders))
             status, answer = await self.client.request(
-                addr, "POST", PATH_COMMANDS, body, constants.ORDERS_TIMEOUT_S
+                addr, "POST", PATH_COMMANDS, body, constants.COMMAND_TIMEOUT_S
             )
             if status in (200, 409):
                 heartbeat = parse_heartbeat(decode(answer))
--- a/tests/fakes/simulation.py
+++ b/tests/fakes/simulation.py
@@ -202,12 +202,12 @@
 
         if effect[0] == "txn" and self.late_writes and self.rng.random() < self.late_writes:
             self.after(self.rng.uniform(2.0, 12.0), serve)
-            self.after(constants.STATE_TIMEOUT_S, lambda: done((0, None)))
+            self.after(constants.STORE_TIMEOUT_S, lambda: done((0, None)))
         elif effect[0] == "txn" and self.lost_answers and self.rng.random() < self.lost_answers:
             self.after(self.delay(), serve)
-            self.after(constants.STATE_TIMEOUT_S, lambda: done((0, None)))
+            self.after(constants.STORE_TIMEOUT_S, lambda: done((0, None)))
         else:
-            self.ask(label, "state", serve, done, (0, None), constants.STATE_TIMEOUT_S)
+            self.ask(label, "state", serve, done, (0, None), constants.STORE_TIMEOUT_S)
 
     def send(self, label: str, incarnation: int, peer: str, message: tuple) -> None:
         asked, mine = self.now, self.cores[label]
--- a/tests/helpers/faults.py
+++ b/tests/helpers/faults.py
@@ -259,7 +259,7 @@
 
             self.after(self.seconds, arrive)
             self.after(
-                constants.ORDERS_TIMEOUT_S,
+                constants.COMMAND_TIMEOUT_S,
                 lambda: (
                     self.lives[label] == incarnation
                     and self.command(label, ("done", effect[1], "lost", None))
--- a/tests/test_autoscaling.py
+++ b/tests/test_autoscaling.py
@@ -54,7 +54,9 @@
     core = next(core for core in sim.cores.values() if FLEET in core.context.held_roles)
     demand = core.autoscaler.scale_out
     bad = InstanceKind("big", "a", True)
-    core.autoscaler.inventory.failed_boots = [FailedBoot(sim.now, bad)] * constants.BOOT_TROUBLE
+    core.autoscaler.inventory.failed_boots = [
+        FailedBoot(sim.now, bad)
+    ] * constants.BOOT_TROUBLE_COUNT
     sim.submit("job-1", spec("array", 9, "blue", spot=True, cpus=8.0, gpus=0.0))
     sim.run(8)
     assert bad in demand.expected.troubled
--- a/tests/test_backfill.py
+++ b/tests/test_backfill.py
@@ -96,7 +96,7 @@
         if opening is None:
             continue
         by = min(answer[0] for answer in answers)
-        assert opening.ready_s <= by + min(by, constants.OPENING_MARGIN_S)
+        assert opening.ready_s <= by + min(by, constants.BACKFILL_MARGIN_S)
         assert sum(opening.machines.values()) == tasks
         for site in sites:  # never what is protected, never more than there is
             if site.name in opening.machines:
--- a/tests/test_binding_batches.py
+++ b/tests/test_binding_batches.py
@@ -92,23 +92,25 @@
     sim = settled()
     for number in range(40):
         sim.submit(f"job-{number}", small(estimate_s=400.0))
-    sim.submit("job-99", spec("array", constants.PAGE_TASKS, gpus=0.0, cpus=0.1, memory_gb=0.1))
-    sim.submit("job-100", spec("array", constants.PAGE_TASKS + 1, gpus=0.0, cpus=0.1))
+    sim.submit(
+        "job-99", spec("array", constants.BATCH_JOB_TASKS, gpus=0.0, cpus=0.1, memory_gb=0.1)
+    )
+    sim.submit("job-100", spec("array", constants.BATCH_JOB_TASKS + 1, gpus=0.0, cpus=0.1))
     sim.run(15)
     least = sim.cores["h0"].scheduler.buffer.least_bytes
     found = sim.cores["h0"].context.replica.job_records.batches
     assert len(found) > 1
     for page in found.values():
         assert page.reserved == sum(reserved_bytes(row.tasks) for row in page.rows.values())
-        assert page.reserved <= min(constants.PAGE_BYTES, least)
+        assert page.reserved <= min(constants.BATCH_BYTES, least)
     own = [key for key in sim.state.rows if key.startswith("ox/t/")]
     assert {key.split("/")[2] for key in own} <= {"job-100"}  # too many tasks for a page
     assert sim.state.too_large == 0
 
 
-# Guards the sum behind PAGE_ROW_BYTES: a page that outgrew its value could never be written.
+# Guards the sum behind BATCH_ROW_BYTES: a page that outgrew its value could never be written.
 def test_full_rows_keep_within_what_they_reserve():
-    for tasks in (1, 2, 7, constants.PAGE_TASKS):
+    for tasks in (1, 2, 7, constants.BATCH_JOB_TASKS):
         bound = {
             index: Binding(250 + index, f"n-{123000 + index:06d}", 31, 4100 + index, "tembalang")
             for index in range(tasks)
@@ -123,9 +125,11 @@
     sim.coming = None
     sim.run(12)
     buffer = sim.cores[owner(sim, "red")].scheduler.buffer
-    assert reserved_bytes(constants.PAGE_TASKS) <= buffer.batches.limit
-    first = buffer.batches.choose("red", "job-1", constants.PAGE_TASKS)
-    others = {buffer.batches.choose("red", f"job-{n}", constants.PAGE_TASKS) for n in range(2, 6)}
+    assert reserved_bytes(constants.BATCH_JOB_TASKS) <= buffer.batches.limit
+    first = buffer.batches.choose("red", "job-1", constants.BATCH_JOB_TASKS)
+    others = {
+        buffer.batches.choose("red", f"job-{n}", constants.BATCH_JOB_TASKS) for n in range(2, 6)
+    }
     assert first == "red/0" and len(others) > 1
     buffer.batches.release("job-1")
     assert buffer.batches.choose("red", "job-9", 1) == "red/0"
@@ -213,7 +217,7 @@
         guarded = {key for key, _ in guards}
         for key, value, _ in [write for write in writes if write[0].startswith("ox/p/")]:
             assert key in guarded and f"ox/own/{key.split('/')[2]}" in guarded
-            assert value_bytes(value) <= constants.PAGE_BYTES
+            assert value_bytes(value) <= constants.BATCH_BYTES
     check_jobs_are_guarded(sim.sent)
     for core in sim.cores.values():  # nobody writes any more, but all that was sent comes again
         core.step = lambda now, commands: []  # type: ignore[method-assign]
@@ -289,7 +293,7 @@
             for name in self.labels:
                 self.crash(name, self.rng.uniform(0.1, 3.0))
         else:
-            self.after(constants.STATE_TIMEOUT_S, lambda: done((0, None)))
+            self.after(constants.STORE_TIMEOUT_S, lambda: done((0, None)))
 
 
 # Guards, among others, the page that a read after "no answer" did not find: the writer once took
@@ -338,7 +342,7 @@
     for _ in range(4):
         sim.crash(owner(sim, "red") if "ox/own/red" in sim.state.rows else sim.labels[0], 1.0)
         sim.cancel(sim.rng.choice(names))
-        sim.run(gap + constants.NODE_LEASE_S * (gap > 1))
+        sim.run(gap + constants.CONTROLLER_LEASE_S * (gap > 1))
     sim.run(15)
     well(sim)
     assert all(value == [] for value, _ in pages(sim).values())
--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -219,7 +219,7 @@
 
 
 def test_a_peers_cancellation_list_begins_at_our_own_revision(monkeypatch):
-    monkeypatch.setattr(constants, "CANCELS_KEPT", 3)
+    monkeypatch.setattr(constants, "CANCELLATIONS_KEPT", 3)
     replica = Replica()
     for mod_revision, number in enumerate((4, 2, 7, 5, 1), 1):
         replica.apply(
@@ -259,7 +259,7 @@
 
 @pytest.mark.parametrize("until", [-1, 40])
 def test_an_incomplete_or_oversized_cancellation_list_renews_no_worker_lease(until, monkeypatch):
-    monkeypatch.setattr(constants, "CANCELS_KEPT", 3)
+    monkeypatch.setattr(constants, "CANCELLATIONS_KEPT", 3)
     sim = Simulation(1)
     sim.run(3)
     word = sim.cores["h0"].agents.cancellations
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -411,7 +411,7 @@
     # Behind an owner's transaction of several changes, submissions waited up to two seconds.
     async def play(state, sent, put):
         state.changes.at = asyncio.get_running_loop().time()
-        state.ahead.reset(state.changes.at - 2 * constants.USER_AHEAD_GROWS_S)
+        state.ahead.reset(state.changes.at - 2 * constants.USER_ADVANCE_GROWTH_S)
         state.changes.level = -state.changes.rate
         state.submit("txn", 1, [], [("k", 1, None)], 1)
         state.submit("txn", 2, [], [("user", 1, None)], 0)
@@ -439,7 +439,7 @@
             state.submit("txn", number, [], [("user", 1, None)], 0)
         assert sum(row[0] == "done" and row[2] == 503 for row in put) > 2 * limit
         waiting = len(state.writes.heap)
-        assert waiting <= state.changes.rate * (constants.STATE_QUEUE_S + 1)
+        assert waiting <= state.changes.rate * (constants.STORE_QUEUE_TIMEOUT_S + 1)
 
     with_state(play)
 
@@ -447,8 +447,8 @@
 def test_a_refusal_takes_back_how_far_users_may_go_ahead():
     async def play(state, sent, put):
         now = asyncio.get_running_loop().time()
-        state.ahead.reset(now - 2 * constants.USER_AHEAD_GROWS_S)
-        assert state.ahead.allowed(now) == state.changes.rate * constants.USER_AHEAD_S
+        state.ahead.reset(now - 2 * constants.USER_ADVANCE_GROWTH_S)
+        assert state.ahead.allowed(now) == state.changes.rate * constants.USER_ADVANCE_S
 
         async def outage(*_):
             return 503, b""
@@ -488,10 +488,10 @@
         state.changes.level = 0.0
         for number in range(50):
             state.submit("txn", number, [], [("user", 1, None)], 0)
-        state.submit("txn", 99, [], [("role", 1, None)], constants.FIRST)
+        state.submit("txn", 99, [], [("role", 1, None)], constants.LEADERSHIP_WRITE_PRIORITY)
         assert state.writes.heap[0][4][1] == 99
         state.changes.level = -1e6  # the share is spent for a long time
-        state.submit("txn", 100, [], [("role", 1, None)], constants.FIRST)
+        state.submit("txn", 100, [], [("role", 1, None)], constants.LEADERSHIP_WRITE_PRIORITY)
         assert not any(row[1] == 100 for row in put)  # refused is what users are, not this
 
     with_state(play)
@@ -524,4 +524,4 @@
 
     asyncio.run(story())
     assert [names for _, names in sent] == [["view", "view"], ["view", "offer"]]
-    assert sent[0][0] >= constants.PEER_NEWS_S
+    assert sent[0][0] >= constants.PEER_UPDATE_WINDOW_S
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -81,7 +81,7 @@
     ):
         sim.run(0.1)
     # Silent for a lease, as far as others tell; then missing in two lists.
-    assert sim.now - killed < LEASE_S + 2 * constants.ALIVE_S + 2 * REPORT_S + 2.0
+    assert sim.now - killed < LEASE_S + 2 * constants.PEER_HEARTBEAT_S + 2 * REPORT_S + 2.0
 
 
 def test_an_exception_in_one_component_does_not_stop_the_others():
--- a/tests/test_job_api.py
+++ b/tests/test_job_api.py
@@ -102,10 +102,10 @@
 @pytest.mark.parametrize("count", [3, 7])
 def test_answers_are_never_stale_while_the_store_is_slow_refusing_or_down(count):
     sim = busy(count, run_s=20.0)
-    sim.state_slow = 0.6 * constants.STATE_TIMEOUT_S
+    sim.state_slow = 0.6 * constants.STORE_TIMEOUT_S
     for step in range(24):
         if step == 6:
-            sim.state_slow = 2 * constants.STATE_TIMEOUT_S
+            sim.state_slow = 2 * constants.STORE_TIMEOUT_S
         elif step == 10:
             sim.state.refused = {leader(sim)}
         elif step == 13:
--- a/tests/test_late_messages.py
+++ b/tests/test_late_messages.py
@@ -31,7 +31,7 @@
     sim.run(10)
     name = up(sim)[0]
     old = copy_of(sim, name)
-    sim.run(80 + constants.GONE_KEEP_S)
+    sim.run(80 + constants.TERMINATION_KEEP_S)
     assert sim.workers[name].dead and not any(key.startswith("ox/gone") for key in sim.state.rows)
     for label in sim.labels:
         assert deliver(sim, label, old) == [503]
@@ -198,7 +198,7 @@
     sim.submit("job-1", spec("service", 4))
     sim.run(10)
     sim.kill(sim.live()[0][0].name)
-    sim.run(70 + constants.GONE_KEEP_S)
+    sim.run(70 + constants.TERMINATION_KEEP_S)
     sim.submit("job-2", spec("array", 4, "blue", estimate_s=60.0))
     sim.run(10)
     before = len(sim.start_log)
@@ -207,7 +207,7 @@
     for label, *txn in again:
         sim.state.serve(label, "txn", *txn)
         sim.run(0.2)
-    sim.run(20 + constants.GONE_KEEP_S)
+    sim.run(20 + constants.TERMINATION_KEEP_S)
     assert len(sim.start_log) == before  # no role, machine or task was lost by it
     gone = [key for key in sim.state.rows if key.startswith("ox/gone/")]
     assert not gone and sorted(sim.cores["h0"].context.replica.live_controllers) == sim.labels
@@ -256,7 +256,7 @@
             self.left -= 1
             if self.left == 0:
                 self.after(self.delay(), lambda: self.state.serve(label, "txn", *effect[2:]))
-                self.after(constants.STATE_TIMEOUT_S, lambda: done((0, None)))
+                self.after(constants.STORE_TIMEOUT_S, lambda: done((0, None)))
                 return
         super().to_state(label, effect, done)
 
@@ -266,7 +266,7 @@
 def test_a_writer_without_an_answer_neither_reverts_nor_repeats_a_committed_write(kind, count):
     # Must not happen: a task bound or a job accepted twice, a cancellation or an end taken back.
     # Small jobs have their bindings in pages, larger ones in records of their own.
-    tasks, gpus = (constants.PAGE_TASKS + 1, 0.1) if kind == "t" else (2, 1.0)
+    tasks, gpus = (constants.BATCH_JOB_TASKS + 1, 0.1) if kind == "t" else (2, 1.0)
     for at in {"j": (1, 2, 4, 7), "t": (1, 2, 3), "p": (1, 2, 3)}.get(kind, (1,)):
         sim = Unanswered(kind, at, count)
         sim.run(12)
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -74,7 +74,7 @@
     sim.crash("h1", 0.1)
     sim.run(1.5)
     assert sim.state.serve("h1", "txn", [], [old], -1)[0] == 200  # held up on its way till now
-    sim.run(constants.NODE_LEASE_S + 6)
+    sim.run(constants.CONTROLLER_LEASE_S + 6)
     assert "h1" in sim.cores["h0"].context.replica.live_controllers
     assert sim.state.rows[controller_key("h1")][0] == sim.cores["h1"].context.incarnation
 
--- a/tests/test_partitions.py
+++ b/tests/test_partitions.py
@@ -62,7 +62,7 @@
     health: list[int] = []
     taken: list[int] = []
     sim.cancel("job-1")
-    sim.run(constants.ALONE_S + 1)
+    sim.run(constants.ISOLATION_S + 1)
     sim.command(alone, ("health", lambda status, _: health.append(status)))
     sim.specs["job-3"] = spec()  # what is written late is accepted, though nobody was told
     sim.command(alone, ("submit", lambda status, _: taken.append(status), "job-3", spec(), ""))
@@ -93,7 +93,8 @@
 
 
 @pytest.mark.parametrize(
-    "seconds", [LEASE_S, CANCEL_S - LEASE_S - constants.CANCEL_MARGIN_S, CANCEL_S, 2.5 * CANCEL_S]
+    "seconds",
+    [LEASE_S, CANCEL_S - LEASE_S - constants.CANCELLATION_MARGIN_S, CANCEL_S, 2.5 * CANCEL_S],
 )
 def test_a_leader_that_reaches_only_workers_and_users_acts_on_no_overridden_state(seconds):
     sim = busy(run_s=200.0)
--- a/tests/test_pending_queues.py
+++ b/tests/test_pending_queues.py
@@ -93,7 +93,7 @@
             f"job-{number}", spec("array", 1, "blue", cpus=1.0 + number % 2, estimate_s=1.0)
         )
     sim.run(15)
-    assert len(samples(sim, 20.0)) <= 2 * (20 / constants.LINE_MOST_S + 2)
+    assert len(samples(sim, 20.0)) <= 2 * (20 / constants.QUEUE_RESAMPLE_MAX_S + 2)
 
 
 def test_the_oldest_job_of_a_queue_reserves_machines_though_others_precede_it(monkeypatch):
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -78,7 +78,7 @@
             core.context.machines[name].errors = [f"job-{number}" for number in range(10, 13)]
         for task in [key for key in sim.workers[name].tasks]:
             sim.workers[name].tasks[task][:2] = ["exited", "stopped"]
-        sim.run(constants.SICK_HOLD_S - 2)
+        sim.run(constants.QUARANTINE_HOLD_S - 2)
         assert not sim.workers[name].dead
         for core in sim.cores.values():
             for number in range(10, 13) if elsewhere else ():
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -130,7 +130,7 @@
     sim.run(1.5)
     seen = sim.cores[owner].context.machines[name]
     assert seen.manager == other or not reachability.is_reachable(seen)
-    sim.run(constants.VIEW_AGAIN_S + 2)
+    sim.run(constants.VIEW_RESEND_S + 2)
     assert seen.manager == manager and reachability.is_reachable(seen)
     sim.submit("job-2", spec("array", 2, estimate_s=2.0))
     sim.run(3)
--- a/tools/spread.py
+++ b/tools/spread.py
@@ -102,7 +102,7 @@
         """Yield (group, jobs, of these begun in time, longest wait in s) of classes, teams, and
         the largest jobs of each class, but for what was cancelled or came too late to judge."""
         groups: dict[str, list[str]] = defaultdict(list)
-        due = {job: self.accepted[job] + constants.BEGIN_S for job in self.jobs}
+        due = {job: self.accepted[job] + constants.START_LIMIT_S for job in self.jobs}
         jobs = [job for job in self.jobs if self.cancelled.get(job, self.last) >= due[job]]
         most: dict[str, int] = defaultdict(int)
         for job in jobs:
@@ -120,14 +120,14 @@
                 for job in members
             ]
             begun = sum(
-                self.began(job) is not None and wait <= constants.BEGIN_S
+                self.began(job) is not None and wait <= constants.START_LIMIT_S
                 for job, wait in zip(members, waits, strict=True)
             )
             yield name, len(members), begun, max(waits)
 
     def lines(self) -> Iterator[str]:
         """Yield the tables."""
-        yield f"{'group':36}  jobs  begun in {constants.BEGIN_S:g} s  longest (s)"
+        yield f"{'group':36}  jobs  begun in {constants.START_LIMIT_S:g} s  longest (s)"
         for name, count, begun, longest in self.served():
             word = (
                 "HALF"
