--- a/oakmux/cli/client.py
+++ b/oakmux/cli/client.py
@@ -49,7 +49,7 @@
     try:
         conn.request(method, path, None if body is None else encode(body))
         answer = conn.getresponse()
-        data = answer.read(constants.MAX_BODY)
+        data = answer.read(constants.MAX_BODY_BYTES)
         return answer.status, decode(data) if data else None
     finally:
         conn.close()
@@ -58,7 +58,7 @@
 def request(context: CliContext, method: str, path: str, body: Any = None) -> tuple[int, Any]:
     """Ask one controller after another until one can answer."""
     trouble = ""
-    for attempt in range(constants.CLI_TRIES):
+    for attempt in range(constants.CLI_ROUNDS):
         for server in context.need_servers():
             try:
                 status, answer = request_one(server, method, path, body)
@@ -68,7 +68,7 @@
             if status not in RETRIED_STATUSES:
                 return status, answer
             trouble = f"{server}: status {status}"
-        if attempt + 1 < constants.CLI_TRIES:
+        if attempt + 1 < constants.CLI_ROUNDS:
             time.sleep(constants.RETRY_AFTER_S)
     fail(f"no controller could answer ({trouble})", EXIT_UNREACHABLE)
 
