--- a/tests/test_backfill.py
+++ b/tests/test_backfill.py
@@ -1,4 +1,4 @@
-"""Openings for gangs: against the optimum of a solver, and while several machines fail."""
+"""Backfill reservations: against the optimum of a solver, and while several machines fail."""
 
 import math
 import random
@@ -27,7 +27,7 @@
 
 
 def fragmented(dice: random.Random) -> tuple[list[BackfillCandidate], int]:
-    """Return a small fleet with work of all kinds scattered over it, and a gang's size."""
+    """Return a small fleet with tasks scattered over it, and the size of a gang."""
     sites = []
     for number in range(dice.randint(3, 9)):
         free, held = [4.0, 4.0, 16.0], []
@@ -52,7 +52,7 @@
 
 
 def best(sites: list[BackfillCandidate], tasks: int, by: float) -> float | None:
-    """Return the least work lost so that a gang has room in these by a time, or None."""
+    """Return the least work lost so that a gang fits on these machines by a time, or None."""
     model = highspy.Highs()
     model.setOptionValue("output_flag", False)
     placed, cost = [], []
@@ -75,7 +75,7 @@
 
 
 def soonest(sites: list[BackfillCandidate], tasks: int) -> tuple[float, float] | None:
-    """Return when a gang can have room in these at the earliest, and at what loss."""
+    """Return when a gang fits on these machines at the earliest, and the work lost for that."""
     for by in sorted({0.0, *(h.ready_s for s in sites for h in s.tasks if h.ready_s < math.inf)}):
         lost = best(sites, tasks, by)
         if lost is not None:
@@ -91,25 +91,25 @@
         sites, tasks = fragmented(dice)
         zones = [[s for s in sites if s.zone == zone] for zone in "ab"]
         answers = [answer for zone in zones if zone and (answer := soonest(zone, tasks))]
-        opening = choose_plan(NEED, tasks, sites, True)
-        assert (opening is None) == (not answers)
-        if opening is None:
+        plan = choose_plan(NEED, tasks, sites, True)
+        assert (plan is None) == (not answers)
+        if plan is None:
             continue
         by = min(answer[0] for answer in answers)
-        assert opening.ready_s <= by + min(by, constants.BACKFILL_MARGIN_S)
-        assert sum(opening.machines.values()) == tasks
+        assert plan.ready_s <= by + min(by, constants.BACKFILL_MARGIN_S)
+        assert sum(plan.machines.values()) == tasks
         for site in sites:  # never what is protected, never more than there is
-            if site.name in opening.machines:
-                assert site.zone == opening.zone
-                ended = [t.resources for t in site.tasks if t.ready_s <= opening.ready_s]
+            if site.name in plan.machines:
+                assert site.zone == plan.zone
+                ended = [t.resources for t in site.tasks if t.ready_s <= plan.ready_s]
                 rows = [amounts(resources) for resources in (site.free, *ended)]
                 free = Resources(*(sum(column) for column in zip(*rows, strict=True)))
-                assert tasks_that_fit(NEED, free) >= opening.machines[site.name]
-        bound = best([s for s in sites if s.zone == opening.zone], tasks, opening.ready_s)
-        assert opening.lost_s >= bound - 1e-6
+                assert tasks_that_fit(NEED, free) >= plan.machines[site.name]
+        bound = best([s for s in sites if s.zone == plan.zone], tasks, plan.ready_s)
+        assert plan.lost_s >= bound - 1e-6
         found += 1
-        exact += opening.lost_s <= bound + 1e-6
-        ours, least = ours + opening.lost_s, least + bound
+        exact += plan.lost_s <= bound + 1e-6
+        ours, least = ours + plan.lost_s, least + bound
     assert found > 200 and ours <= 1.2 * least and exact > 0.8 * found
 
 
@@ -134,7 +134,7 @@
 
 
 def crowded(seed: int, capacity: int = 4) -> Simulation:
-    """Return a fleet full of small gangs, of which more come, when a large one comes."""
+    """Return a fleet full of small gangs, with more of them to come."""
     sim = Simulation(seed, scheduling=SchedulingOptions(backfill=True))
     sim.run(12)
     sim.capacity = capacity
@@ -152,23 +152,23 @@
     return sim
 
 
-@pytest.mark.parametrize("trouble", ["none", "machines", "owner", "frozen", "zone"])
+@pytest.mark.parametrize("trouble", ["none", "machines", "scheduler", "frozen", "zone"])
 def test_a_large_gang_starts_among_small_ones_whichever_fault_occurs(trouble):
-    # Gangs of 32 waited 230 s and more in a full fleet: younger small ones took what was free.
+    # Gangs of 32 waited 230 s and more in a full fleet: younger small ones took what became free.
     sim = crowded(3)
     sim.submit("job-100", spec("gang", 4, "blue", priority=2, cpus=2.0, one_zone=True))
     sim.run(6)
-    owner = next(label for label, core in sim.cores.items() if "blue" in core.context.held_roles)
+    holder = next(label for label, core in sim.cores.items() if "blue" in core.context.held_roles)
     alive = sorted(name for name, worker in sim.workers.items() if not worker.dead)
     if trouble == "machines":
         for name in alive[:3]:
             sim.kill(name)
-    elif trouble == "owner":
-        sim.crash(owner)
+    elif trouble == "scheduler":
+        sim.crash(holder)
         sim.kill(alive[0])
         sim.kill(alive[-1])
     elif trouble == "frozen":
-        sim.freeze(owner, 12.0)
+        sim.freeze(holder, 12.0)
         sim.kill(alive[0])
     elif trouble == "zone":
         cut = {
@@ -188,48 +188,48 @@
 
 def test_only_preemptible_or_short_work_goes_to_reserved_machines():
     context = Context(settings_for("h0"), random.Random(1), 0)
-    openings = BackfillReservations(context)
+    reservations = BackfillReservations(context)
 
     def job(name: str, since: int, **more) -> Job:
         found = Job(name, "red", "queued", 1, spec(**more), 0, 1)
         found.since = since
         return found
 
-    def barred(other: Job) -> bool:
-        return openings.blocks_job("m1", other, other.spec)
+    def blocked(other: Job) -> bool:
+        return reservations.blocks_job("m1", other, other.spec)
 
-    openings.announced("job-2", 2, 50.0, ["m1", "m2"], 30.0)
+    reservations.announced("job-2", 2, 50.0, ["m1", "m2"], 30.0)
     older, younger = (
         job(name, since, kind="gang", priority=2, estimate_s=25.0)
         for name, since in (("job-1", 40), ("job-3", 60))
     )
-    assert not barred(job("job-7", 60, kind="gang", priority=2, estimate_s=10.0))  # ends in time
+    assert not blocked(job("job-7", 60, kind="gang", priority=2, estimate_s=10.0))  # ends in time
     above, array, service = (
         job("job-4", 60, priority=3),
         job("job-5", 60),
         job("job-6", 60, kind="service"),
     )
-    assert [barred(j) for j in (older, younger, above, array, service)] == [
+    assert [blocked(j) for j in (older, younger, above, array, service)] == [
         False,
         True,
         False,
         False,
         True,
     ]
-    assert not openings.blocks_job("m3", younger, younger.spec)
-    openings.announced("job-1", 2, 40.0, ["m1"], 30.0)  # the older has what both name
-    assert openings.by_machine == {"m1": "job-1", "m2": "job-2"}
-    openings.announced("job-1", 2, 40.0, [], 0.0)
+    assert not reservations.blocks_job("m3", younger, younger.spec)
+    reservations.announced("job-1", 2, 40.0, ["m1"], 30.0)  # m1 is the older gang's
+    assert reservations.by_machine == {"m1": "job-1", "m2": "job-2"}
+    reservations.announced("job-1", 2, 40.0, [], 0.0)
     context.now = 26.0
-    assert not barred(younger)  # whoever said it is gone
-    openings.announced("job-2", 2, 50.0, ["m1"], 1.0)
-    assert barred(array)  # it would be stopped in a moment
+    assert not blocked(younger)  # its controller does not announce it any more
+    reservations.announced("job-2", 2, 50.0, ["m1"], 1.0)
+    assert blocked(array)  # it would be preempted in a moment
 
 
 def test_the_oldest_gang_may_take_machines_reserved_for_younger_ones():
-    # Two younger gangs had named 72 machines; for the oldest, 36 others were ready in 260 s.
+    # Two younger gangs had reserved 72 machines; 36 others were ready in 260 s.
     context = Context(settings_for("h0"), random.Random(1), 0)
-    openings = BackfillReservations(context)
+    reservations = BackfillReservations(context)
     jobs = {}
     for name, since, priority in (
         ("job-1", 40, 2),
@@ -239,16 +239,16 @@
     ):
         jobs[name] = Job(name, "red", "queued", 1, spec("gang", 4, priority=priority), 0, 4)
         jobs[name].since = since
-    openings.announced("job-1", 2, 40.0, ["m1"], 30.0)
-    openings.announced("job-3", 2, 60.0, ["m2", "m3"], 30.0)
-    assert openings.reserved_before(jobs["job-1"]) == set()
-    assert openings.reserved_before(jobs["job-2"]) == {"m1"}
-    assert openings.reserved_before(jobs["job-3"]) == {"m1"}
-    assert openings.reserved_before(jobs["job-4"]) == {"m1", "m2", "m3"}
+    reservations.announced("job-1", 2, 40.0, ["m1"], 30.0)
+    reservations.announced("job-3", 2, 60.0, ["m2", "m3"], 30.0)
+    assert reservations.reserved_before(jobs["job-1"]) == set()
+    assert reservations.reserved_before(jobs["job-2"]) == {"m1"}
+    assert reservations.reserved_before(jobs["job-3"]) == {"m1"}
+    assert reservations.reserved_before(jobs["job-4"]) == {"m1", "m2", "m3"}
 
 
 def test_a_large_gang_starts_at_its_teams_quota_beside_younger_small_ones():
-    # What a small gang let go of below the limit went to the next small one, for ever.
+    # What a small gang freed of the limit was taken by the next small one, for ever.
     sim = quiet(seed=3)
     sim.run_s = lambda task: 5.0 + (int(task[4:].split("/")[0]) * 7) % 9
     for number in range(1, 120):
@@ -263,7 +263,7 @@
 
 
 def test_machines_reserved_for_a_gang_are_not_returned_as_idle():
-    # Some of 32 that a gang waited for were given back while the rest became free.
+    # Some of 32 machines that a gang waited for were returned while the rest became free.
     sim = quiet()
     sim.submit("job-1", spec("array", 8, "blue", estimate_s=3.0))
     sim.run(14)
@@ -278,11 +278,11 @@
         sim.run(2)
     assert not sim.workers[first].dead and all(sim.workers[name].dead for name in others)
     sim.run(30)
-    assert sim.workers[first].dead  # nobody says so any more
+    assert sim.workers[first].dead  # nobody announces the reservation any more
 
 
 def test_machines_that_fell_idle_in_a_store_outage_are_kept_until_it_ends():
-    # Nothing could be started meanwhile, and users come back with their jobs a moment later.
+    # Nothing could be started meanwhile, and users submit again a moment after the outage.
     sim = quiet()
     sim.submit("job-1", spec("array", 8, "blue", estimate_s=3.0))
     sim.run(8)
--- a/tests/test_machine_index.py
+++ b/tests/test_machine_index.py
@@ -1,4 +1,4 @@
-"""The index of machines against a full look at all of them, over drawn histories."""
+"""The machine index against a full scan of all machines, over generated histories."""
 
 import random
 
@@ -16,7 +16,7 @@
 from oakmux.core.state.keys import block_key, job_key
 from tests.fakes import TYPE, ZONES, settings_for, spec
 
-# The same verdict every time, and nothing kept between runs.
+# The same examples every time, and nothing kept between runs.
 settings.register_profile("same", derandomize=True, database=None, deadline=None)
 settings.load_profile("same")
 
@@ -47,13 +47,13 @@
         st.just("bind"), st.sampled_from(sorted(JOBS)), st.integers(0, 3), st.sampled_from(NAMES)
     ),
     st.tuples(st.just("unbind"), st.sampled_from(sorted(JOBS))),
-    st.tuples(st.sampled_from(["drain", "undrain", "gone"]), st.sampled_from(NAMES)),
+    st.tuples(st.sampled_from(["drain", "undrain", "vanish"]), st.sampled_from(NAMES)),
     st.tuples(st.just("wait"), st.floats(0.1, 9.0)),
 )
 
 
-class Place:
-    """A world with machines and jobs, and the index that is looked at."""
+class IndexedFleet:
+    """Machines and jobs of one controller, and the index under test."""
 
     def __init__(self) -> None:
         self.context = Context(settings_for("h0"), random.Random(1), 0)
@@ -106,7 +106,7 @@
     def undrain(self, name):
         self.context.undrain(name)
 
-    def gone(self, name):
+    def vanish(self, name):
         self.context.machines.pop(name, None)
         self.context.draining.pop(name, None)
         self.context.replica.changes.touch(name)
@@ -116,18 +116,18 @@
 
 
 def after(history):
-    place = Place()
+    fleet = IndexedFleet()
     for kind, *args in history:
-        getattr(place, kind)(*args)
-    place.index.refresh()
-    return place
+        getattr(fleet, kind)(*args)
+    fleet.index.refresh()
+    return fleet
 
 
 @settings(max_examples=150)
 @given(st.lists(change, max_size=30))
 def test_the_incremental_index_agrees_with_a_full_rebuild(history):
-    place = after(history)
-    context, index = place.context, place.index
+    fleet = after(history)
+    context, index = fleet.context, fleet.index
     for machine in context.machines.values():
         number = index.ids[machine.name]
         where = [key for key, ids in index.classes.items() if number in ids]
@@ -143,7 +143,8 @@
                 )
             ]
         elif context.now - machine.last_heartbeat_at < heartbeat_timeout_s(context):
-            assert where == []  # drained, noticed or sick; one that fell silent leaves when drawn
+            # Drained, about to be reclaimed or quarantined. Silent ones leave when drawn.
+            assert where == []
         held = {image for image, ids in index.image_holders.items() if number in ids}
         assert held == set(machine.images)
     assert set(index.ids) == set(context.machines)
@@ -157,9 +158,9 @@
     st.sets(st.sampled_from(ZONES)),
 )
 def test_exactly_the_machines_with_capacity_are_drawn(history, job_id, wanted, zones):
-    place = after(history)
-    context, job = place.context, JOBS[job_id]
-    drawn = place.index.draw(job, zones, {"m5"}, wanted)
+    fleet = after(history)
+    context, job = fleet.context, JOBS[job_id]
+    drawn = fleet.index.draw(job, zones, {"m5"}, wanted)
     names = [row.machine.name for row in drawn]
     assert len(set(names)) == len(names) and "m5" not in names
     fitting = {
@@ -172,11 +173,11 @@
         and fits_resources(free_resources(context, m), job)
     }
     assert set(names) <= fitting
-    # With so few machines nothing that has room may be missed, unless there was enough.
+    # With so few machines none with capacity may be missed, unless enough was found.
     if sum(task_capacity(row.free, job) for row in drawn) < wanted:
         assert set(names) == fitting
     held = [row.has_image for row in drawn]
-    assert held == sorted(held, reverse=True)  # those that hold the image come first
+    assert held == sorted(held, reverse=True)  # machines that hold the image come first
 
 
 @settings(max_examples=300)
@@ -198,49 +199,49 @@
 
 
 def test_a_silent_machine_leaves_the_index_when_drawn_and_returns_with_a_heartbeat():
-    place = after([("heartbeat", "m1", set(), False)])
-    place.wait(100.0)
-    assert place.index.draw(JOBS["job-0"], ZONES, (), 1) == []
-    assert not place.index.classes and "m1" in place.context.unresponsive
-    place.heartbeat("m1", set(), False)
-    place.index.refresh()
-    assert [row.machine.name for row in place.index.draw(JOBS["job-0"], ZONES, (), 1)] == ["m1"]
+    fleet = after([("heartbeat", "m1", set(), False)])
+    fleet.wait(100.0)
+    assert fleet.index.draw(JOBS["job-0"], ZONES, (), 1) == []
+    assert not fleet.index.classes and "m1" in fleet.context.unresponsive
+    fleet.heartbeat("m1", set(), False)
+    fleet.index.refresh()
+    assert [row.machine.name for row in fleet.index.draw(JOBS["job-0"], ZONES, (), 1)] == ["m1"]
 
 
 def test_the_number_of_machines_drawn_does_not_follow_the_fleet(monkeypatch):
-    looked = []
+    probes = []
     for count in (60, 600):
-        place = Place()
+        fleet = IndexedFleet()
         for number in range(count):
-            place.heartbeat(f"m{number}", set(), False)
-        place.index.refresh()
+            fleet.heartbeat(f"m{number}", set(), False)
+        fleet.index.refresh()
         seen = []
         monkeypatch.setattr(
-            place.index,
+            fleet.index,
             "_schedulable",
-            lambda n, s=seen, p=place: (s.append(n), p.index.machines[n])[1],
+            lambda n, s=seen, p=fleet: (s.append(n), p.index.machines[n])[1],
         )
-        place.index.draw(JOBS["job-0"], ZONES, (), 4)
-        looked.append(len(seen))
-    assert looked[0] == pytest.approx(looked[1], abs=2) and looked[1] < 40
+        fleet.index.draw(JOBS["job-0"], ZONES, (), 4)
+        probes.append(len(seen))
+    assert probes[0] == pytest.approx(probes[1], abs=2) and probes[1] < 40
 
 
 @pytest.mark.parametrize("scarce", ["cpus", "memory_gb"])
 def test_machines_exhausted_in_one_resource_hide_none_with_capacity(scarce):
-    # Seen in a measurement: after a gang had filled 63 machines' CPUs and little of their memory,
-    # jobs of one task began less than once a second beside 337 idle machines.
-    place = Place()
+    # Measured: after a gang had filled the CPUs of 63 machines and little of their memory, jobs
+    # of one task started less than once a second although 337 machines were idle.
+    fleet = IndexedFleet()
     whole = {"cpus": 0.1, "memory_gb": 0.1, scarce: getattr(TYPE, scarce)}
     filler = spec("service", 100, "red", gpus=0.0, **whole)
-    place.write(job_key("job-9"), encode_job("queued", "red", filler, 0, 100))
+    fleet.write(job_key("job-9"), encode_job("queued", "red", filler, 0, 100))
     names = [f"m{number}" for number in range(100)]
     for number, name in enumerate(names):
         tasks = {("job-9", number, "running")} if number < 90 else set()
-        for _ in range(2):  # the second shows that it hears us
-            place.heartbeat(name, tasks, False)
-    place.index.refresh()
+        for _ in range(2):  # the second shows that the worker receives our answers
+            fleet.heartbeat(name, tasks, False)
+    fleet.index.refresh()
     little = {"cpus": 0.1, "memory_gb": 0.1, scarce: 0.2 * getattr(TYPE, scarce)}
     wanted = spec("array", 1, "blue", gpus=0.0, spot=True, **little)
     for _ in range(20):
-        drawn = place.index.draw(wanted, ZONES, (), 2)
+        drawn = fleet.index.draw(wanted, ZONES, (), 2)
         assert drawn and {row.machine.name for row in drawn} <= set(names[90:])
--- a/tests/test_pending_queues.py
+++ b/tests/test_pending_queues.py
@@ -1,4 +1,4 @@
-"""Load spread over the fleet: lines of waiting jobs, and hot teams while machines fail."""
+"""Spread of load: pending queues, minimum shares, and busy teams while machines fail."""
 
 import random
 
@@ -49,11 +49,11 @@
                 name,
             ),
         )
-    by_line = {}
-    for shape, place in expected.values():
-        by_line.setdefault(shape, []).append(place)
-    assert {shape: list(line) for shape, line in queues.by_shape.items()} == {
-        shape: sorted(places) for shape, places in by_line.items()
+    by_queue = {}
+    for shape, position in expected.values():
+        by_queue.setdefault(shape, []).append(position)
+    assert {shape: list(queue) for shape, queue in queues.by_shape.items()} == {
+        shape: sorted(places) for shape, places in by_queue.items()
     }
 
 
@@ -71,7 +71,7 @@
 
 
 def test_unplaceable_jobs_cost_nothing_until_something_changes():
-    # Every tick sampled 40 of 1,500 waiting jobs anew and drew for each: 80 % of a hot day's time.
+    # Every tick sampled 40 of 1,500 pending jobs anew, which took 80 % of a busy day's time.
     sim = quiet()
     sim.submit("job-0", spec("array", 10, "blue", estimate_s=500.0))
     sim.run(15)
@@ -80,7 +80,7 @@
             f"job-{number}", spec("array", 1, "blue", cpus=1.0 + number % 2, estimate_s=1.0)
         )
     sim.run(15)
-    assert len(samples(sim, 20.0)) < 20 / constants.RESAMPLE_S * 2 * 1.5  # two lines at the limit
+    assert len(samples(sim, 20.0)) < 20 / constants.RESAMPLE_S * 2 * 1.5  # two queues at the limit
 
 
 def test_unplaceable_jobs_are_retried_with_backoff():
@@ -102,7 +102,7 @@
     sim.capacity = 1
     sim.submit("job-0", spec("service", 4, "blue"))
     sim.run(15)
-    sim.submit("job-1", spec("array", 50, "blue", estimate_s=30.0))  # its size makes it younger
+    sim.submit("job-1", spec("array", 50, "blue", estimate_s=30.0))  # counts as younger
     for number in range(2, 20):
         sim.submit(f"job-{number}", spec("array", 1, "blue", estimate_s=1.0))
     sim.run(10)
@@ -128,7 +128,7 @@
 
 @pytest.mark.parametrize("guard", ["reopen_fitting", "reopen_limited", "none"])
 def test_a_blocked_queue_reopens_whichever_sign_of_free_capacity_is_missed(monkeypatch, guard):
-    # The safety net: news that a keeper lost must not keep a line shut for ever.
+    # The safety net: a change that was missed must not keep a queue closed for ever.
     if guard != "none":
         monkeypatch.setattr(
             f"oakmux.core.scheduling.sampling_schedule.SamplingSchedule.{guard}",
@@ -189,7 +189,7 @@
 
 
 def flooded(seed: int) -> Simulation:
-    """Return a full fleet with more urgent work than it can do, and an idle array that waits."""
+    """Return a full fleet with too much urgent work, and a pending array of priority 0."""
     sim = quiet(seed=seed)
     sim.capacity = 3
     for number in range(1, 500):
@@ -205,22 +205,22 @@
     return sim
 
 
-@pytest.mark.parametrize("trouble", ["none", "machine", "owner", "keepers"])
+@pytest.mark.parametrize("trouble", ["none", "machine", "scheduler", "agent_managers"])
 def test_the_lowest_priority_starts_within_its_bound(monkeypatch, trouble):
-    # By priority alone it waited for as long as the flood lasted.
+    # By priority alone it waited for as long as the flood of urgent work lasted.
     monkeypatch.setattr(constants, "AGED_S", 10.0)
     sim = flooded(2)
     if trouble == "machine":
         sim.kill(next(name for name, worker in sorted(sim.workers.items()) if not worker.dead))
-    elif trouble == "owner":
+    elif trouble == "scheduler":
         sim.crash(
             next(label for label in sim.labels if "blue" in sim.cores[label].context.held_roles)
         )
-    elif trouble == "keepers":
+    elif trouble == "agent_managers":
         for label in sim.labels[1:]:
             sim.crash(label, 2.0)
     sim.run(70)
-    assert len(done_of(sim, "job-0")) == 6  # 12 GPUs free 3 places a second, a tenth is for it
+    assert len(done_of(sim, "job-0")) == 6  # a tenth of 12 GPUs, 3 times a second
     assert len(sim.completed) > 150
 
 
@@ -238,7 +238,8 @@
 
 
 def test_jobs_that_missed_their_objective_go_behind_those_that_can_meet_it():
-    # By age alone all of a burst above capacity was late: each was served as its time was over.
+    # By age alone all jobs of a burst above capacity were late: each was served as its time was
+    # over.
     context = Context(settings_for("h0"), random.Random(1), 0)
     context.finish_objectives["l"] = 60.0
     context.types = {"big": TYPE}
@@ -248,7 +249,7 @@
         context.replica.jobs[job.id] = job
         shape = queues.put(job, job.spec)
     assert queues.head(shape).job_id == "job-0"
-    context.now = 56.0  # it needs five seconds more, and its time is over
+    context.now = 56.0  # it needs five seconds more, which is too late
     order = []
     while (head := queues.head(shape)) is not None:
         order.append(head.job_id)
@@ -257,20 +258,21 @@
 
 
 def test_the_only_job_of_a_queue_may_miss_its_objective():
-    # Put anew, it left a line that was gone, and the tick with it.
+    # Moving it deleted its queue while the queue was read, and the tick failed.
     context = Context(settings_for("h0"), random.Random(1), 0)
     context.finish_objectives["l"] = 60.0
     context.types = {"big": TYPE}
-    waiting = SamplingSchedule(context, {})
+    schedule = SamplingSchedule(context, {})
     job = Job("job-1", "red", "queued", 1, spec(), 0, 1)
     context.replica.jobs[job.id] = job
-    waiting.queues.put(job, job.spec)
+    schedule.queues.put(job, job.spec)
     context.now = 100.0
-    assert [head.position.job_id for head in waiting.heads()] == ["job-1"]
+    assert [head.position.job_id for head in schedule.heads()] == ["job-1"]
 
 
 def test_no_more_is_preempted_than_needed():
-    # The least to lose went first, and stayed stopped when a larger one made all the room.
+    # The task with the least to lose was preempted first, and in vain where a larger one had to
+    # be preempted as well and freed all the capacity that was needed.
     sim = quiet()
     sim.capacity = 1
     sim.submit("job-1", spec("array", 1, "blue", gpus=3.0, cpus=3.0, estimate_s=100.0))
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -1,4 +1,4 @@
-"""The end of a day: nobody is forgotten, the largest begin in time, half of all are served."""
+"""Starvation: all jobs are answered, the largest start in time, half of each group is served."""
 
 import random
 
@@ -17,7 +17,7 @@
 
 
 def flood(sim: Simulation, seconds: float, **fields) -> None:
-    """Submit small arrays of both teams every second: more than there is room for."""
+    """Submit small arrays of both teams every second: more than there is capacity for."""
     begun = sim.now
     for number in range(int(seconds)):
         team = ("red", "blue")[number % 2]
@@ -32,7 +32,7 @@
 
 
 def full(seed: int, count: int, **fields) -> Simulation:
-    """Return a small deployment in a flood, without room for all of it."""
+    """Return a small deployment with more small arrays than it has capacity for."""
     sim = Simulation(seed, count)
     sim.capacity = 3
     sim.run(12)
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize("count", [3, 7])
-def test_a_gang_of_the_whole_fleet_begins_among_younger_gangs(count):
+def test_a_gang_of_the_whole_fleet_starts_among_younger_gangs(count):
     sim = Simulation(2, count)
     sim.capacity = 2
     sim.run(12)
@@ -79,8 +79,8 @@
     assert sim.begun_at("job-1") - sim.submitted["job-1"] < DAY_S
 
 
-def test_a_gang_waits_for_what_saves_before_it_makes_room():
-    # It let go just before the room that it had asked for came, again and again.
+def test_a_gang_waits_for_preempted_tasks_that_save_a_checkpoint():
+    # It declined its offers just before the requested capacity became free, again and again.
     sim = Simulation(6)
     sim.capacity = 2
     sim.run(12)
@@ -100,18 +100,18 @@
     sim.run(15)
     assert len(sim.live()) == 8
     sim.submit("job-9", spec("gang", 2, "blue", job_class="press", priority=2))
-    owner = next(
+    scheduler = next(
         core for core in sim.cores.values() if "blue" in core.context.held_roles
     ).scheduler
     sim.run(2)
-    until = owner.open["job-9"].hold_until
+    until = scheduler.open["job-9"].hold_until
     sim.run(8)
-    assert owner.open["job-9"].hold_until == until > sim.now  # it has not begun anew
+    assert scheduler.open["job-9"].hold_until == until > sim.now  # it has not started over
     sim.run(7)
     assert sim.begun_at("job-9") is not None
 
 
-def test_without_aging_the_largest_jobs_may_starve(monkeypatch):
+def test_without_precedence_of_starving_jobs_the_largest_may_never_start(monkeypatch):
     for module in (
         "core.scheduling.queue_order",
         "core.agents.reservation_queue",
@@ -128,7 +128,7 @@
             )
 
 
-def test_a_pending_job_ages_in_time_and_a_started_one_does_not():
+def test_a_pending_job_starves_in_time_and_a_started_one_does_not():
     sim = full(3, 3)
     sim.submit("job-1", spec("array", 40, "blue", job_class="scan", estimate_s=20.0))
     sim.run(10)
@@ -139,8 +139,8 @@
     assert queue_order.is_starving(core.context, job) == (not job.begun)
 
 
-def waiting(**jobs: tuple[float, dict]) -> tuple[Context, dict[str, Job]]:
-    """Return a world 100 s after its begin, and jobs by name: (age then in s, fields)."""
+def pending(**jobs: tuple[float, dict]) -> tuple[Context, dict[str, Job]]:
+    """Return a context at 100 s, and pending jobs by name: (age at that time in s, fields)."""
     context = Context(settings_for("h0"), random.Random(1), 0)
     context.types = {"big": TYPE}
     context.now = 100.0
@@ -160,8 +160,8 @@
     return context, made
 
 
-def test_a_large_array_comes_first_in_its_queue_once_it_is_aged():
-    context, jobs = waiting(big=(100.0, dict(tasks=5000)), small=(90.0, dict(tasks=1)))
+def test_a_large_array_comes_first_in_its_queue_once_it_is_starving():
+    context, jobs = pending(big=(100.0, dict(tasks=5000)), small=(90.0, dict(tasks=1)))
     context.now = 20.0
     queues = PendingQueues(context)
     for job in jobs.values():
@@ -172,15 +172,15 @@
     assert queues.head(shape).job_id == "big"
 
 
-def test_an_aged_job_is_owed_a_share_whatever_its_classs_objectives():
-    context, jobs = waiting(old=(97.0, {}), young=(50.0, {}))
+def test_a_starving_job_is_aged_whatever_the_objectives_of_its_class():
+    context, jobs = pending(old=(97.0, {}), young=(50.0, {}))
     context.start_objectives["l"] = [400.0]
     assert queue_order.is_aged(context, jobs["old"], jobs["old"].spec)
     assert not queue_order.is_aged(context, jobs["young"], jobs["young"].spec)
 
 
-def test_an_aged_gang_keeps_its_part_of_the_quota_while_it_reserves_machines():
-    context, jobs = waiting(gang=(70.0, dict(kind="gang", tasks=8)), young=(10.0, {}))
+def test_a_starving_gang_keeps_its_part_of_the_quota_while_it_gathers_capacity():
+    context, jobs = pending(gang=(70.0, dict(kind="gang", tasks=8)), young=(10.0, {}))
     buffer = WriteBuffer(context)
     assert not buffer.exceeds_limit(jobs["young"], jobs["young"].spec)
     buffer.claim_limit(jobs["gang"], jobs["gang"].spec, 8)  # nothing of the team runs
@@ -188,21 +188,21 @@
     assert not buffer.exceeds_limit(jobs["gang"], jobs["gang"].spec, 8)
 
 
-def test_an_older_started_job_does_not_block_an_aged_one():
-    context, jobs = waiting(
+def test_an_older_started_job_does_not_block_a_starving_gang():
+    context, jobs = pending(
         gang=(70.0, dict(kind="gang", tasks=8)), older=(80.0, dict(tasks=40, estimate_s=60.0))
     )
-    openings = BackfillReservations(context)
-    openings.announced("gang", 1, jobs["gang"].since, ["m1"], 10.0)
-    assert not openings.blocks_job("m1", jobs["older"], jobs["older"].spec)
+    reservations = BackfillReservations(context)
+    reservations.announced("gang", 1, jobs["gang"].since, ["m1"], 10.0)
+    assert not reservations.blocks_job("m1", jobs["older"], jobs["older"].spec)
     jobs["older"].blocks[0] = TaskBlock(1, 1, 0, {0: Binding(1, "m2", 1, 1, "a")})
-    assert openings.blocks_job("m1", jobs["older"], jobs["older"].spec)
+    assert reservations.blocks_job("m1", jobs["older"], jobs["older"].spec)
 
 
 def test_the_objectives_check_reports_what_was_not_served():
     sim = Simulation(4)
     sim.run(12)
-    sim.cloud_down = True  # nothing is rented: nothing of this can begin
+    sim.cloud_down = True  # nothing is rented, so none of this can start
     sim.submit("job-1", spec("array", 2, "red", job_class="scan"))
     sim.run(DAY_S + 1)
     assert sim.underserved(DAY_S) == [
