--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -74,7 +74,7 @@
     if within(imported, "tests", "tools"):
         return True
     if within(importer, "oakmux.constants", "oakmux.task_status"):
-        return within(imported, "oakmux")
+        return within(imported, "oakmux") and not within(imported, "oakmux.constants")
     if within(importer, "oakmux.settings"):
         return not within(imported, "oakmux.constants") and within(imported, "oakmux")
     if within(importer, "oakmux.core"):
