--- a/oakmux/schedules/dav/protocol.py
+++ b/oakmux/schedules/dav/protocol.py
@@ -5,7 +5,7 @@
 import httptools
 
 from oakmux import constants
-from oakmux.transport.http import REASONS, Request, ServerProtocol
+from oakmux.transport.http_server import REASONS, Request, ServerProtocol
 
 PHRASES = {
     **REASONS,
--- a/oakmux/schedules/dav/serve.py
+++ b/oakmux/schedules/dav/serve.py
@@ -22,7 +22,7 @@
 from oakmux.schedules.dav.protocol import DavProtocol, DavRequest
 from oakmux.schedules.dav.tokens import Tokens, credentials
 from oakmux.schedules.dav.xml import CAL, CS, DAV, Multistatus, Prop, element, href
-from oakmux.transport.http import Request, ServerProtocol
+from oakmux.transport.http_server import Request, ServerProtocol
 
 log = logging.getLogger("oakmux.dav")
 
--- a/oakmux/schedules/plugin.py
+++ b/oakmux/schedules/plugin.py
@@ -15,7 +15,7 @@
 from oakmux.schedules import zones
 from oakmux.schedules.dav import tokens
 from oakmux.schedules.subsystem import SchedulesSubsystem
-from oakmux.transport.http import Request
+from oakmux.transport.http_server import Request
 
 PATH = "/oakmux/schedules/"
 SECTIONS = {
--- a/oakmux/service.py
+++ b/oakmux/service.py
@@ -16,7 +16,7 @@
 from oakmux.core.context import Context
 from oakmux.core.controller import Controller, Subsystem
 from oakmux.transport.cloud_client import CloudClient
-from oakmux.transport.http import Request, ServerProtocol
+from oakmux.transport.http_server import Request, ServerProtocol
 from oakmux.transport.peer_client import PeerClient
 from oakmux.transport.request_router import RequestRouter
 from oakmux.transport.store_client import StoreClient
--- a/oakmux/transport/cloud_client.py
+++ b/oakmux/transport/cloud_client.py
@@ -21,7 +21,7 @@
 )
 from oakmux.core.instances import ListedInstance
 from oakmux.settings import Settings
-from oakmux.transport.http import Client, NoResponse, RequestNotSent
+from oakmux.transport.http_client import Client, NoResponse, RequestNotSent
 from oakmux.transport.rate_limit import TokenBucket, pause
 
 log = logging.getLogger("oakmux.cloud")
--- a/oakmux/transport/peer_client.py
+++ b/oakmux/transport/peer_client.py
@@ -9,7 +9,7 @@
 
 from oakmux import constants
 from oakmux.codec.cbor import Malformed, decode, encode
-from oakmux.transport.http import Client, NoResponse, RequestNotSent
+from oakmux.transport.http_client import Client, NoResponse, RequestNotSent
 from oakmux.transport.rate_limit import pause
 
 log = logging.getLogger("oakmux.peers")
--- a/oakmux/transport/request_router.py
+++ b/oakmux/transport/request_router.py
@@ -10,7 +10,7 @@
 from oakmux.codec.workers import PATH_HEARTBEAT, parse_heartbeat
 from oakmux.core.model import JOB_ID
 from oakmux.transport import peer_client
-from oakmux.transport.http import Request
+from oakmux.transport.http_server import Request
 
 log = logging.getLogger("oakmux.users")
 
--- a/oakmux/transport/store_client.py
+++ b/oakmux/transport/store_client.py
@@ -26,7 +26,7 @@
 from oakmux.core.state.formats import value_bytes
 from oakmux.core.state.keys import PREFIX
 from oakmux.settings import Settings
-from oakmux.transport.http import Client, NoResponse, RequestNotSent
+from oakmux.transport.http_client import Client, NoResponse, RequestNotSent
 from oakmux.transport.rate_limit import BurstAllowance, TokenBucket, pause
 
 log = logging.getLogger("oakmux.state")
--- a/oakmux/transport/worker_client.py
+++ b/oakmux/transport/worker_client.py
@@ -6,7 +6,7 @@
 from oakmux import constants
 from oakmux.codec.cbor import Malformed, decode, encode
 from oakmux.codec.workers import PATH_COMMANDS, commands_body, parse_heartbeat
-from oakmux.transport.http import Client, NoResponse, RequestNotSent
+from oakmux.transport.http_client import Client, NoResponse, RequestNotSent
 
 log = logging.getLogger("oakmux.workers")
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -16,7 +16,7 @@
 from oakmux.codec.cbor import encode
 from oakmux.schedules import plugin
 from oakmux.schedules.dav import tokens
-from oakmux.transport.http import Request, ServerProtocol
+from oakmux.transport.http_server import Request, ServerProtocol
 from oakmux.transport.request_router import RequestRouter
 from tests.timed import Timed
 
--- a/tests/recorded.py
+++ b/tests/recorded.py
@@ -51,7 +51,8 @@
 from oakmux.service import Service
 from oakmux.settings import SchedulingOptions
 from oakmux.transport.cloud_client import CloudClient
-from oakmux.transport.http import Client, ClientProtocol, ServerProtocol
+from oakmux.transport.http_client import Client, ClientProtocol
+from oakmux.transport.http_server import ServerProtocol
 from oakmux.transport.peer_client import PeerClient
 from oakmux.transport.request_router import RequestRouter
 from oakmux.transport.store_client import StoreClient
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -175,12 +175,12 @@
     [
         ("oakmux.core.state.replica", "oakmux.core.agents.manager"),
         ("oakmux.core.scheduling.binding", "oakmux.core.controller"),
-        ("oakmux.core.controller", "oakmux.transport.http"),
+        ("oakmux.core.controller", "oakmux.transport.http_client"),
         ("oakmux.core.api.jobs", "oakmux.service"),
         ("oakmux.core.context", "oakmux.cli"),
         ("oakmux.schedules.desk", "tools.bench"),
         ("oakmux.service", "tests.fakes"),
-        ("oakmux.transport.http", "oakmux.core.controller"),
+        ("oakmux.transport.http_client", "oakmux.core.controller"),
         ("oakmux.constants", "oakmux.settings"),
     ],
 )
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -3,7 +3,7 @@
 import pytest
 
 from oakmux.codec.cbor import encode
-from oakmux.transport.http import ServerProtocol
+from oakmux.transport.http_server import ServerProtocol
 from oakmux.transport.request_router import RequestRouter
 from tests.helpers.samples import GOOD
 
--- a/tools/capacity/measurements.py
+++ b/tools/capacity/measurements.py
@@ -24,7 +24,7 @@
 from oakmux.core.state.formats import value_bytes
 from oakmux.core.state.keys import block_key, job_key
 from oakmux.core.state.records import Binding, TaskBlock
-from oakmux.transport.http import render
+from oakmux.transport.http_server import render
 from tools import cost
 from tools.capacity.cell import Cell, cell_settings, cpu_job, steady, team_names, zone_names
 from tools.capacity.series import Point
--- a/tools/scale/cloud.py
+++ b/tools/scale/cloud.py
@@ -9,7 +9,8 @@
 
 from oakmux.codec.cbor import decode, encode
 from oakmux.codec.cloud import PATH_CATALOGUE, PATH_INSTANCES, PATH_RETURN
-from oakmux.transport.http import Client, NoResponse, Request, RequestNotSent
+from oakmux.transport.http_client import Client, NoResponse, RequestNotSent
+from oakmux.transport.http_server import Request
 from oakmux.transport.rate_limit import TokenBucket
 from tools.scale.config import RunConfig
 from tools.scale.gangs import GangEvent, GangHub
--- a/tools/scale/hollow.py
+++ b/tools/scale/hollow.py
@@ -10,7 +10,8 @@
 from oakmux import settings
 from oakmux.codec.cbor import Malformed, decode, encode
 from oakmux.codec.workers import PATH_COMMANDS, PATH_HEARTBEAT
-from oakmux.transport.http import Client, NoResponse, Request, RequestNotSent
+from oakmux.transport.http_client import Client, NoResponse, RequestNotSent
+from oakmux.transport.http_server import Request
 from tools.scale.gangs import GangEvent, GangOrder
 from tools.scale.histograms import new_histogram, record_s
 from tools.scale.plan import Plan
--- a/tools/scale/runner.py
+++ b/tools/scale/runner.py
@@ -11,7 +11,7 @@
 
 from oakmux.codec.cbor import encode
 from oakmux.codec.users import PATH_HEALTH
-from oakmux.transport.http import Client, NoResponse, RequestNotSent
+from oakmux.transport.http_client import Client, NoResponse, RequestNotSent
 from tools.scale.config import RunConfig, Trouble
 from tools.scale.plan import Plan, make_plan
 from tools.scale.processes import (
--- a/tools/scale/serving.py
+++ b/tools/scale/serving.py
@@ -13,7 +13,7 @@
 
 from oakmux import settings
 from oakmux.codec.cbor import encode
-from oakmux.transport.http import Request, ServerProtocol
+from oakmux.transport.http_server import Request, ServerProtocol
 
 # Bytes of a body that a stand-in takes; connections that one listener takes.
 MOST_BYTES = 4 * 1024 * 1024
--- a/tools/scale/state_service.py
+++ b/tools/scale/state_service.py
@@ -7,7 +7,7 @@
 
 from oakmux.codec.cbor import Malformed, decode
 from oakmux.codec.store import PATH_ITEMS, PATH_LEASES, PATH_TRANSACTIONS, PATH_WATCH
-from oakmux.transport.http import Request
+from oakmux.transport.http_server import Request
 from tools.scale.plan import Plan
 from tools.scale.serving import answer, listen, write_summary
 from tools.scale.store import Refused, Store, watch_body
--- a/tools/scale/users.py
+++ b/tools/scale/users.py
@@ -8,7 +8,7 @@
 
 from oakmux.codec.cbor import Malformed, decode, encode
 from oakmux.codec.users import CANCEL_SUFFIX, PATH_HEALTH, PATH_JOBS
-from oakmux.transport.http import Client, NoResponse, RequestNotSent
+from oakmux.transport.http_client import Client, NoResponse, RequestNotSent
 from tools.scale.config import RunConfig
 from tools.scale.histograms import new_histogram, record_s
 from tools.scale.jobs import Job, Kind, submission
