--- a/oakmux/core/scheduling/binding.py
+++ b/oakmux/core/scheduling/binding.py
@@ -15,6 +15,7 @@
 from oakmux.core.scheduling.gangs import stop_attempt
 from oakmux.core.scheduling.pending_job import CapacityOffer, PendingJob
 from oakmux.core.scheduling.placement import choose_gang_offers, preference, zone_allowed
+from oakmux.core.scheduling.quota_claims import QuotaClaims
 from oakmux.core.scheduling.sampling_schedule import SamplingSchedule
 from oakmux.core.state.formats import FORMAT_COMPACT
 from oakmux.core.state.records import Binding, Job
@@ -33,12 +34,14 @@
         context: Context,
         agents: AgentManager,
         buffer: WriteBuffer,
+        quota_claims: QuotaClaims,
         open_jobs: dict[str, PendingJob],
         schedule: SamplingSchedule,
     ) -> None:
         self.context = context
         self.agents = agents
         self.buffer = buffer
+        self.quota_claims = quota_claims
         self.open = open_jobs
         self.schedule = schedule
         # Jobs that collect offers, of which the best are taken soon, by their first offer.
@@ -133,7 +136,7 @@
             or context.now < state.retry_at
         ):
             return False
-        if self.buffer.exceeds_limit(job, job.spec, job.spec.tasks if job.spec.joint else 1):
+        if self.quota_claims.exceeds_limit(job, job.spec, job.spec.tasks if job.spec.joint else 1):
             return False
         if job.spec.joint:
             return self._accept_gang_offer(job, job.spec, state, offer)
@@ -186,11 +189,12 @@
             zones = [binding.zone for binding in self.buffer.bindings(job)]
             if not zone_allowed(spec, zones, offer.zone):
                 continue
-            if self.buffer.exceeds_limit(job, spec):
+            if self.quota_claims.exceeds_limit(job, spec):
                 break
-            index = self.buffer.next_unstarted(job, state, offer)
+            index = self.buffer.next_unbound_task(job, state.next_task, offer)
             if index is None:
                 break
+            state.next_task = index + 1
             self._bind(job, [index], [offer])
             state.offers.remove(offer)
         self.release(state)
--- /dev/null
+++ b/oakmux/core/scheduling/quota_claims.py
@@ -0,0 +1,106 @@
+"""Claims of jobs on their team's limit, while other jobs of the team use it."""
+
+import math
+from typing import NamedTuple
+
+from oakmux import constants
+from oakmux.core.context import Context
+from oakmux.core.model import JobSpec
+from oakmux.core.resources import Usage
+from oakmux.core.scheduling import quotas
+from oakmux.core.scheduling.queue_order import is_starving
+from oakmux.core.state.records import Job
+from oakmux.core.state.write_buffer import WriteBuffer
+
+
+class LimitClaim(NamedTuple):
+    """A part of a team's limit that is reserved for a job until a local time (s).
+
+    It excludes jobs of lower priority, and those of the same that became ready after `since` (ms).
+    """
+
+    until: float
+    team: str
+    priority: int
+    since: float
+    cpus: float
+    gpus: float
+
+
+class QuotaClaims:
+    """Checks jobs against the limits of their teams, with what other jobs claim of them."""
+
+    def __init__(self, context: Context, buffer: WriteBuffer) -> None:
+        self.context = context
+        self.buffer = buffer
+        self.claims: dict[str, LimitClaim] = {}
+
+    def exceeds_limit(self, job: Job, spec: JobSpec, tasks: int = 1) -> bool:
+        """Whether so many more tasks of a job would exceed its team's limit, with what jobs that
+        go before it claim."""
+        quota = self.context.teams.get(job.team)
+        if quota is not None and not quota.cpus_max and not quota.gpus_max:
+            # Its usage isn't counted: this is called at each offer to thousands of tiny jobs.
+            return False
+        self._drop_expired()
+        cpus, gpus = self.buffer.team_usage(job.team)
+        for other, claim in self.claims.items():
+            if (
+                claim.team == job.team
+                and other != job.id
+                and (claim.priority, -claim.since) > (job.priority, -job.since)
+            ):
+                cpus += claim.cpus
+                gpus += claim.gpus
+        return quotas.exceeds_limit(
+            self.context, job.team, cpus + tasks * spec.cpus, gpus + tasks * spec.gpus
+        )
+
+    def _drop_expired(self) -> None:
+        for job_id, claim in list(self.claims.items()):
+            if claim.until <= self.context.now:
+                del self.claims[job_id]
+
+    def claim(self, job: Job, spec: JobSpec, wanted: int) -> None:
+        """Reserve for a job that its team's limit holds back what jobs behind it release.
+
+        Otherwise a gang never starts beside an array of its own team, whose next task takes each
+        place that one leaves; nor one that has waited beside smaller, younger gangs. Nothing is
+        reserved where the release of these jobs would not suffice: services keep what they use,
+        and a gang that needed it would block the rest of the limit for ever without using it.
+        """
+        starving = is_starving(self.context, job)
+        before_equals = starving or self._has_waited(job, spec)
+        used = self.buffer.team_usage(job.team)
+        left = self._usage_without_jobs_behind(job, used, before_equals)
+        least = spec.tasks if spec.kind == "gang" else 1
+        if (left == used and not starving) or quotas.exceeds_limit(
+            self.context, job.team, left.cpus + least * spec.cpus, left.gpus + least * spec.gpus
+        ):
+            return
+        most = quotas.tasks_left(self.context, job.team, spec, {job.team: left})
+        tasks = max(least, min(wanted, constants.MAX_RESERVATIONS_PER_JOB, most))
+        self.claims[job.id] = LimitClaim(
+            self.context.now + constants.LIMIT_CLAIM_TTL_S,
+            job.team,
+            job.priority,
+            job.since if before_equals else math.inf,
+            tasks * spec.cpus,
+            tasks * spec.gpus,
+        )
+
+    def _has_waited(self, job: Job, spec: JobSpec) -> bool:
+        """Whether a gang has waited so long that it goes before others of its priority."""
+        waited_ms = self.context.wall_clock_ms - job.since
+        return spec.kind == "gang" and waited_ms > 1000 * constants.BACKFILL_MIN_WAIT_S
+
+    def _usage_without_jobs_behind(self, job: Job, used: Usage, before_equals: bool) -> Usage:
+        """Return what a job's team will use once all that end by themselves and go behind the job
+        have ended; with `before_equals`, the job goes before others of its priority."""
+        cpus, gpus = used
+        by_priority = self.context.replica.usage.preemptible.get(job.team, {})
+        for priority, usage in by_priority.items():
+            if priority < job.priority or (priority == job.priority and before_equals):
+                cpus -= usage.cpus
+                gpus -= usage.gpus
+        return Usage(cpus, gpus)
--- a/oakmux/core/scheduling/sampling.py
+++ b/oakmux/core/scheduling/sampling.py
@@ -61,6 +61,7 @@
         self.index = index
         self.open = binder.open
         self.buffer = buffer
+        self.quota_claims = binder.quota_claims
         self.binder = binder
         self.gangs = gangs
         self.schedule = schedule
@@ -111,7 +112,7 @@
     def _teams_with_less_usage(self) -> list[str]:
         """Return the shard's teams that use less than at the last tick."""
         usage = {
-            team: self.buffer.team_use(team)
+            team: self.buffer.team_usage(team)
             for team in self.context.held_roles
             if team in self.context.teams
         }
@@ -149,7 +150,7 @@
             schedule.defer(job.id, math.inf)  # until a task of it is proven to have ended
             return
         shape = schedule.queues.put(job, spec)
-        if self.buffer.exceeds_limit(job, spec, spec.tasks if spec.kind == "gang" else 1):
+        if self.quota_claims.exceeds_limit(job, spec, spec.tasks if spec.kind == "gang" else 1):
             self._wait_for_limit(job, spec, state, shape)
             return
         # Zones that the job's other tasks rule out don't count: free capacity there once hid that
@@ -189,7 +190,7 @@
             self.binder.release(state)
             self.gangs.end(job, state)
         self.gangs.end_backfill(job, state)
-        self.buffer.claim_limit(job, spec, self._tasks_wanted(shape, spec))
+        self.quota_claims.claim(job, spec, self._tasks_wanted(shape, spec))
         self.schedule.close_by_limit(shape)
 
     def _tasks_wanted(self, shape: Shape, spec: JobSpec) -> int:
@@ -208,7 +209,7 @@
         if is_starving(self.context, job):
             # Its part of the limit is kept while it gathers capacity. Younger work of its team
             # took it meanwhile, and the gang started over for minutes.
-            self.buffer.claim_limit(job, spec, wanted)
+            self.quota_claims.claim(job, spec, wanted)
         if self.gangs.sample(job, spec, state):
             self.schedule.defer(job.id, state.next_sample_at)
             self.schedule.capacity_requested(shape, 0, None)
--- a/oakmux/core/scheduling/scheduler.py
+++ b/oakmux/core/scheduling/scheduler.py
@@ -6,6 +6,7 @@
 from oakmux.core.scheduling.gangs import GangScheduler
 from oakmux.core.scheduling.machine_index import MachineIndex
 from oakmux.core.scheduling.pending_job import PendingJob
+from oakmux.core.scheduling.quota_claims import QuotaClaims
 from oakmux.core.scheduling.sampling import Sampler
 from oakmux.core.scheduling.sampling_schedule import SamplingSchedule
 from oakmux.core.state.record_writer import RecordWriter
@@ -22,7 +23,10 @@
         self.index = MachineIndex(context)
         self.gangs = GangScheduler(context, self.index, self.open)
         self.schedule = SamplingSchedule(context, self.open)
-        self.binder = Binder(context, agents, self.buffer, self.open, self.schedule)
+        self.quota_claims = QuotaClaims(context, self.buffer)
+        self.binder = Binder(
+            context, agents, self.buffer, self.quota_claims, self.open, self.schedule
+        )
         self.sampler = Sampler(
             context, self.index, self.buffer, self.binder, self.gangs, self.schedule
         )
--- a/oakmux/core/state/write_buffer.py
+++ b/oakmux/core/state/write_buffer.py
@@ -1,15 +1,12 @@
 """Working copies of the records of our teams' jobs, until they are written."""
 
 import math
-from typing import NamedTuple
+from collections.abc import Sequence
+from typing import Protocol
 
 from oakmux import constants
 from oakmux.core.context import Context
-from oakmux.core.model import JobSpec
 from oakmux.core.resources import NO_USAGE, Usage
-from oakmux.core.scheduling import quotas
-from oakmux.core.scheduling.pending_job import CapacityOffer, PendingJob
-from oakmux.core.scheduling.queue_order import is_starving
 from oakmux.core.state.batch_allocator import BatchAllocator
 from oakmux.core.state.binding_batches import shares_batch
 from oakmux.core.state.codecs import encode_block
@@ -24,16 +21,24 @@
 from oakmux.core.state.records import Binding, Job, TaskBlock
 
 
-class LimitClaim(NamedTuple):
-    """A part of a team's limit that is kept for a job, until a time: from work of lower priority,
-    and from such of the same as came after `since` (ms)."""
+class OfferedCapacity(Protocol):
+    """Capacity for one task; its values become part of the binding."""
 
-    until: float
-    team: str
-    priority: int
-    since: float
-    cpus: float
-    gpus: float
+    @property
+    def machine(self) -> str:
+        """The name of the machine."""
+
+    @property
+    def agent_epoch(self) -> int:
+        """The machine's agent epoch."""
+
+    @property
+    def term(self) -> int:
+        """The term of the offering controller."""
+
+    @property
+    def zone(self) -> str:
+        """The machine's zone."""
 
 
 class WriteBuffer:
@@ -46,7 +51,6 @@
         self.finished_jobs: dict[str, None] = {}
         # Whether a transaction was refused for its size.
         self.refused = False
-        self.limit_claims: dict[str, LimitClaim] = {}
         limits = context.facts.store.strictest
         self.least_bytes = value_limit(limits)
         share = limits.write_rps / context.settings.size
@@ -74,7 +78,7 @@
         """Return the format that records are written in."""
         return self.context.replica.format
 
-    def holds(self, job: Job, number: int, offers: list[CapacityOffer]) -> bool:
+    def holds(self, job: Job, number: int, offers: Sequence[OfferedCapacity]) -> bool:
         """Whether a chunk's record can hold bindings to what is offered as well. The coming limit
         counts at any time: once the limits fell, bindings that can't be written would never go."""
         block = self.block(job, number)
@@ -167,100 +171,48 @@
                 left -= sum(1 for i in block.bound if not block.done >> (i % size) & 1)
         return left
 
-    def next_unstarted(self, job: Job, state: PendingJob, offer: CapacityOffer) -> int | None:
-        """Return the number of a task that may be bound to an offer, or None."""
+    def next_unbound_task(self, job: Job, first: int, offer: OfferedCapacity) -> int | None:
+        """Return the index of a task that may be bound to an offer, or None.
+
+        The search begins at the index `first`; with no task from there on, it begins at 0.
+        """
         assert job.spec is not None
-        for start in (state.next_task, 0):
-            index = start
-            while index < job.spec.tasks:
-                block = self.block(job, index // self.tasks_per_record)
-                if (
-                    index not in block.bound
-                    and not block.done >> (index % self.tasks_per_record) & 1
-                ):
-                    if not self.holds(job, index // self.tasks_per_record, [offer]):
-                        index = (index // self.tasks_per_record + 1) * self.tasks_per_record
-                        continue  # wait until others of its record have ended
-                    state.next_task = index + 1
-                    return index
+        for start in (first, 0):
+            index = self._unbound_task_from(job, start, job.spec.tasks, offer)
+            if index is not None:
+                return index
+        return None
+
+    def _unbound_task_from(
+        self, job: Job, start: int, end: int, offer: OfferedCapacity
+    ) -> int | None:
+        size = self.tasks_per_record
+        index = start
+        while index < end:
+            number, bit = divmod(index, size)
+            block = self.block(job, number)
+            if index in block.bound or block.done >> bit & 1:
                 index += 1
+            elif self.holds(job, number, [offer]):
+                return index
+            else:  # wait until other tasks of this block have ended
+                index = (number + 1) * size
         return None
 
-    def team_use(self, team: str) -> Usage:
-        """Return what a team of ours uses: all that is bound and not proven gone. The records'
-        count is corrected by the working copies, which are few."""
-        cpus, gpus = quotas.usage(self.context).get(team, NO_USAGE)
-        for job_id, mine in self.work.items():
+    def team_usage(self, team: str) -> Usage:
+        """Return what a team whose role is held uses: all that is bound and not proven to have
+        ended. The count of the records is corrected by the few changed blocks."""
+        cpus, gpus = self.context.replica.usage.by_team.get(team, NO_USAGE)
+        for job_id, changed in self.work.items():
             job = self.context.replica.jobs[job_id]
             if job.team == team:
-                more = sum(len(block.bound) for block in mine.values()) - sum(
-                    len(job.blocks[n].bound) for n in mine if n in job.blocks
+                more = sum(len(block.bound) for block in changed.values()) - sum(
+                    len(job.blocks[number].bound) for number in changed if number in job.blocks
                 )
                 cpus += more * job.resources.cpus
                 gpus += more * job.resources.gpus
         return Usage(cpus, gpus)
 
-    def exceeds_limit(self, job: Job, spec: JobSpec, tasks: int = 1) -> bool:
-        """Whether that many more tasks of a job would break its team's limit, with what is kept
-        for jobs of higher priority that wait for it."""
-        limits = self.context.teams.get(job.team)
-        if limits is not None and not limits.cpus_max and not limits.gpus_max:
-            return False  # nor is its use counted: asked at each offer to thousands of tiny jobs
-        cpus, gpus = self.team_use(job.team)
-        for other, claim in list(self.limit_claims.items()):
-            if claim.until <= self.context.now:
-                del self.limit_claims[other]
-            elif (
-                claim.team == job.team
-                and other != job.id
-                and (claim.priority, -claim.since) > (job.priority, -job.since)
-            ):
-                cpus += claim.cpus
-                gpus += claim.gpus
-        return quotas.exceeds_limit(
-            self.context, job.team, cpus + tasks * spec.cpus, gpus + tasks * spec.gpus
-        )
-
-    def claim_limit(self, job: Job, spec: JobSpec, wanted: int) -> None:
-        """A job is kept back by its team's limit: what its lower work lets go of is kept for it.
-
-        Else a gang never gets in beside an array of its own team, whose next task takes each
-        place that one leaves; nor one that has waited beside smaller, younger gangs. Nothing is
-        kept where that work could not make up for it: what services use they keep, and a gang that
-        needed it kept the rest of the limit from all others for ever, itself without use for it.
-        """
-        now = self.context.now
-        least = spec.tasks if spec.kind == "gang" else 1
-        use = cpus, gpus = self.team_use(job.team)
-        first = is_starving(self.context, job)
-        old = first or (
-            spec.kind == "gang"
-            and (self.context.wall_clock_ms - job.since > 1000 * constants.BACKFILL_MIN_WAIT_S)
-        )
-        for priority, lower in self.context.replica.usage.preemptible.get(job.team, {}).items():
-            if priority < job.priority or (priority == job.priority and old):
-                cpus -= lower[0]
-                gpus -= lower[1]
-        if (first or (cpus, gpus) != use) and not quotas.exceeds_limit(
-            self.context, job.team, cpus + least * spec.cpus, gpus + least * spec.gpus
-        ):
-            tasks = max(
-                least,
-                min(
-                    wanted,
-                    constants.MAX_RESERVATIONS_PER_JOB,
-                    quotas.tasks_left(self.context, job.team, spec, {job.team: Usage(cpus, gpus)}),
-                ),
-            )
-            self.limit_claims[job.id] = LimitClaim(
-                now + constants.LIMIT_CLAIM_TTL_S,
-                job.team,
-                job.priority,
-                job.since if old else math.inf,
-                tasks * spec.cpus,
-                tasks * spec.gpus,
-            )
-
     def drop_lost(self, held: set[str]) -> None:
         """Drop working copies but of teams that we hold all the while."""
         jobs = self.context.replica.jobs
--- a/tests/fakes/consistency.py
+++ b/tests/fakes/consistency.py
@@ -31,7 +31,7 @@
             at[1] for at in replica.usage.preemptible.get(team, {}).values()
         ) == pytest.approx(ending.get(team, 0)), team
         if team in context.held_roles:
-            assert core.scheduler.buffer.team_use(team)[1] == pytest.approx(mine.get(team, 0)), (
+            assert core.scheduler.buffer.team_usage(team)[1] == pytest.approx(mine.get(team, 0)), (
                 team
             )
 
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -17,9 +17,6 @@
 KNOWN_LAYER_BREAKS: set[tuple[str, str]] = {
     ("oakmux.core.context", "oakmux.core.scheduling.backfill_reservations"),
     ("oakmux.core.context", "oakmux.core.scheduling.failure_attribution"),
-    ("oakmux.core.state.write_buffer", "oakmux.core.scheduling.pending_job"),
-    ("oakmux.core.state.write_buffer", "oakmux.core.scheduling.queue_order"),
-    ("oakmux.core.state.write_buffer", "oakmux.core.scheduling.quotas"),
 }
 # Imports that close a circle, until they are mended: without them there is none.
 KNOWN_CIRCLE_IMPORTS: set[tuple[str, str]] = {
