--- a/oakmux/schedules/api.py
+++ b/oakmux/schedules/api.py
@@ -16,7 +16,6 @@
 from oakmux.core.context import Context, event
 from oakmux.core.state.formats import value_bytes, value_limit
 from oakmux.schedules import templates, zones
-from oakmux.schedules.dispatcher import WallClock
 from oakmux.schedules.firings import Rule, RuleError, cron_rule, mark_at
 from oakmux.schedules.queries import RefusedError, ScheduleQueries
 from oakmux.schedules.records import (
@@ -36,6 +35,7 @@
     template_key,
     value_of,
 )
+from oakmux.schedules.wall_clock import WallClock
 
 log = logging.getLogger("oakmux.schedules")
 
--- a/oakmux/schedules/dispatcher.py
+++ b/oakmux/schedules/dispatcher.py
@@ -1,146 +1,38 @@
-"""Who makes the turns: one controller, by a role on its lease, like a team's or the fleet's.
+"""Dispatching firings: one controller at a time, which holds a role for it on its lease.
 
-Exactly one job per turn rests on the records alone, never on the role: a turn's decision (in its
-entry's slot) and its jobs are written in one transaction, guarded by the shard's, the entry's, the
-template's and the role's versions and by the absence of the jobs. Whoever comes late, twice or
-after being deposed fails on a guard; whoever comes next goes on from the mark in the slot.
+That each firing submits its jobs exactly once depends on the records alone, never on the role: the
+outcome (in the entry's slot) and the jobs are written in one transaction, on condition that shard,
+entry, template and role are at the known revisions and that the jobs are absent. A late or
+repeated transaction, or one of a deposed holder, fails on a condition; the next holder goes on
+from the mark in the slot.
 """
 
 import heapq
 import math
 from collections import deque
-from collections.abc import Iterator
 from functools import partial
-from itertools import takewhile
-from typing import Any
+from typing import Any, NamedTuple
 
 from oakmux import constants
 from oakmux.core.context import Context, event
 from oakmux.core.state.codecs import encode_job
 from oakmux.core.state.keys import job_key, role_key
 from oakmux.schedules import policy, records, templates
-from oakmux.schedules.firings import Firing, firings, mark_at
+from oakmux.schedules.firing_plan import DueFirings, FiringBatch, FiringPlan, Urgency
+from oakmux.schedules.firings import Firing, mark_at
 from oakmux.schedules.records import Entry, Slot, Store
+from oakmux.schedules.wall_clock import WallClock
 
 CLOCK_ROLE = "#clock"
 
 
-class WallClock:
-    """The time of day, from what the machine's clock said last and the steady clock since."""
+class _DueDecision(NamedTuple):
+    """What becomes of a firing that is due."""
 
-    def __init__(self, context: Context) -> None:
-        self.context = context
-        self.synchronized: tuple[int, float] | None = None
-        self.hold_until = 0.0
-
-    def synchronize(self, ms: int) -> None:
-        """Take the machine's clock (ms since 1970); a step holds up turns for a moment."""
-        if self.synchronized is not None:
-            step = ms - self.now_ms()
-            if abs(step) > constants.CLOCK_STEP_S * 1000:
-                self.hold_until = self.context.now + constants.CLOCK_STEP_HOLD_S
-                event("clock_step", step_ms=step)
-        self.synchronized = (ms, self.context.now)
-
-    def now_ms(self) -> int:
-        """Return the time of day (ms since 1970)."""
-        if self.synchronized is None:
-            return self.context.wall + int(self.context.now * 1000)
-        return self.synchronized[0] + int((self.context.now - self.synchronized[1]) * 1000)
-
-    @property
-    def is_steady(self) -> bool:
-        """Whether the clock is known and was not just stepped."""
-        return self.synchronized is not None and self.context.now >= self.hold_until
-
-
-class FiringPlan:
-    """The turns of one entry that are to come, the next of them at hand."""
-
-    __slots__ = ("entry", "slot", "run", "firing", "ahead", "tries", "urgency")
-
-    def __init__(self, entry: Entry, slot: Slot) -> None:
-        self.entry = entry
-        self.slot = slot
-        self.run: Iterator[Firing] = firings(entry.rule, slot.mark)
-        if entry.until:
-            self.run = takewhile(lambda firing: firing.at <= entry.until, self.run)
-        self.firing = next(self.run, None)
-        self.ahead: list[Firing | None] = []
-        self.tries = 0
-        self.urgency: tuple = ()
-
-    def later(self) -> Firing | None:
-        """Return the turn after the next."""
-        if not self.ahead:
-            self.ahead.append(next(self.run, None))
-        return self.ahead[0]
-
-    def advance(self, slot: Slot) -> None:
-        """Go on to the turn after one that is decided."""
-        self.slot = slot
-        self.firing = self.ahead.pop() if self.ahead else next(self.run, None)
-        self.tries = 0
-
-
-class DueFirings:
-    """Plans with turns that are over, by shard; each shard's most urgent is known."""
-
-    def __init__(self) -> None:
-        self.shards: dict[int, dict[str, FiringPlan]] = {}
-        self.where: dict[str, int] = {}
-        self._best: dict[int, tuple] = {}
-
-    def __bool__(self) -> bool:
-        """Whether there is any."""
-        return bool(self.where)
-
-    def put(self, plan: FiringPlan) -> None:
-        """Add a plan, or the same entry's newer one."""
-        name, number = plan.entry.name, plan.entry.shard
-        self.pop(name)
-        self.where[name] = number
-        self.shards.setdefault(number, {})[name] = plan
-        self._best.pop(number, None)
-
-    def pop(self, name: str) -> None:
-        """Take an entry out if it is here."""
-        number = self.where.pop(name, None)
-        if number is not None:
-            plans = self.shards[number]
-            del plans[name]
-            if not plans:
-                del self.shards[number]
-            self._best.pop(number, None)
-
-    def of(self, number: int) -> list[FiringPlan]:
-        """Return a shard's plans, the most urgent first."""
-        return sorted(self.shards.get(number, {}).values(), key=lambda plan: plan.urgency)
-
-    def best(self) -> dict[int, tuple]:
-        """Return the rank of each shard's most urgent plan."""
-        for number, plans in self.shards.items():
-            if number not in self._best:
-                self._best[number] = min(plan.urgency for plan in plans.values())
-        return self._best
-
-    def clear(self) -> None:
-        """Forget all."""
-        self.shards.clear()
-        self.where.clear()
-        self._best.clear()
-
-
-class FiringBatch:
-    """Turns of one shard that are written together."""
-
-    def __init__(self, shard: int) -> None:
-        self.shard = shard
-        self.guards: dict[str, int] = {}
-        self.writes: list[tuple] = []
-        self.slots: dict[str, Slot] = {}
-        self.logged: list[dict[str, Any]] = []
-        self.owners: dict[str, str] = {}  # ids of jobs that may be found taken, and whose they are
+    outcome: policy.Decision
+    fires_at: int
+    # None for one that waited for the firing before it to finish.
+    firing: Firing | None
 
 
 class FiringDispatcher:
@@ -284,20 +176,20 @@
             return
         waiting = [
             (best, number)
-            for number, best in self.due.best().items()
+            for number, best in self.due.most_urgent().items()
             if number not in self.shards_in_flight
             and self.retry_at.get(number, 0) <= self.context.now
         ]
         if not waiting:
             return
-        first = min(waiting)[0][0]
+        first = min(waiting)[0].negative_priority
         # While more shards have turns of the highest priority than can be written now, no others
         # go with them: five hundred urgent turns among five thousand went within 32 s, not 10 s.
-        only_most_urgent = sum(1 for best, _ in waiting if best[0] == first) > most
+        only_most_urgent = sum(1 for best, _ in waiting if best.negative_priority == first) > most
         for _, number in heapq.nsmallest(most, waiting):
             batch = FiringBatch(number)
-            for plan in self.due.of(number):
-                if only_most_urgent and plan.urgency[0] != first:
+            for plan in self.due.plans_of(number):
+                if only_most_urgent and plan.urgency.negative_priority != first:
                     break
                 try:
                     more = self._add_firings(batch, plan, now_ms)
@@ -318,73 +210,78 @@
         plan.urgency = self._urgency(plan)
         self.due.put(plan)
 
-    def _urgency(self, plan: FiringPlan) -> tuple:
-        """Return what orders turns that are due together: priority, deadline, turn."""
+    def _urgency(self, plan: FiringPlan) -> Urgency:
+        """Return what orders a plan among those that are due."""
         template = self.store.templates.get(plan.entry.template)
         priority = 0 if template is None else max(s.spec.priority for s in template.steps)
         at = plan.firing.at if plan.firing is not None else plan.slot.pending
         limit = math.inf if plan.entry.deadline_s is None else at + plan.entry.deadline_s
-        return -priority, limit, at
+        return Urgency(-priority, limit, at)
 
     def _add_firings(self, batch: FiringBatch, plan: FiringPlan, now_ms: int) -> bool:
-        """Add the turns of an entry that are over; False once the transaction is full."""
+        """Add an entry's due firings; return False once the transaction is full."""
         entry = plan.entry
-        slot = plan.slot
         template = self.store.templates.get(entry.template)
         refusal = templates.refusal(self.context, template)
         if template is not None and templates.early(self.context, template):
-            # An upgrade is under way: waits_on can't be recorded yet. Others go on meanwhile.
+            # An upgrade is under way: dependencies can't be recorded yet. Others go on meanwhile.
             self.due.pop(entry.name)
             heapq.heappush(self.heap, (now_ms + 1000, entry.name, id(plan)))
             return True
         while True:
-            firing, waits = plan.firing, slot.pending
-            if waits and not self.has_unfinished_jobs(entry, slot):
-                made = policy.release(slot, plan.tries)
-                at, firing = waits, None
-            elif firing is not None and self._due_ms(entry, firing) <= now_ms:
-                made = policy.decide(
-                    entry,
-                    slot,
-                    firing,
-                    plan.later,
-                    now_ms,
-                    partial(self.has_unfinished_jobs, entry, slot),
-                    plan.tries,
-                )
-                at = firing.at
-            else:
+            due = self._next_decision(plan, now_ms)
+            if due is None:
                 self.due.pop(entry.name)
                 return True
-            if made.make and refusal is not None:
-                made = policy.Decision(
-                    slot.noted(
-                        made.slot.mark,
-                        0 if waits else slot.pending,
-                        at,
-                        records.REFUSED,
-                        note=refusal,
-                    ),
-                    False,
-                )
-            if not self._add_jobs(batch, plan, made, at, now_ms):
+            if due.outcome.make and refusal is not None:
+                due = due._replace(outcome=self._refuse(plan.slot, due, refusal))
+            if not self._add_jobs(batch, plan, due.outcome, due.fires_at, now_ms):
                 return False
-            slot = made.slot
-            batch.slots[entry.name] = slot
-            batch.guards.update(self.store.guards(records.entry_key(entry.name)))
-            if firing is not None:
-                plan.advance(slot)
-                if slot.rows[-1][1] == records.MISSED:
-                    self._skip_missed(plan, now_ms)
-                slot = plan.slot
-                batch.slots[entry.name] = slot
-            else:
-                plan.slot = slot
-                plan.tries = 0
-            if made.make:
-                # Turns after this one are decided once its job is in the records.
+            self._record_outcome(batch, plan, due, now_ms)
+            if due.outcome.make:
+                # Later firings are decided once the jobs of this one are in the records.
                 return True
 
+    def _next_decision(self, plan: FiringPlan, now_ms: int) -> _DueDecision | None:
+        """Decide on the entry's next firing, or return None if none is due."""
+        entry, slot, firing = plan.entry, plan.slot, plan.firing
+        if slot.pending and not self.has_unfinished_jobs(entry, slot):
+            return _DueDecision(policy.release(slot, plan.tries), slot.pending, None)
+        if firing is None or self._due_ms(entry, firing) > now_ms:
+            return None
+        outcome = policy.decide(
+            entry,
+            slot,
+            firing,
+            plan.later,
+            now_ms,
+            partial(self.has_unfinished_jobs, entry, slot),
+            plan.tries,
+        )
+        return _DueDecision(outcome, firing.at, firing)
+
+    @staticmethod
+    def _refuse(slot: Slot, due: _DueDecision, reason: str) -> policy.Decision:
+        """Return the outcome of a firing whose jobs can't be submitted."""
+        mark = due.outcome.slot.mark
+        refused = slot.noted(mark, 0, due.fires_at, records.REFUSED, note=reason)
+        return policy.Decision(refused, False)
+
+    def _record_outcome(
+        self, batch: FiringBatch, plan: FiringPlan, due: _DueDecision, now_ms: int
+    ) -> None:
+        """Add the outcome of a firing to the batch, and go on with the plan."""
+        name, slot = plan.entry.name, due.outcome.slot
+        batch.guards.update(self.store.guards(records.entry_key(name)))
+        if due.firing is not None:
+            plan.advance(slot)
+            if slot.rows[-1][1] == records.MISSED:
+                self._skip_missed(plan, now_ms)
+        else:
+            plan.slot = slot
+            plan.tries = 0
+        batch.slots[name] = plan.slot
+
     def _skip_missed(self, plan: FiringPlan, now_ms: int) -> None:
         """Pass over turns that are long missed: each is counted, but not gone through for ever."""
         count = 0
--- /dev/null
+++ b/oakmux/schedules/firing_plan.py
@@ -0,0 +1,109 @@
+"""Planned firings: of one entry, those that are due by shard, and those written together."""
+
+from collections.abc import Iterator
+from itertools import takewhile
+from typing import Any, NamedTuple
+
+from oakmux.schedules.firings import Firing, firings
+from oakmux.schedules.records import Entry, Slot
+
+
+class Urgency(NamedTuple):
+    """What orders firings that are due together; the smaller goes first."""
+
+    negative_priority: int
+    # The latest time (s since 1970) at which the firing may begin; infinite without a deadline.
+    deadline: float
+    fires_at: int
+
+
+class FiringPlan:
+    """The coming firings of one entry, the next of them at hand."""
+
+    __slots__ = ("entry", "slot", "run", "firing", "ahead", "tries", "urgency")
+
+    def __init__(self, entry: Entry, slot: Slot) -> None:
+        self.entry = entry
+        self.slot = slot
+        self.run: Iterator[Firing] = firings(entry.rule, slot.mark)
+        if entry.until:
+            self.run = takewhile(lambda firing: firing.at <= entry.until, self.run)
+        self.firing = next(self.run, None)
+        # The firing after the next, once it was asked for.
+        self.ahead: list[Firing | None] = []
+        self.tries = 0
+        self.urgency = Urgency(0, 0.0, 0)
+
+    def later(self) -> Firing | None:
+        """Return the firing after the next."""
+        if not self.ahead:
+            self.ahead.append(next(self.run, None))
+        return self.ahead[0]
+
+    def advance(self, slot: Slot) -> None:
+        """Go on to the following firing; `slot` has the outcome of the one before."""
+        self.slot = slot
+        self.firing = self.ahead.pop() if self.ahead else next(self.run, None)
+        self.tries = 0
+
+
+class DueFirings:
+    """Plans whose next firing is due, by shard; the most urgent of each shard is cached."""
+
+    def __init__(self) -> None:
+        self.shards: dict[int, dict[str, FiringPlan]] = {}
+        self.shard_of: dict[str, int] = {}
+        self._most_urgent: dict[int, Urgency] = {}
+
+    def __bool__(self) -> bool:
+        """Whether any firing is due."""
+        return bool(self.shard_of)
+
+    def put(self, plan: FiringPlan) -> None:
+        """Add a plan, in place of an older one of the same entry."""
+        name, shard = plan.entry.name, plan.entry.shard
+        self.pop(name)
+        self.shard_of[name] = shard
+        self.shards.setdefault(shard, {})[name] = plan
+        self._most_urgent.pop(shard, None)
+
+    def pop(self, name: str) -> None:
+        """Remove an entry's plan, if there is one."""
+        shard = self.shard_of.pop(name, None)
+        if shard is not None:
+            plans = self.shards[shard]
+            del plans[name]
+            if not plans:
+                del self.shards[shard]
+            self._most_urgent.pop(shard, None)
+
+    def plans_of(self, shard: int) -> list[FiringPlan]:
+        """Return a shard's plans, the most urgent first."""
+        return sorted(self.shards.get(shard, {}).values(), key=lambda plan: plan.urgency)
+
+    def most_urgent(self) -> dict[int, Urgency]:
+        """Return the urgency of the most urgent plan of each shard."""
+        for shard, plans in self.shards.items():
+            if shard not in self._most_urgent:
+                self._most_urgent[shard] = min(plan.urgency for plan in plans.values())
+        return self._most_urgent
+
+    def clear(self) -> None:
+        """Remove all plans."""
+        self.shards.clear()
+        self.shard_of.clear()
+        self._most_urgent.clear()
+
+
+class FiringBatch:
+    """Firings of one shard that are written in one transaction."""
+
+    def __init__(self, shard: int) -> None:
+        self.shard = shard
+        self.guards: dict[str, int] = {}
+        self.writes: list[tuple] = []
+        self.slots: dict[str, Slot] = {}
+        # Fields of the log events that follow once the transaction has been carried out.
+        self.logged: list[dict[str, Any]] = []
+        # The entry of each job id in the batch, should an id turn out to be taken.
+        self.owners: dict[str, str] = {}
--- a/oakmux/schedules/replay/model.py
+++ b/oakmux/schedules/replay/model.py
@@ -109,7 +109,7 @@
         self.ahead = max(-SKEW_S / 2, min(SKEW_S / 2, self.ahead + drift))
         if not (self.cut or model.down):
             context.store_seen_at = model.now
-        self.part.wall_clock.synchronized = None
+        self.part.wall_clock.last_reading = None
         self.part.wall_clock.synchronize(int((model.start + model.now + self.ahead) * 1000))
         begin = time.perf_counter()
         self.part.tick()
--- a/oakmux/schedules/subsystem.py
+++ b/oakmux/schedules/subsystem.py
@@ -4,8 +4,9 @@
 
 from oakmux.core.context import Context
 from oakmux.schedules.api import ScheduleApi
-from oakmux.schedules.dispatcher import CLOCK_ROLE, FiringDispatcher, WallClock
+from oakmux.schedules.dispatcher import CLOCK_ROLE, FiringDispatcher
 from oakmux.schedules.records import KIND, RESERVED, Store
+from oakmux.schedules.wall_clock import WallClock
 
 
 class SchedulesSubsystem:
