--- a/oakmux/transport/store_client.py
+++ b/oakmux/transport/store_client.py
@@ -1,9 +1,8 @@
-"""The state service: transactions, reads, leases and the watch."""
+"""Client of the store: transactions, reads, leases and the watch, within its rate limits."""
 
 import asyncio
-import heapq
 import logging
-from collections.abc import Callable
+from collections.abc import Awaitable, Callable
 from typing import Any
 from urllib.parse import quote
 
@@ -27,34 +26,31 @@
 from oakmux.core.state.keys import PREFIX
 from oakmux.settings import Settings
 from oakmux.transport.http_client import Client, NoResponse, RequestNotSent
+from oakmux.transport.operation_queue import (
+    Operation,
+    OperationKind,
+    OperationQueue,
+    QueuedOperation,
+)
 from oakmux.transport.rate_limit import BurstAllowance, TokenBucket, pause
 
 log = logging.getLogger("oakmux.state")
 
 
-class Line:
-    """Operations that wait for their turn."""
-
-    def __init__(self) -> None:
-        self.heap: list[tuple[int, int, float, int, tuple]] = []
-        self.woken = asyncio.Event()
-
-
 class StoreClient:
-    """Carries out the core's operations within our share of the limits."""
+    """Carries out the core's operations within this controller's share of the rate limits."""
 
     def __init__(self, settings: Settings, put: Callable[[tuple], None]) -> None:
         self.addr = settings.services.store
         self.put = put
-        # Of the present and the coming limits the smaller: they change without notice.
         limits = settings.facts.store.strictest
         share = constants.RATE_LIMIT_SHARE / settings.size
         self.requests = TokenBucket(limits.rps * share)
         self.changes = TokenBucket(limits.write_rps * share)
         self.ahead = BurstAllowance(self.changes.rate)
         self.client = Client(constants.STORE_CONNECTIONS)
-        self.reads = Line()
-        self.writes = Line()
+        self.reads = OperationQueue()
+        self.writes = OperationQueue()
         self.count = 0
         self.next_borrow = 0.0
         self.watch_gap = max(
@@ -62,84 +58,102 @@
         )
         self.tasks: set[asyncio.Task] = set()
         self.refused: set[tuple[int, str]] = set()
+        self._handlers: dict[str, Callable[..., Awaitable[tuple[int, Any]]]] = {
+            OperationKind.TRANSACTION: self._transaction,
+            OperationKind.READ: self._read,
+            OperationKind.GRANT_LEASE: self._grant_lease,
+            OperationKind.RENEW_LEASE: self._renew_lease,
+        }
 
-    def submit(self, kind: str, op: int, *args: Any) -> None:
+    def submit(self, kind: str, number: int, *arguments: Any) -> None:
         """Queue an operation: leases first, then what users wait for, then the rest."""
-        if kind == "txn":
-            priority, cost = args[2], len(args[1])
-        elif kind == "get":
-            priority, cost = args[1], 0
-        else:
-            priority, cost = -1, 0
-        line = self.writes if cost else self.reads
-        if len(line.heap) >= constants.MAX_QUEUED_COMMANDS:
-            self.put(("done", op, 503, None))
+        operation = Operation(kind, number, arguments)
+        priority, writes = operation.priority, operation.writes
+        queue = self.writes if writes else self.reads
+        if len(queue.heap) >= constants.MAX_QUEUED_COMMANDS:
+            self._unavailable(operation)
             return
         now = asyncio.get_running_loop().time()
-        if cost and priority == 0 and self._hopeless(now, cost):
-            self.put(("done", op, 503, None))  # at once, rather than when its time is over
+        if writes and priority == 0 and self._would_expire(now, writes):
+            self._unavailable(operation)  # at once, rather than when its time is over
             return
         self.count += 1
-        heapq.heappush(line.heap, (priority, self.count, now, cost, (kind, op, *args)))
-        line.woken.set()
+        queue.push(QueuedOperation(priority, self.count, now, writes, operation))
 
-    def _hopeless(self, now: float, cost: int) -> bool:
-        """Whether a user's change would wait for its turn for longer than it may."""
-        before = sum(op[3] for op in self.writes.heap if op[0] <= 0)
-        self.changes.wait(now, 0)  # brings the level up to date
-        short = before + cost - self.changes.level - self.ahead.allowed(now)
-        return short > self.changes.rate * constants.STORE_QUEUE_TIMEOUT_S
+    def _unavailable(self, operation: Operation) -> None:
+        """Report that an operation was given up before it was sent."""
+        self.put(("done", operation.number, 503, None))
 
-    async def pump(self, line: Line) -> None:
-        """Start the operations of a line as the limits allow, the most urgent first.
+    def _would_expire(self, now: float, writes: int) -> bool:
+        """Whether a user's writes would wait for their turn for longer than they may."""
+        self.changes.wait(now, 0)  # refills the bucket
+        missing = (
+            self.writes.count_urgent_writes()
+            + writes
+            - self.changes.level
+            - self.ahead.allowed(now)
+        )
+        return missing > self.changes.rate * constants.STORE_QUEUE_TIMEOUT_S
 
-        Renewals and reads have a line of their own: when they stood behind changes that waited
-        for their share of the rate, controllers lost their leases for no other reason.
+    async def pump(self, queue: OperationQueue) -> None:
+        """Start the operations of a queue for ever, as the limits allow, the most urgent first.
+
+        Renewals and reads have a queue of their own: behind writes that waited for their share of
+        the rate, controllers lost their leases for no other reason.
         """
-        loop = asyncio.get_running_loop()
         while True:
-            line.woken.clear()
-            if not line.heap:
-                await line.woken.wait()
-                continue
-            priority, _, since, cost, op = line.heap[0]
-            now = loop.time()
-            if now - since > constants.STORE_QUEUE_TIMEOUT_S:
-                heapq.heappop(line.heap)
-                self.put(("done", op[1], 503, None))
-                continue
-            # A user's change goes ahead of its share: behind an owner's transaction it waited
-            # for up to two seconds. The next transaction waits so much longer.
-            ahead = self.ahead.allowed(now) if priority <= 0 else 0.0
-            wait = max(
-                self.requests.wait(now, 1), self.changes.wait(now, cost - ahead) if cost else 0.0
-            )
-            if wait > 0:
-                self._borrow(now)
-                try:  # something more urgent may come meanwhile
-                    async with asyncio.timeout(wait):
-                        await line.woken.wait()
-                except TimeoutError:
-                    pass
-                continue
-            heapq.heappop(line.heap)
-            self.requests.take(1)
-            self.changes.take(cost)
+            queue.woken.clear()
+            if queue.heap:
+                await self._start_first(queue)
+            else:
+                await queue.woken.wait()
+
+    async def _start_first(self, queue: OperationQueue) -> None:
+        """Start the first operation, or wait for tokens or a more urgent one."""
+        loop = asyncio.get_running_loop()
+        first, now = queue.heap[0], loop.time()
+        if now - first.queued_at > constants.STORE_QUEUE_TIMEOUT_S:
+            queue.pop()
+            self._unavailable(first.operation)
+            return
+        wait = self._wait_for_tokens(first, now)
+        if wait > 0:
             self._borrow(now)
-            task = loop.create_task(self._carry_out(op))
-            self.tasks.add(task)
-            task.add_done_callback(self.tasks.discard)
+            await queue.wait(wait)
+            return
+        queue.pop()
+        self.requests.take(1)
+        self.changes.take(first.writes)
+        self._borrow(now)
+        task = loop.create_task(self._carry_out(first.operation))
+        self.tasks.add(task)
+        task.add_done_callback(self.tasks.discard)
+
+    def _wait_for_tokens(self, queued: QueuedOperation, now: float) -> float:
+        """Return the seconds until the rate limits allow an operation.
+
+        A user's write is sent ahead of its share: behind a scheduler's transaction it waited for
+        up to two seconds. The next transaction waits so much longer.
+        """
+        wait = self.requests.wait(now, 1)
+        if not queued.writes:
+            return wait
+        ahead = self.ahead.allowed(now) if queued.priority <= 0 else 0.0
+        return max(wait, self.changes.wait(now, queued.writes - ahead))
 
     def _borrow(self, now: float) -> None:
-        """Ask the peers for changes that they can spare: the rate is split evenly, the work is
-        not. What is lent was their own share, so that the sum keeps within the limit."""
-        short = sum(op[3] for op in self.writes.heap) - self.changes.level
-        if short > 0 and now >= self.next_borrow:
+        """Ask the peers for write tokens that they can spare.
+
+        The rate is split evenly, the work is not. What is lent was the peers' own share, so that
+        the sum stays within the limit.
+        """
+        missing = self.writes.count_writes() - self.changes.level
+        if missing > 0 and now >= self.next_borrow:
             self.next_borrow = now + constants.BORROW_INTERVAL_S
-            self.put(("short", short))
+            self.put(("short", missing))
 
     def lend(self, wanted: float) -> float:
-        """Give up changes that we don't need now; return how many."""
+        """Give up write tokens that are not needed now; return how many."""
         if self.writes.heap:
             return 0.0
         self.changes.wait(asyncio.get_running_loop().time(), 0)
@@ -150,14 +164,15 @@
         return given
 
     def credit(self, given: float) -> None:
-        """Take what a peer lent; what we have no use for any more is lost."""
+        """Take the write tokens that a peer lent; those beyond a full bucket are lost."""
         self.changes.take(-given)
         self.writes.woken.set()
 
-    async def _carry_out(self, op: tuple) -> None:
-        kind, number, *args = op
+    async def _carry_out(self, operation: Operation) -> None:
+        """Make the request of an operation and report its outcome to the core."""
+        kind = operation.kind
         try:
-            status, result = await getattr(self, f"_{kind}")(*args)
+            status, result = await self._handlers[kind](*operation.arguments)
         except RequestNotSent:
             status, result = 503, None
         except (NoResponse, Malformed) as error:
@@ -168,7 +183,7 @@
             status, result = 0, None
         if status in (0, 503):
             self.ahead.reset(asyncio.get_running_loop().time())
-        self.put(("done", number, status, result))
+        self.put(("done", operation.number, status, result))
 
     async def _call(
         self, method: str, path: str, body: Any = None, timeout: float = constants.STORE_TIMEOUT_S
@@ -181,7 +196,7 @@
             return 503, None
         return status, decode(answer) if answer else None
 
-    async def _txn(self, guards: list, writes: list, _: int) -> tuple[int, Any]:
+    async def _transaction(self, guards: list, writes: list, _: int) -> tuple[int, Any]:
         body = transaction_body(guards, writes)
         status, answer = await self._call("POST", PATH_TRANSACTIONS, body)
         if writes and log.isEnabledFor(logging.DEBUG):
@@ -213,7 +228,7 @@
             str(answer)[: constants.LOG_TEXT_CHARS],
         )
 
-    async def _get(self, key: str, _: int) -> tuple[int, Any]:
+    async def _read(self, key: str, _: int) -> tuple[int, Any]:
         status, answer = await self._call("GET", f"{PATH_ITEMS}/{quote(key)}")
         if status == 200:
             return 200, parse_value(answer)
@@ -221,11 +236,11 @@
             return 404, (None, parse_missing_key(answer))
         return (503 if status in (429, 503) else 0), None
 
-    async def _grant(self, life_s: float) -> tuple[int, Any]:
-        status, answer = await self._call("POST", PATH_LEASES, lease_body(life_s))
+    async def _grant_lease(self, duration_s: float) -> tuple[int, Any]:
+        status, answer = await self._call("POST", PATH_LEASES, lease_body(duration_s))
         return (200, parse_lease(answer)) if status == 200 else (503, None)
 
-    async def _renew(self, lease: int) -> tuple[int, Any]:
+    async def _renew_lease(self, lease: int) -> tuple[int, Any]:
         status, _ = await self._call("POST", f"{PATH_LEASES}/{lease}/renew", {})
         return status, None
 
--- a/tests/recorded.py
+++ b/tests/recorded.py
@@ -53,6 +53,7 @@
 from oakmux.transport.cloud_client import CloudClient
 from oakmux.transport.http_client import Client, ClientProtocol
 from oakmux.transport.http_server import ServerProtocol
+from oakmux.transport.operation_queue import Operation
 from oakmux.transport.peer_client import PeerClient
 from oakmux.transport.request_router import RequestRouter
 from oakmux.transport.store_client import StoreClient
@@ -746,11 +747,13 @@
     """Return a call and the replies that it gets, by name."""
 
     def txn(status: int, body: Any = None, writes: list | None = None) -> tuple[Call, list[bytes]]:
-        op = ("txn", 5, GUARDS, WRITES if writes is None else writes, 1)
+        op = Operation("txn", 5, (GUARDS, WRITES if writes is None else writes, 1))
         return on_state(lambda state: state._carry_out(op)), [reply(status, body)]
 
     def state(*op: Any) -> Call:
-        return on_state(lambda state: state._carry_out(op))
+        kind, number, *arguments = op
+        one = Operation(kind, number, tuple(arguments))
+        return on_state(lambda state: state._carry_out(one))
 
     def cloud(*args: Any) -> Call:
         return on_cloud(lambda cloud: cloud.carry_out(5, *args))
