--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -8,6 +8,7 @@
 from oakmux.core.scheduling import queue_order
 from oakmux.core.scheduling.backfill_reservations import BackfillReservations
 from oakmux.core.scheduling.pending_queues import PendingQueues
+from oakmux.core.scheduling.quota_claims import QuotaClaims
 from oakmux.core.state.records import Binding, Job, TaskBlock
 from oakmux.core.state.write_buffer import WriteBuffer
 from tests.fakes import LEASE_S, TYPE, Simulation, settings_for, spec
@@ -116,7 +117,7 @@
         "core.scheduling.queue_order",
         "core.agents.reservation_queue",
         "core.scheduling.pending_queues",
-        "core.state.write_buffer",
+        "core.scheduling.quota_claims",
         "core.scheduling.gangs",
         "core.scheduling.backfill_planner",
     ):
@@ -181,11 +182,11 @@
 
 def test_a_starving_gang_keeps_its_part_of_the_quota_while_it_gathers_capacity():
     context, jobs = pending(gang=(70.0, dict(kind="gang", tasks=8)), young=(10.0, {}))
-    buffer = WriteBuffer(context)
-    assert not buffer.exceeds_limit(jobs["young"], jobs["young"].spec)
-    buffer.claim_limit(jobs["gang"], jobs["gang"].spec, 8)  # nothing of the team runs
-    assert buffer.exceeds_limit(jobs["young"], jobs["young"].spec)
-    assert not buffer.exceeds_limit(jobs["gang"], jobs["gang"].spec, 8)
+    claims = QuotaClaims(context, WriteBuffer(context))
+    assert not claims.exceeds_limit(jobs["young"], jobs["young"].spec)
+    claims.claim(jobs["gang"], jobs["gang"].spec, 8)  # nothing of the team runs
+    assert claims.exceeds_limit(jobs["young"], jobs["young"].spec)
+    assert not claims.exceeds_limit(jobs["gang"], jobs["gang"].spec, 8)
 
 
 def test_an_older_started_job_does_not_block_a_starving_gang():
