--- a/oakmux/core/agents/worker_commands.py
+++ b/oakmux/core/agents/worker_commands.py
@@ -8,7 +8,7 @@
 from oakmux.core.agents.tracked_workers import TrackedWorker, WorkerTable
 from oakmux.core.context import Context, Machine, Task, event
 from oakmux.core.leadership.leadership import Leadership
-from oakmux.core.model import Heartbeat
+from oakmux.core.model import CommandOutcome, Heartbeat
 from oakmux.core.state.records import Binding, Job
 
 
@@ -268,7 +268,7 @@
         context = self.context
         tracked = self.workers.tracked.setdefault(name, TrackedWorker())
         tracked.command_in_flight = False
-        if outcome == "lost":
+        if outcome == CommandOutcome.LOST:
             # They may still be carried out, minutes later: only a newer term settles that.
             tracked.next_command_at = context.now + constants.COMMAND_TIMEOUT_S
             self.leadership.need_term_above(term)
@@ -276,7 +276,7 @@
         for task in starts:
             if tracked.unresolved_starts.get(task) == term:
                 del tracked.unresolved_starts[task]
-        if outcome == "unsent":
+        if outcome == CommandOutcome.UNSENT:
             tracked.next_command_at = context.now + constants.COMMAND_TIMEOUT_S
         if heartbeat is not None and heartbeat.machine == name:
             machine = context.machines.get(name)
--- a/oakmux/core/model.py
+++ b/oakmux/core/model.py
@@ -1,7 +1,7 @@
 """Domain types: jobs, machine types and heartbeats."""
 
 import re
-from enum import IntEnum
+from enum import IntEnum, StrEnum
 
 import msgspec
 
@@ -84,3 +84,19 @@
     if not JOB_ID.match(job_id) or not index.isdigit():
         raise ValueError(task)
     return job_id, int(index)
+
+
+class CommandOutcome(StrEnum):
+    """What is known of commands that were sent to a worker."""
+
+    OK = "ok"
+    """The worker has carried them out."""
+
+    REFUSED = "refused"
+    """The worker has refused all of them: it obeys a newer term, or its agent epoch is another."""
+
+    UNSENT = "unsent"
+    """There was no connection: certainly none was carried out."""
+
+    LOST = "lost"
+    """There was no usable answer: each may have been carried out, or may be minutes later."""
--- a/oakmux/service.py
+++ b/oakmux/service.py
@@ -114,7 +114,7 @@
         elif kind == "credit":
             self.state.credit(effect[1])
         elif kind == "orders":
-            self.spawn(self.workers.orders(*effect[1:]))
+            self.spawn(self.workers.send_commands(*effect[1:]))
         elif kind == "cloud":
             self.spawn(self.cloud.carry_out(*effect[1:]))
         else:
--- a/oakmux/transport/cloud_client.py
+++ b/oakmux/transport/cloud_client.py
@@ -1,8 +1,9 @@
-"""The cloud: catalogue, machine list, rentals and returns, within its rate."""
+"""Client of the cloud: catalogue, list of instances, rentals and returns, within its rate."""
 
 import asyncio
 import logging
-from collections.abc import Callable
+from collections.abc import Awaitable, Callable
+from enum import StrEnum
 from typing import Any
 from urllib.parse import quote
 
@@ -27,18 +28,31 @@
 log = logging.getLogger("oakmux.cloud")
 
 
+class CloudCall(StrEnum):
+    """What a call asks of the cloud."""
+
+    LIST = "list"
+    RENT = "rent"
+    RETURN = "return"
+
+
 class CloudClient:
     """Carries out the core's calls one after another as the rate allows."""
 
     def __init__(self, settings: Settings, put: Callable[[tuple], None]) -> None:
         self.addr = settings.services.cloud
         self.put = put
-        # One controller holds the fleet; the others only read the catalogue now and then.
+        # One controller holds the fleet role; the others only read the catalogue now and then.
         self.bucket = TokenBucket(
             settings.facts.cloud.rps * constants.CLOUD_RATE_SHARE, constants.CLOUD_BURST_S
         )
         self.turn = asyncio.Lock()
         self.client = Client(constants.CLOUD_CONNECTIONS)
+        self._handlers: dict[str, Callable[..., Awaitable[tuple[int, Any]]]] = {
+            CloudCall.LIST: self._list,
+            CloudCall.RENT: self._rent,
+            CloudCall.RETURN: self._return,
+        }
 
     async def _call(self, method: str, path: str, body: Any = None) -> tuple[int, Any]:
         loop = asyncio.get_running_loop()
@@ -57,10 +71,10 @@
         )
         return status, decode(answer) if answer else None
 
-    async def carry_out(self, op: int, kind: str, *args: Any) -> None:
-        """Make one call and hand its outcome to the core."""
+    async def carry_out(self, number: int, kind: str, *arguments: Any) -> None:
+        """Make one call and report its outcome to the core under a number."""
         try:
-            status, result = await getattr(self, f"_{kind}")(*args)
+            status, result = await self._handlers[kind](*arguments)
         except RequestNotSent:
             status, result = 503, None
         except (NoResponse, Malformed) as error:
@@ -69,7 +83,7 @@
         except Exception:
             log.exception("event=cloud_failed kind=%s", kind)
             status, result = 0, None
-        self.put(("done", op, status, result))
+        self.put(("done", number, status, result))
 
     async def _list(self) -> tuple[int, Any]:
         rows: list[ListedInstance] = []
@@ -101,7 +115,7 @@
         return status, None
 
     async def catalogue(self) -> None:
-        """Read the catalogue now and again for ever."""
+        """Read the catalogue for ever, at CATALOGUE_INTERVAL_S."""
         tries = 0
         while True:
             try:
--- a/oakmux/transport/worker_client.py
+++ b/oakmux/transport/worker_client.py
@@ -1,4 +1,4 @@
-"""Direct orders to workers."""
+"""Client of the workers: commands that don't wait for the worker's next heartbeat."""
 
 import logging
 from collections.abc import Callable
@@ -6,38 +6,44 @@
 from oakmux import constants
 from oakmux.codec.cbor import Malformed, decode, encode
 from oakmux.codec.workers import PATH_COMMANDS, commands_body, parse_heartbeat
+from oakmux.core.model import CommandOutcome, Heartbeat
 from oakmux.transport.http_client import Client, NoResponse, RequestNotSent
 
 log = logging.getLogger("oakmux.workers")
 
+OUTCOME_OF_STATUS = {200: CommandOutcome.OK, 409: CommandOutcome.REFUSED}
+"""Statuses that a worker answers with a heartbeat."""
+
 
 class WorkerClient:
-    """Sends orders and hands the workers' answers to the core."""
+    """Sends commands and hands the workers' answers to the core."""
 
     def __init__(self, put: Callable[[tuple], None]) -> None:
         self.put = put
         self.client = Client(constants.WORKER_CONNECTIONS)
 
-    async def orders(
-        self, op: int, addr: str, fencing_token: int, agent_epoch: int, orders: list[dict]
+    async def send_commands(
+        self, number: int, addr: str, fencing_token: int, agent_epoch: int, commands: list[dict]
     ) -> None:
-        """Send orders: ok, refused, unsent (certainly nothing done) or lost (not known)."""
-        outcome, heartbeat = "lost", None
+        """Send commands and report the outcome and the worker's heartbeat under a number."""
+        outcome, heartbeat = CommandOutcome.LOST, None
         try:
-            body = encode(commands_body(fencing_token, agent_epoch, orders))
-            status, answer = await self.client.request(
-                addr, "POST", PATH_COMMANDS, body, constants.COMMAND_TIMEOUT_S
+            outcome, heartbeat = await self._request(
+                addr, encode(commands_body(fencing_token, agent_epoch, commands))
             )
-            if status in (200, 409):
-                heartbeat = parse_heartbeat(decode(answer))
-                outcome = "ok" if status == 200 else "refused"
-        except (
-            RequestNotSent,
-            ValueError,
-        ):  # ValueError: the worker gave no address to connect to
-            outcome = "unsent"
+        except (RequestNotSent, ValueError):  # ValueError: the worker gave no usable address
+            outcome = CommandOutcome.UNSENT
         except (NoResponse, Malformed) as error:
-            log.info("event=orders_lost addr=%s why=%s", addr, error)
+            log.info("event=commands_lost addr=%s why=%s", addr, error)
         except Exception:
-            log.exception("event=orders_failed addr=%s", addr)
-        self.put(("done", op, outcome, heartbeat))
+            log.exception("event=commands_failed addr=%s", addr)
+        self.put(("done", number, outcome, heartbeat))
+
+    async def _request(self, addr: str, body: bytes) -> tuple[CommandOutcome, Heartbeat | None]:
+        status, answer = await self.client.request(
+            addr, "POST", PATH_COMMANDS, body, constants.COMMAND_TIMEOUT_S
+        )
+        outcome = OUTCOME_OF_STATUS.get(status)
+        if outcome is None:
+            return CommandOutcome.LOST, None
+        return outcome, parse_heartbeat(decode(answer))
--- a/tests/recorded.py
+++ b/tests/recorded.py
@@ -724,7 +724,7 @@
     """Send one command of each kind to a worker."""
     workers = WorkerClient(put)
     workers.client = client
-    return workers.orders(5, "10.1.0.232:9000", 41, 3, orders())
+    return workers.send_commands(5, "10.1.0.232:9000", 41, 3, orders())
 
 
 def on_peer(client: Client, put: Put) -> Coroutine:
