--- a/oakmux/core/scheduling/machine_index.py
+++ b/oakmux/core/scheduling/machine_index.py
@@ -22,6 +22,9 @@
 
 KeyT = TypeVar("KeyT", bound=Hashable)
 
+ClassRank = tuple[bool, int, bool, float]
+"""Order of capacity classes for a task, the least first; see `MachineIndex._class_rank`."""
+
 AvailableResources = Callable[[Machine, Resources], Resources]
 """Returns what of a machine's free resources a job may use."""
 
@@ -71,15 +74,6 @@
     memory_gb: float
 
 
-class ClassRank(NamedTuple):
-    """Order of capacity classes for a task; the least is drawn from first."""
-
-    costs_more: bool
-    free_gpus: int
-    idle: bool
-    free_share: float
-
-
 class PreemptibleWork(NamedTuple):
     """Priorities and teams of the tasks on a machine that may be preempted at all."""
 
@@ -320,7 +314,11 @@
         return order
 
     def _class_rank(self, spec: JobSpec, capacity: CapacityClass) -> ClassRank | None:
-        """Return the rank of a class for a task, or None if the task never fits it."""
+        """Return the rank of a class for a task, or None if the task never fits it.
+
+        The rank says in this order whether its machines cost more than others, how many GPUs a
+        task without any would leave unused, whether they are idle, and which share is free.
+        """
         kind = self.context.types.get(capacity.type)
         if (
             kind is None
@@ -330,7 +328,7 @@
             or not may_fit(spec, kind, capacity)
         ):
             return None
-        return ClassRank(
+        return (
             not capacity.spot if spec.gpus else capacity.spot,
             0 if spec.gpus else capacity.gpus,
             capacity.idle,
--- a/oakmux/core/scheduling/pending_queues.py
+++ b/oakmux/core/scheduling/pending_queues.py
@@ -97,13 +97,15 @@
 def requirements_of(context: Context, spec: JobSpec) -> tuple[Requirement, ...]:
     """Return what a task takes of each machine type that it fits."""
     return tuple(
-        Requirement(
-            kind.name,
-            required_level(spec.cpus / kind.cpus),
-            required_level(spec.memory_gb / kind.memory_gb),
-        )
-        for kind in context.types.values()
-        if context.fits_type(spec, kind.name)
+        [
+            Requirement(
+                kind.name,
+                required_level(spec.cpus / kind.cpus),
+                required_level(spec.memory_gb / kind.memory_gb),
+            )
+            for kind in context.types.values()
+            if context.fits_type(spec, kind.name)
+        ]
     )
 
 
@@ -171,14 +173,13 @@
 
     def put(self, job: Job, spec: JobSpec) -> Shape:
         """Queue a job, or move it to its current position; return the shape of its queue."""
-        entry = QueueEntry(
-            shape_of(self.context, job, spec), position_of(self.context, job, spec), job.since
-        )
-        if self.entries.get(job.id) != entry:
+        shape = shape_of(self.context, job, spec)
+        position = position_of(self.context, job, spec)
+        if self.entries.get(job.id) != (shape, position, job.since):
             self.drop(job.id)
-            self._insert(entry)
+            self._insert(QueueEntry(shape, position, job.since))
             self._watch_starvation(job)
-        return entry.shape
+        return shape
 
     def _insert(self, entry: QueueEntry) -> None:
         shape, position, submitted_ms = entry
--- a/oakmux/core/scheduling/placement.py
+++ b/oakmux/core/scheduling/placement.py
@@ -16,24 +16,8 @@
 from oakmux.core.scheduling.pending_job import CapacityOffer, PendingJob
 from oakmux.core.state.records import Job
 
-
-class ImageFetches(NamedTuple):
-    """Whether a machine will have an image without another fetch, and which jobs' other images it
-    fetches."""
-
-    has_image: bool
-    others: list[Job]
-
-
-class Preference(NamedTuple):
-    """Order of machines for a task; the least comes first. True is worse than False."""
-
-    strands_gpus: bool
-    lacks_image: bool
-    shares_fetch: bool
-    costs_more: bool
-    idle: bool
-    free_share: float
+Preference = tuple[bool, bool, bool, bool, bool, float]
+"""Order of machines for a task, the least first; see `preference`."""
 
 
 class PreemptionRequest(NamedTuple):
@@ -63,9 +47,12 @@
     save_s: float
 
 
-def image_fetches(context: Context, spec: JobSpec, machine: Machine) -> ImageFetches:
+def image_fetches(context: Context, spec: JobSpec, machine: Machine) -> tuple[bool, list[Job]]:
     """Return what a machine fetches by its heartbeat and by bindings not in the heartbeat yet.
 
+    That is whether it will have the image of `spec` without another fetch, and the jobs of which
+    it fetches other images.
+
     Without these bindings, tasks bound in succession to a new machine fetched side by side, each
     for twice as long.
     """
@@ -84,7 +71,7 @@
             state[0] == "fetching" if state is not None else (job.spec.image not in machine.images)
         ):
             others.append(job)
-    return ImageFetches(has_image, others)
+    return has_image, others
 
 
 def fetch_s(context: Context, spec: JobSpec, machine: Machine) -> float:
@@ -116,7 +103,11 @@
 def preference(
     context: Context, job: Job, spec: JobSpec, machine: Machine, free: Resources
 ) -> Preference:
-    """Return the rank of a machine for a task.
+    """Return the rank of a machine for a task, the least first.
+
+    The rank says in this order whether the task would strand GPUs, whether the image is missing,
+    whether its fetch would be shared, whether the machine costs more than others, whether it is
+    idle, and which share of it is free.
 
     A fetch under way counts only where either job is urgent, since fetches share the machine's
     bandwidth. Spot machines are cheaper; a task without GPUs nevertheless prefers on-demand
@@ -129,7 +120,7 @@
     shares_fetch = not has_image and any(
         urgent or other.priority >= Priority.URGENT for other in others
     )
-    return Preference(
+    return (
         strands_gpus(spec, kind, free),
         not has_image,
         shares_fetch,
