--- a/oakmux/schedules/api.py
+++ b/oakmux/schedules/api.py
@@ -1,8 +1,7 @@
-"""Requests about schedules: checked in full, then written with guards, then answered.
+"""Requests that change schedules: checked in full, written by compare-and-swap, then answered.
 
-What is asked is a tagged tuple (operation, arguments as a dict of plain values); what is said is
-a dict. An edit and a turn exclude each other by the versions of entry and shard: a turn is made
-either by the old entry before the edit or by the new one after it.
+An edit and a firing exclude each other by the mod revisions of entry and shard: a firing is
+dispatched either for the old entry before the edit, or for the new one after it.
 """
 
 import logging
@@ -278,11 +277,11 @@
         )
 
     def _now_s(self) -> int:
-        """Return the time (s) up to which, by any clock here, turns may not have been made."""
+        """Return the time (s) up to which, by any clock here, firings may not have been made."""
         return (self.wall_clock.now_ms() - int(self.context.facts.skew_ms)) // 1000
 
     def _fresh_slot(self, entry: Entry, old: Slot | None) -> Slot:
-        """Return where turns begin: those before the edit are over or dropped."""
+        """Return where firings begin: those before the edit are over or dropped."""
         since = self._now_s()
         rows = old.rows if old is not None else []
         since = max([since, *(row[0] for row in rows if row[1] != MANUAL)])
@@ -303,7 +302,7 @@
         return chosen, min(number_of_new, capacity - len(self.store.shards.get(chosen, ())))
 
     def _check(self, rid: Any, args: dict) -> None:
-        """Check entries as `put` does, without storing any; tells each one's next turn."""
+        """Check entries as `put` does, without storing any; tells each one's next firing."""
         rows = []
         for row in self._few(args["entries"]):
             try:
@@ -321,7 +320,7 @@
         self.shows.say(rid, {"entries": rows})
 
     def _few(self, rows: list) -> list:
-        """Bound what one request computes: the turns of an entry may take milliseconds."""
+        """Bound what one request computes: the firings of an entry may take milliseconds."""
         if not isinstance(rows, list) or not 0 < len(rows) <= constants.SHOWN_FIRINGS:
             raise RefusedError(400, f"entries: 1 to {constants.SHOWN_FIRINGS} in a request")
         return rows
@@ -440,7 +439,7 @@
         return parts
 
     def _replacing(self, entry: Entry, old: Entry, args: dict, text: str | None) -> Change:
-        """Change an entry. An edit that changes no time keeps the place among its turns."""
+        """Change an entry. An edit that changes no time keeps the place among its firings."""
         store, key = self.store, entry_key(entry.name)
         wanted = args.get("if_match")
         if args.get("if_absent") or wanted and wanted not in (old.etag, "*"):
@@ -506,7 +505,7 @@
         self._paused(rid, args, False)
 
     def _paused(self, rid: Any, args: dict, paused: bool) -> None:
-        """Pause or resume; turns of a pause are not made up for."""
+        """Pause or resume; firings of a pause are not made up for."""
         said: dict[str, Any] = {}
 
         def build() -> Change:
@@ -527,7 +526,7 @@
         self._write(rid, build, said=said)
 
     def _run_now(self, rid: Any, args: dict) -> None:
-        """Make one turn by hand. Asked again with the same word, the same jobs are told."""
+        """Dispatch one firing by hand. Asked again with the same word, the same jobs are told."""
         said: dict[str, Any] = {}
         word = str(args["word"])
         if not NAME.match(word) or len(word) > constants.MANUAL_FIRING_KEY_CHARS:
--- a/oakmux/schedules/calendars.py
+++ b/oakmux/schedules/calendars.py
@@ -24,7 +24,7 @@
 
 
 class Object(NamedTuple):
-    """What a calendar object says of turns."""
+    """What a calendar object says of firings."""
 
     uid: str
     component: str
@@ -180,7 +180,7 @@
 
 
 def _deadline(master: Any, first: int, own: str, zone: str) -> float | None:
-    """Return the seconds from a turn to its deadline: a to-do's DUE, or DURATION."""
+    """Return the seconds from a firing to its deadline: a to-do's DUE, or DURATION."""
     if master.name != "VTODO":
         return None
     if "DUE" in master:
--- a/oakmux/schedules/dispatcher.py
+++ b/oakmux/schedules/dispatcher.py
@@ -36,7 +36,7 @@
 
 
 class FiringDispatcher:
-    """Makes the turns of all entries while the role is ours."""
+    """Dispatches the firings of all entries while the role is ours."""
 
     def __init__(self, context: Context, store: Store, wall_clock: WallClock) -> None:
         self.context = context
@@ -140,9 +140,9 @@
             self._schedule_next(plan)
 
     def _schedule_next(self, plan: FiringPlan) -> None:
-        """Wait for a plan's next turn.
+        """Wait for a plan's next firing.
 
-        A turn is made once our clock says that it is past by all that the clocks of this place
+        A firing is made once our clock says that it is past by all that the clocks of this place
         may differ: none is early by the true time, even if ours is ahead by so much.
         """
         if plan.firing is not None:
@@ -156,11 +156,11 @@
     # --- writing ---
 
     def has_unfinished_jobs(self, entry: Entry, slot: Slot) -> bool:
-        """Whether jobs of an earlier turn that we know of are unfinished."""
+        """Whether jobs of an earlier firing that we know of are unfinished."""
         return any(not job.final for job in self.known_jobs(entry, slot))
 
     def known_jobs(self, entry: Entry, slot: Slot) -> list[Any]:
-        """Return the jobs of the turns that the slot still knows."""
+        """Return the jobs of the firings that the slot still knows."""
         jobs, steps = self.context.replica.jobs, self.store.steps(entry)
         return [
             jobs[name]
@@ -183,8 +183,8 @@
         if not waiting:
             return
         first = min(waiting)[0].negative_priority
-        # While more shards have turns of the highest priority than can be written now, no others
-        # go with them: five hundred urgent turns among five thousand went within 32 s, not 10 s.
+        # While more shards have firings of the highest priority than can be written now, no others
+        # go with them: five hundred urgent firings among five thousand went within 32 s, not 10 s.
         only_most_urgent = sum(1 for best, _ in waiting if best.negative_priority == first) > most
         for _, number in heapq.nsmallest(most, waiting):
             batch = FiringBatch(number)
@@ -283,7 +283,7 @@
         batch.slots[name] = plan.slot
 
     def _skip_missed(self, plan: FiringPlan, now_ms: int) -> None:
-        """Pass over turns that are long missed: each is counted, but not gone through for ever."""
+        """Skip firings that were missed long ago: counted, but not all gone through."""
         count = 0
         while plan.firing is not None and policy.expired(plan.entry, plan.firing, now_ms):
             count += 1
@@ -327,7 +327,7 @@
         if len(batch.writes) + len(writes) + 1 > limits.txn_ops:
             if batch.writes or batch.slots:
                 return False
-            # Alone and too large: jobs of several earlier turns give way, as many as fit.
+            # Alone and too large: jobs of several earlier firings give way, as many as fit.
             writes = writes[: limits.txn_ops - 1]
         batch.writes += writes
         batch.guards.update({key: guards[key] for key, *_ in writes})
@@ -394,7 +394,7 @@
             )
 
     def _failed(self, batch: FiringBatch, status: int, result: Any) -> None:
-        """Try turns again later. 409: the watch brings what was in the way. No answer: they may
+        """Try firings again later. 409: the watch brings what was in the way. No answer: they may
         still be written late; then what we try again fails on the shard's version."""
         failures = self.failed.get(batch.shard, 0)
         pause = min(constants.BACKOFF_MAX_S, constants.FIRING_RETRY_S * 2**failures)
--- a/oakmux/schedules/firings.py
+++ b/oakmux/schedules/firings.py
@@ -1,9 +1,9 @@
-"""When the turns of a rule are: cron expressions and recurrences of calendars, without state.
+"""When a rule fires: cron expressions and recurrences of calendars, without state.
 
-Every turn has a mark, which orders the turns of one rule and tells them apart, and an instant. The
-mark of a rule that names hours and minutes is wall time: should the zone's own rules change, the
-turn of a day stays the turn of that day. The mark of a cron expression whose minute or hour is a
-star is the instant: it means "every so often", also in an hour that clocks show twice.
+Each firing has a mark, which orders the firings of one rule and identifies them, and an instant.
+The mark of a rule that names hours and minutes is wall time: should the zone's own rules change,
+a day's firing stays that day's. The mark of a cron expression whose minute or hour is a star is
+the instant: it means "every so often", also in an hour that clocks show twice.
 """
 
 import calendar
@@ -44,7 +44,7 @@
     """When to run. Wall times are seconds as of `zones.as_wall`.
 
     A cron rule is its five fields in `text`. A calendar's rule is its RRULE (or none), the first
-    turn, RDATEs, EXDATEs, and instances that are moved to another wall time or cancelled (None).
+    firing, RDATEs, EXDATEs, and instances that are moved to another wall time or cancelled (None).
     """
 
     kind: str
@@ -57,7 +57,7 @@
 
 
 class Firing(NamedTuple):
-    """One turn: what orders it, when it is (s, UTC), and what a change of clocks did to it."""
+    """One firing: what orders it, when it is (s, UTC), and what a change of clocks did to it."""
 
     mark: int
     at: int
@@ -88,14 +88,14 @@
 
 
 def mark_at(rule: Rule, at: int) -> int:
-    """Return the mark up to which all turns are over at an instant (s)."""
+    """Return the mark up to which all firings are over at an instant (s)."""
     return at if by_instant(rule) else zones.reached(at, rule.zone)
 
 
 def firings(rule: Rule, after: int, explain: bool = False) -> Iterator[Firing]:
-    """Yield the turns whose mark is above `after`, in order.
+    """Yield the firings whose mark is above `after`, in order.
 
-    What a change of clocks did to one is told only if asked for: it takes as long as the turn.
+    What a change of clocks did to one is told only if asked for: it takes as long as the firing.
     """
     if rule.kind == "cron":
         return _cron(rule, after, explain)
@@ -103,9 +103,9 @@
 
 
 def _cron(rule: Rule, after: int, explain: bool) -> Iterator[Firing]:
-    """Yield the turns of an expression: the library counts on the clock's face alone.
+    """Yield the firings of an expression: the library counts on the clock's face alone.
 
-    What a change of clocks does is decided here: given a zone, the library lost a star's turn
+    What a change of clocks does is decided here: given a zone, the library lost a star's firing
     after Lord Howe's change by half an hour.
     """
     return _stars(rule, after, explain) if by_instant(rule) else _fixed(rule, after, explain)
@@ -320,9 +320,9 @@
 
 
 def _calendar(rule: Rule, after: int, explain: bool) -> Iterator[Firing]:
-    """Yield turns in the order of their instants, each instant once.
+    """Yield firings in the order of their instants, each instant once.
 
-    The mark is the wall time that clocks show at the turn.
+    The mark is the wall time that clocks show at the firing.
     """
     moved = dict(rule.moved)
     gone = set(rule.without)
--- a/oakmux/schedules/policy.py
+++ b/oakmux/schedules/policy.py
@@ -1,4 +1,4 @@
-"""What becomes of one turn: a decision from an entry, its slot and the time, nothing else."""
+"""What becomes of one firing: a decision from an entry, its slot and the time, nothing else."""
 
 import hashlib
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 
 
 class Decision(NamedTuple):
-    """One turn's outcome: the slot after it, whether to make its jobs, which jobs give way."""
+    """One firing's outcome: the slot after it, whether to make its jobs, which jobs give way."""
 
     slot: Slot
     make: bool
@@ -19,7 +19,7 @@
 
 
 def jitter_ms(entry: Entry) -> int:
-    """Return by how much all turns of an entry are late on purpose (ms): always the same."""
+    """Return by how much all firings of an entry are late on purpose (ms): always the same."""
     if not entry.policy.jitter_s:
         return 0
     digest = hashlib.blake2b(entry.name.encode(), digest_size=4).digest()
@@ -27,18 +27,18 @@
 
 
 def planned_ms(entry: Entry, firing: Firing) -> int:
-    """Return when a turn is to be made (ms), apart from how far clocks may differ."""
+    """Return when a firing is to be made (ms), apart from how far clocks may differ."""
     return firing.at * 1000 + jitter_ms(entry)
 
 
 def window_s(entry: Entry) -> int:
-    """Return how late a turn may still be made (s); without catching up, the grace."""
+    """Return how late a firing may still be made (s); without catching up, the grace."""
     most = entry.policy.window_s
     return min(most, constants.NO_CATCH_UP_S) if entry.policy.catch_up == "none" else most
 
 
 def expired(entry: Entry, firing: Firing, now_ms: int) -> bool:
-    """Whether a turn is too late to be made."""
+    """Whether a firing is too late to be made."""
     return now_ms - planned_ms(entry, firing) > window_s(entry) * 1000
 
 
@@ -51,10 +51,10 @@
     busy: Callable[[], bool],
     tries: int = 0,
 ) -> Decision:
-    """Decide on the next turn of an entry; `later` gives the turn after it.
+    """Decide on the next firing of an entry; `later` gives the firing after it.
 
-    `busy` tells whether jobs of an earlier turn may still run; it is asked only if it matters.
-    Of several turns that are over, `last` makes the latest.
+    `busy` tells whether jobs of an earlier firing may still run; it is asked only if it matters.
+    Of several firings that are over, `last` makes the latest.
     """
     following = later() if entry.policy.catch_up == "last" else None
     overtaken = following is not None and planned_ms(entry, following) <= now_ms
@@ -79,5 +79,5 @@
 
 
 def release(slot: Slot, tries: int = 0) -> Decision:
-    """Make the turn that waited for the one before."""
+    """Make the firing that waited for the one before."""
     return Decision(slot.noted(slot.mark, 0, slot.pending, records.MADE, tries), True)
--- a/oakmux/schedules/queries.py
+++ b/oakmux/schedules/queries.py
@@ -1,4 +1,4 @@
-"""What is told of schedules: entries, turns, calendars; nothing here changes anything."""
+"""What is told of schedules: entries, firings, calendars; nothing here changes anything."""
 
 from itertools import islice
 from typing import Any
@@ -106,7 +106,7 @@
         }
 
     def firings(self, entry: Entry, mark: int, count: int) -> list[dict]:
-        """Return the turns to come after a mark."""
+        """Return the firings to come after a mark."""
         found = []
         for firing in islice(firings(entry.rule, mark, True), count):
             if entry.until and firing.at > entry.until:
@@ -137,7 +137,7 @@
         )
 
     def next(self, rid: Any, args: dict) -> None:
-        """Tell the turns to come, and what a change of clocks leaves out."""
+        """Tell the firings to come, and what a change of clocks leaves out."""
         entry, slot = self.entry(args)
         count = max(1, min(int(args.get("count", 10)), constants.SHOWN_FIRINGS))
         mark = (
--- a/oakmux/schedules/records.py
+++ b/oakmux/schedules/records.py
@@ -1,9 +1,9 @@
 """Records of schedules, as the state service holds them, and a copy of all of them.
 
-Keys below `ox/s/`: e/<entry> (rule, template, policy), t/<team>/<template> (steps of a turn),
-m/<shard> (of some entries: how far their turns are decided), c/<team>/<calendar>,
-p/<entry>/<part> (a calendar object's text as its client sent it). What moves with every turn
-stands in shards: many entries to a record, so that a turn costs little more than its job.
+Keys below `ox/s/`: e/<entry> (rule, template, policy), t/<team>/<template> (steps of a firing),
+m/<shard> (of some entries: how far their firings are decided), c/<team>/<calendar>,
+p/<entry>/<part> (a calendar object's text as its client sent it). What moves with every firing
+stands in shards: many entries to a record, so that a firing costs little more than its job.
 """
 
 import hashlib
@@ -23,7 +23,7 @@
 NAME = re.compile(r"[A-Za-z0-9_.@+=-]{1,80}\Z")
 OVERLAPS = ("skip", "queue", "allow", "replace")
 CATCH_UPS = ("all", "last", "none")
-# Ids of jobs that turns make: 18 digits of which the first two are these. Others may not use them.
+# How ids of jobs begin that firings submit: 18 digits, the first two are these. Reserved.
 RESERVED = "job-97"
 MADE, SKIPPED, QUEUED, MISSED, REFUSED, MANUAL = "m", "s", "q", "x", "r", "h"
 OUTCOMES = {
@@ -45,13 +45,13 @@
 
 
 class Template(msgspec.Struct, frozen=True, array_like=True):
-    """What a turn submits."""
+    """What a firing submits."""
 
     steps: tuple[Step, ...]
 
 
 class Policy(msgspec.Struct, frozen=True, array_like=True):
-    """What to do when turns meet or come late; times in seconds."""
+    """What to do when firings meet or come late; times in seconds."""
 
     overlap: str = "skip"
     catch_up: str = "all"
@@ -66,7 +66,7 @@
     rule: Rule
     template: str
     policy: Policy = Policy()
-    until: int = 0  # s since 1970 after which there are no more turns; 0: no end
+    until: int = 0  # s since 1970 after which there are no more firings; 0: no end
     paused: bool = False
     born: int = 0  # ms; part of the ids of its jobs, so that a namesake has others
     shard: int = 0
@@ -92,10 +92,11 @@
 
 
 class Slot(msgspec.Struct, array_like=True):
-    """How far an entry's turns are decided, and the last decisions.
+    """How far an entry's firings are decided, and the last decisions.
 
-    `mark` orders turns (see `firings`); `pending` is the turn (s) that waits for the one before.
-    A row is [turn (s), outcome, tries of its id, note].
+    `mark` orders firings (see `firings`); `pending` is the firing (s) that waits for the one
+    before it.
+    A row is [firing (s), outcome, tries of its id, note].
     """
 
     name: str
@@ -143,7 +144,7 @@
 
 
 def job_id(entry: Entry, firing: str, step: int, tries: int) -> str:
-    """Return the id of a job that a turn makes: it follows from entry and turn alone.
+    """Return the id of a job that a firing makes: it follows from entry and firing alone.
 
     `tries` counts ids that were found taken: by a job from before schedules were switched on.
     """
@@ -200,7 +201,7 @@
         return {key: self.mod_revision(key) for key in keys}
 
     def slot(self, name: str) -> Slot | None:
-        """Return how far an entry's turns are decided; None if it or its shard is not here."""
+        """Return how far an entry's firings are decided; None if it or its shard is not here."""
         entry = self.entries.get(name)
         return None if entry is None else self.shards.get(entry.shard, {}).get(name)
 
@@ -272,7 +273,7 @@
         self.shards[number] = new
 
     def steps(self, entry: Entry) -> int:
-        """Return how many jobs a turn of an entry makes."""
+        """Return how many jobs a firing of an entry makes."""
         template = self.templates.get(entry.template)
         return 1 if template is None else len(template.steps)
 
--- a/oakmux/schedules/replay/__init__.py
+++ b/oakmux/schedules/replay/__init__.py
@@ -1,1 +1,1 @@
-"""A year of turns, replayed against a slow oracle, with controllers that die."""
+"""A year of firings, replayed against a slow oracle, with controllers that die."""
--- a/oakmux/schedules/replay/model.py
+++ b/oakmux/schedules/replay/model.py
@@ -35,7 +35,7 @@
 TEAM = "press"
 # Share of transactions whose answer is lost.
 LOST = 0.01
-# Seconds between two looks at queued turns: a real clock looks each second.
+# Seconds between two looks at queued firings: a real clock looks each second.
 QUEUED_LOOK_S = 30.0
 SKEW_S = 0.1
 # Seconds: a watch's news, a transaction's way, one that is held up by a cut, a job's run.
@@ -175,7 +175,7 @@
         self.rows: dict[str, tuple[Any, int]] = {}
         self.revision = 1
         self.down = False
-        # Changes a second that turns may use, if they are bounded, and when the next may go.
+        # Changes a second that firings may use, if they are bounded, and when the next may go.
         self.rate: float | None = None
         self.next_change = 0.0
         self.changes = 0
--- a/oakmux/schedules/replay/oracle.py
+++ b/oakmux/schedules/replay/oracle.py
@@ -1,4 +1,4 @@
-"""Which turns there should be, found slowly: minute by minute, sharing nothing with `firings`.
+"""Which firings there should be, found slowly: minute by minute, sharing nothing with `firings`.
 
 Cron fields are read anew here, recurrences are tried day by day, and a change of clocks is seen
 as what it is: wall minutes that no instant shows, or that two do.
@@ -79,7 +79,7 @@
         return wall.minute in self.minutes and wall.hour in self.hours and self.day(wall)
 
     def has(self, minute: Minute) -> bool:
-        """Whether there is a turn in this minute."""
+        """Whether there is a firing in this minute."""
         if self.stars:
             return self.shows(minute.wall)
         if minute.again:
@@ -110,7 +110,7 @@
         self.walls = walls
 
     def has(self, minute: Minute) -> bool:
-        """Whether there is a turn in this minute.
+        """Whether there is a firing in this minute.
 
         One that no clock shows is as long after the gap as it would have been before it, thus
         shown later by the length of the gap.
@@ -191,7 +191,7 @@
 
 
 def expected(rule: Rule, all_minutes: list[Minute]) -> set[int]:
-    """Return the instants (s) of all turns within these minutes."""
+    """Return the instants (s) of all firings within these minutes."""
     if rule.kind == "cron":
         cron = CronOracle(rule.text)
         return {minute.at for minute in all_minutes if cron.has(minute)}
--- a/oakmux/schedules/replay/year.py
+++ b/oakmux/schedules/replay/year.py
@@ -1,4 +1,4 @@
-"""The replayed year: entries in ten zones, a year of troubles, every turn against the oracle."""
+"""The replayed year: entries in ten zones, a year of troubles, every firing against the oracle."""
 
 import random
 import time
@@ -33,7 +33,7 @@
 
 
 class Result(NamedTuple):
-    """What a replay found: counts, turns that were lost, doubled, early or besides, lateness."""
+    """What a replay found: counts, firings that were lost, doubled, early or besides, lateness."""
 
     entries: int
     firings: int
@@ -49,7 +49,7 @@
 
     @property
     def good(self) -> bool:
-        """Whether every turn was decided once, none besides and none early."""
+        """Whether every firing was decided once, none besides and none early."""
         return not (self.lost or self.besides or self.doubled or self.early)
 
 
@@ -219,7 +219,7 @@
 
 
 def replay(entries: int, days: int, seed: int, start: int) -> Result:
-    """Play so many days with so many entries; compare all turns with the oracle's."""
+    """Play so many days with so many entries; compare all firings with the oracle's."""
     begin = time.monotonic()
     model = Model(start, seed)
     drawn = entries_of(entries, seed, start)
@@ -298,7 +298,7 @@
 
 
 class Burst(NamedTuple):
-    """What many turns at once cost: lateness by priority (ms), changes a turn, and ticks."""
+    """What many firings at once cost: lateness by priority (ms), changes a firing, and ticks."""
 
     entries: int
     rate: float
--- a/oakmux/schedules/subsystem.py
+++ b/oakmux/schedules/subsystem.py
@@ -27,7 +27,7 @@
         }
 
     def tick(self) -> None:
-        """Make turns that are due and go on with requests."""
+        """Dispatch firings that are due and go on with requests."""
         if not self.context.replica.loaded:
             return
         if not self.store.log_since:
--- a/oakmux/schedules/templates.py
+++ b/oakmux/schedules/templates.py
@@ -1,4 +1,4 @@
-"""Templates: what a turn submits, checked when it is stored and again when its turn comes."""
+"""Templates: what a firing submits, checked when it is stored and again when its firing comes."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -67,7 +67,7 @@
 def check(context: Context, template: Template) -> None:
     """Refuse a template that could never run here; raises BadTemplate.
 
-    The turn's record and all its jobs go into one transaction; should earlier jobs have to give
+    The firing's record and all its jobs go into one transaction; should earlier jobs have to give
     way, so do their cancellations.
     """
     limits = context.facts.store.strictest
@@ -96,7 +96,7 @@
 
 
 def refusal(context: Context, template: Template | None) -> str | None:
-    """Return why a turn can't be made now: its template or team has gone, or fits no more."""
+    """Return why a firing can't be made now: its template or team has gone, or fits no more."""
     if template is None:
         return "no template"
     for step in template.steps:
@@ -109,7 +109,7 @@
 def jobs(
     entry: Entry, template: Template, firing: str, tries: int = 0
 ) -> Iterator[tuple[str, JobSpec]]:
-    """Yield (id, job) of a turn, each after those that it waits on."""
+    """Yield (id, job) of a firing, each after those that it waits on."""
     ids = [job_id(entry, firing, n, tries) for n in range(len(template.steps))]
     for own, step in zip(ids, template.steps, strict=True):
         changes: dict[str, Any] = {}
@@ -123,7 +123,7 @@
 def submission(
     entry: Entry, template: Template, firing: str, order: int, tries: int = 0
 ) -> tuple[list[str], dict[str, int], list[tuple]]:
-    """Return the ids of a turn's jobs, the guards that none is there, and their writes."""
+    """Return the ids of a firing's jobs, the guards that none is there, and their writes."""
     ids: list[str] = []
     guards: dict[str, int] = {}
     writes: list[tuple] = []
--- a/oakmux/schedules/zones.py
+++ b/oakmux/schedules/zones.py
@@ -1,4 +1,4 @@
-"""Time zones from the pinned tzdata alone, so that all controllers agree on every turn."""
+"""Time zones from the pinned tzdata alone, so that all controllers agree on every firing."""
 
 import zoneinfo
 from datetime import UTC, datetime, timedelta, tzinfo
