--- a/oakmux/service.py
+++ b/oakmux/service.py
@@ -58,7 +58,7 @@
         self.tasks: set[asyncio.Task] = set()
         self.front = RequestRouter(self.offer)
         for plugin in plugins:
-            self.front.more.update(plugin.paths(self.offer))
+            self.front.prefix_routes.update(plugin.paths(self.offer))
         self.state = StoreClient(conf, self.put)
         self.cloud = CloudClient(conf, self.put)
         self.workers = WorkerClient(self.put)
--- a/oakmux/transport/request_router.py
+++ b/oakmux/transport/request_router.py
@@ -1,15 +1,23 @@
-"""What others ask of us: users, workers, health checks and peers."""
+"""Routes requests of users, workers, health checks and peers to the core."""
 
 import logging
 from collections.abc import Callable
+from typing import NamedTuple
 
 from oakmux import constants
 from oakmux.codec.answers import answer_body
 from oakmux.codec.cbor import Malformed, decode, encode
-from oakmux.codec.users import CANCEL_SUFFIX, PATH_HEALTH, PATH_JOBS, parse_job, parse_job_id
+from oakmux.codec.peers import PATH_PEERS, parse_batch
+from oakmux.codec.users import (
+    CANCEL_SUFFIX,
+    PATH_HEALTH,
+    PATH_JOBS,
+    error_body,
+    parse_job,
+    parse_job_id,
+)
 from oakmux.codec.workers import PATH_HEARTBEAT, parse_heartbeat
 from oakmux.core.model import JOB_ID
-from oakmux.transport import peer_client
 from oakmux.transport.http_server import Request
 
 log = logging.getLogger("oakmux.users")
@@ -17,24 +25,37 @@
 PATH_STATUS = "/oakmux/status"
 
 
+class Route(NamedTuple):
+    """The method that a path accepts, and what serves it."""
+
+    method: str
+    serve: Callable[[Request], None]
+
+
 class RequestRouter:
     """Turns requests into commands of the core and its answers into responses."""
 
     def __init__(self, put: Callable[[tuple], bool]) -> None:
         self.put = put
-        # Who serves further paths, by how they begin, for subsystems that are switched on.
-        self.more: dict[str, Callable[[Request, str], None]] = {}
+        self._routes = {
+            PATH_HEALTH: Route("GET", lambda request: self._queue(request, "health", request)),
+            PATH_STATUS: Route("GET", lambda request: self._queue(request, "status", request)),
+            PATH_HEARTBEAT: Route("POST", self._heartbeat),
+            PATH_JOBS: Route("POST", self._submit),
+        }
+        # Paths of subsystems that are switched on, by their prefix; the handler gets the rest.
+        self.prefix_routes: dict[str, Callable[[Request, str], None]] = {}
 
     def refuse(self, request: Request, status: int, reason: str) -> None:
-        """Answer an error at once."""
+        """Answer a request that never reaches the core."""
         request.respond(
             status,
-            encode({"error": reason}),
+            encode(error_body(reason)),
             constants.RETRY_AFTER_S if status == 503 else None,
         )
 
     def answer(self, request: Request, status: int, answer: tuple) -> None:
-        """Answer for the core."""
+        """Send the core's answer to a request."""
         request.respond(
             status,
             encode(answer_body(answer)),
@@ -47,40 +68,38 @@
 
     def public(self, request: Request) -> None:
         """Serve the public address."""
-        path = request.path.partition("?")[0]
-        if path == PATH_HEALTH:
-            self._route(request, "GET", lambda: self._queue(request, "health", request))
-        elif path == PATH_STATUS:
-            self._route(request, "GET", lambda: self._queue(request, "status", request))
-        elif path == PATH_HEARTBEAT:
-            self._route(request, "POST", lambda: self._report(request))
-        elif path == PATH_JOBS:
-            self._route(request, "POST", lambda: self._submit(request))
-        elif path.startswith(PATH_JOBS + "/"):
-            rest = path[len(PATH_JOBS) + 1 :]
-            if rest.endswith(CANCEL_SUFFIX):
-                self._route(
-                    request,
-                    "POST",
-                    lambda: self._job(request, "cancel", rest.removesuffix(CANCEL_SUFFIX)),
-                )
-            else:
-                self._route(request, "GET", lambda: self._job(request, "query", rest))
-        else:
-            prefix = next((one for one in self.more if path.startswith(one)), None)
-            if prefix is None:
-                self.refuse(request, 404, "unknown path")
-            else:
-                serve, rest = self.more[prefix], path.removeprefix(prefix)
-                self._route(request, "POST", lambda: serve(request, rest))
-
-    def _route(self, request: Request, method: str, serve: Callable[[], None]) -> None:
-        if request.method != method:
+        route = self._find(request.path.partition("?")[0])
+        if route is None:
+            self.refuse(request, 404, "unknown path")
+        elif request.method != route.method:
             self.refuse(request, 405, "wrong method")
         elif request.too_large:
             self.refuse(request, 400, "body too large")
         else:
-            serve()
+            route.serve(request)
+
+    def _find(self, path: str) -> Route | None:
+        """Return the route of a path."""
+        route = self._routes.get(path)
+        if route is not None:
+            return route
+        if path.startswith(PATH_JOBS + "/"):
+            return self._job_route(path.removeprefix(PATH_JOBS + "/"))
+        for prefix, serve in self.prefix_routes.items():
+            if path.startswith(prefix):
+                return self._prefix_route(serve, path.removeprefix(prefix))
+        return None
+
+    def _prefix_route(self, serve: Callable[[Request, str], None], rest: str) -> Route:
+        """Return the route of a subsystem's path."""
+        return Route("POST", lambda request: serve(request, rest))
+
+    def _job_route(self, rest: str) -> Route:
+        """Return the route of a job, to query or to cancel it."""
+        if rest.endswith(CANCEL_SUFFIX):
+            job_id = rest.removesuffix(CANCEL_SUFFIX)
+            return Route("POST", lambda request: self._job(request, "cancel", job_id))
+        return Route("GET", lambda request: self._job(request, "query", rest))
 
     def _job(self, request: Request, kind: str, job_id: str) -> None:
         if "/" in job_id:
@@ -105,7 +124,7 @@
             reason = str(error)
         self._queue(request, "submit", request, job_id, spec, reason)
 
-    def _report(self, request: Request) -> None:
+    def _heartbeat(self, request: Request) -> None:
         try:
             heartbeat = parse_heartbeat(decode(request.body))
         except Malformed as error:
@@ -115,15 +134,22 @@
 
     def internal(self, request: Request) -> None:
         """Serve the address for peers."""
-        if request.path != peer_client.PATH:
+        if request.path != PATH_PEERS:
             self.refuse(request, 404, "unknown path")
             return
         if request.method != "POST":
             self.refuse(request, 405, "wrong method")
             return
         try:
-            batch = peer_client.parse_batch(request.body)
+            batch = parse_batch(request.body)
         except Malformed as error:
             self.refuse(request, 400, str(error))
             return
-        self._queue(request, "peer", request, batch.label, batch.messages, batch.since)
+        self._queue(
+            request,
+            "peer",
+            request,
+            batch.controller_id,
+            batch.messages,
+            batch.cancellations_until,
+        )
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -71,7 +71,7 @@
     ini, made = write_settings(Path(folder), dav, ["red", "blue"])
     front = RequestRouter(offer)
     extra = plugin.load(ini)
-    front.more.update(extra.paths(offer))
+    front.prefix_routes.update(extra.paths(offer))
     live: set[ServerProtocol] = set()
     await asyncio.get_running_loop().create_server(
         lambda: ServerProtocol(front.public, live, 100), "127.0.0.1", public
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -10,6 +10,7 @@
 
 from oakmux.codec.answers import answer_body
 from oakmux.codec.cbor import decode, encode
+from oakmux.codec.peers import parse_batch
 from oakmux.core.controller import Controller
 from oakmux.core.state.codecs import decode_block, encode_block, encode_job
 from oakmux.core.state.formats import FORMAT, value_bytes
@@ -17,7 +18,6 @@
 from oakmux.core.state.records import Binding, TaskBlock
 from oakmux.core.state.replica import Replica
 from oakmux.settings import UpcomingLimits
-from oakmux.transport.peer_client import parse_batch
 from tests.fakes import TYPE, Simulation, settings_for, spec
 
 FIRST = json.loads((Path(__file__).parent / "data" / "first_version.json").read_text())
