--- /dev/null
+++ b/oakmux/core/state/transaction_builder.py
@@ -0,0 +1,270 @@
+"""Gathers changed records into transactions (group commit).
+
+The changes of many jobs go into one transaction, and those of many small jobs into one value of
+it, a binding batch. Each transaction is on condition of the mod revisions of the teams' roles, of
+each record that it replaces, and of each job that it binds tasks of or records as done.
+"""
+
+import logging
+import math
+from collections.abc import Iterable
+from typing import NamedTuple
+
+from oakmux import constants
+from oakmux.core.context import Context
+from oakmux.core.state.binding_batches import ONLY_BLOCK, BatchRow, BindingBatch
+from oakmux.core.state.codecs import Value, encode_block, encode_job
+from oakmux.core.state.formats import value_bytes
+from oakmux.core.state.keys import batch_key, block_key, job_key, role_key
+from oakmux.core.state.records import Job, TaskBlock
+from oakmux.core.state.transactions import BlockId, Delete, Put, Transaction
+from oakmux.core.state.write_buffer import WriteBuffer
+
+log = logging.getLogger("oakmux.core")
+
+# Conditions of a transaction, as a multiple of its writes.
+CONDITIONS_PER_WRITE = 4
+
+
+class DirtyJob(NamedTuple):
+    """A job with changed task blocks: when the first is due (s), and the blocks' numbers."""
+
+    due: float
+    job: Job
+    numbers: list[int]
+
+
+class TransactionBuilder:
+    """Builds the next transaction from the write buffer."""
+
+    def __init__(self, context: Context, buffer: WriteBuffer) -> None:
+        self.context = context
+        self.buffer = buffer
+        # Jobs and batches of transactions without an outcome: each is in one at a time.
+        self.busy_jobs: set[str] = set()
+        self.busy_batches: set[str] = set()
+        # Keys of records that have outgrown the limit, to log each once.
+        self.outgrown: set[str] = set()
+        limits = context.facts.store.strictest
+        # A transaction far above our share of the rate would hold up all that comes after it.
+        share = int(constants.TRANSACTION_RATE_S * limits.write_rps / context.settings.size)
+        self.max_writes = min(limits.txn_ops, max(constants.TRANSACTION_MIN_CHANGES, share))
+        self.max_conditions = CONDITIONS_PER_WRITE * limits.txn_ops
+
+    def build(self) -> Transaction:
+        """Return a transaction with what is due, and take its blocks off the dirty ones."""
+        dirty = self._dirty_jobs()
+        by_batch: dict[str, list[DirtyJob]] = {}
+        for entry in dirty:
+            name = self._batch_of(entry)
+            if name is not None:
+                by_batch.setdefault(name, []).append(entry)
+        transaction = Transaction()
+        self._add_finished_jobs(transaction)
+        for entry in dirty:
+            if entry.due > self.context.now:
+                break
+            if not self.buffer.owns(entry.job) or self._is_busy(transaction, entry.job):
+                continue
+            name = self._batch_of(entry)
+            if name is None:
+                self._add_blocks(transaction, entry)
+            elif name not in transaction.batches and name not in self.busy_batches:
+                self._add_batch(transaction, name, entry.job.team, by_batch[name])
+        for block in transaction.blocks:
+            self.buffer.dirty.pop(block, None)
+        return transaction
+
+    def _dirty_jobs(self) -> list[DirtyJob]:
+        """Return all jobs with changed blocks, the first due before all others."""
+        numbers: dict[str, list[int]] = {}
+        due: dict[str, float] = {}
+        for (job_id, number), block_due in self.buffer.dirty.items():
+            numbers.setdefault(job_id, []).append(number)
+            due[job_id] = min(block_due, due.get(job_id, math.inf))
+        jobs = self.context.replica.jobs
+        found = [
+            DirtyJob(due[job_id], jobs[job_id], changed) for job_id, changed in numbers.items()
+        ]
+        return sorted(found, key=lambda entry: entry.due)
+
+    def _is_busy(self, transaction: Transaction, job: Job) -> bool:
+        """Whether a job is in a transaction without an outcome, or in this one."""
+        return job.id in self.busy_jobs or job.id in transaction.jobs
+
+    def _batch_of(self, entry: DirtyJob) -> str | None:
+        """Return the name of the batch that holds a job's only block, if one does."""
+        if entry.numbers != [ONLY_BLOCK]:
+            return None
+        return self.buffer.work[entry.job.id][ONLY_BLOCK].batch
+
+    # --- task blocks with records of their own ---
+
+    def _add_blocks(self, transaction: Transaction, entry: DirtyJob) -> None:
+        """Add a job's changed blocks, each a record of its own."""
+        job, numbers = entry.job, entry.numbers
+        if len(transaction.writes) + len(numbers) + 1 > self.max_writes:
+            if transaction.writes:
+                return
+            numbers = numbers[: self.context.facts.store.strictest.txn_ops - 1]
+        record_format = self.buffer.form()
+        changed = self.buffer.work[job.id]
+        values = {number: encode_block(changed[number], record_format) for number in numbers}
+        numbers = [n for n in numbers if not self._postpone_too_large(job.id, n, values[n])]
+        numbers = self._within_bytes(transaction, numbers, values)
+        if not numbers:
+            return
+        part = Transaction()
+        part.bytes = sum(value_bytes(values[number]) for number in numbers)
+        finishing = (
+            job.id in self.buffer.finished_jobs
+            and not job.final
+            and len(numbers) == len(entry.numbers)
+        )
+        self._add_job_conditions(part, job)
+        if finishing:
+            self._finish(part, job)
+        for number in numbers:
+            self._add_block(part, job, number, values[number], finishing)
+        part.jobs.add(job.id)
+        transaction.merge(part)
+
+    def _add_block(
+        self, part: Transaction, job: Job, number: int, value: Value, finishing: bool
+    ) -> None:
+        """Add one block: its value, or its removal if nothing of it is needed any more."""
+        key, old = block_key(job.id, number), job.blocks.get(number)
+        part.conditions[key] = old.mod_revision if old is not None else 0
+        part.blocks.append(BlockId(job.id, number))
+        if not self._is_over(job, self.buffer.work[job.id][number], finishing):
+            part.writes.append(Put(key, value))
+        elif old is not None:
+            part.writes.append(Delete(key))
+
+    @staticmethod
+    def _within_bytes(
+        transaction: Transaction, numbers: list[int], values: dict[int, Value]
+    ) -> list[int]:
+        """Return the blocks that fit into the transaction: all, or none while it holds others; of
+        a job that alone is too large, as many as fit."""
+        left = constants.TRANSACTION_BYTES - transaction.bytes
+        fitting: list[int] = []
+        for number in numbers:
+            left -= value_bytes(values[number])
+            if left < 0 and (transaction.writes or fitting):
+                return [] if transaction.writes else fitting
+            fitting.append(number)
+        return fitting
+
+    def _add_job_conditions(self, part: Transaction, job: Job) -> None:
+        """Add the conditions that the team's role is held and the job's record is unchanged."""
+        part.conditions[role_key(job.team)] = self.context.held_roles[job.team]
+        part.conditions[job_key(job.id)] = job.mod_revision
+
+    def _finish(self, part: Transaction, job: Job) -> None:
+        """Add that a job is done."""
+        spec = job.spec if self.buffer.bindings(job) else None
+        value = encode_job("done", job.team, spec, job.order, job.tasks)
+        part.writes.append(Put(job_key(job.id), value))
+        part.bytes += value_bytes(value)
+        part.finishing.add(job.id)
+
+    @staticmethod
+    def _is_over(job: Job, block: TaskBlock, finishing: bool) -> bool:
+        """Whether nothing of a block is needed any more."""
+        return (job.final or finishing) and not block.bound
+
+    def _postpone_too_large(self, job_id: str, number: int, value: Value) -> bool:
+        """Postpone a block whose value exceeds the limit until more of its tasks have ended;
+        return whether it does."""
+        limit = self.buffer.limit()
+        bound = len(self.buffer.work[job_id][number].bound)
+        if bound * constants.BINDING_BYTES <= limit or value_bytes(value) <= limit:
+            return False
+        self._postpone(block_key(job_id, number), value_bytes(value), [BlockId(job_id, number)])
+        return True
+
+    def _postpone(self, key: str, size: int, blocks: Iterable[BlockId]) -> None:
+        """Try the blocks of a record that has outgrown the limit again later."""
+        if key not in self.outgrown:
+            self.outgrown.add(key)
+            limit = self.buffer.limit()
+            log.error("event=record_too_large key=%s bytes=%s limit=%s", key, size, limit)
+        for block in blocks:
+            self.buffer.dirty[block] = self.context.now + constants.RETRY_MAX_S
+
+    # --- task blocks in batches ---
+
+    def _add_finished_jobs(self, transaction: Transaction) -> None:
+        """Add that jobs with rows in batches are done, at once: users wait for it. Their rows go
+        with a later write of the batch; until then they count as bound, as before the end."""
+        for job_id in self.buffer.finished_jobs:
+            if len(transaction.writes) >= self.max_writes:
+                return
+            job = self.context.replica.jobs[job_id]
+            block = self.buffer.work.get(job_id, {}).get(ONLY_BLOCK)
+            if (
+                block is None
+                or block.batch is None
+                or job.final
+                or not self.buffer.owns(job)
+                or self._is_busy(transaction, job)
+                or len(transaction.conditions) + 2 > self.max_conditions
+            ):
+                continue
+            self._add_job_conditions(transaction, job)
+            transaction.jobs.add(job_id)
+            self._finish(transaction, job)
+
+    def _add_batch(
+        self, transaction: Transaction, name: str, team: str, dirty: list[DirtyJob]
+    ) -> None:
+        """Add a batch with all changed rows, due or not: it costs no more.
+
+        Other rows stay as recorded. A job's mod revision is a condition of what binds tasks of
+        it; what only ends bindings can't undo anything that happened to the job.
+        """
+        batch = self.context.replica.job_records.batches.get(name) or BindingBatch(0, {})
+        rows = dict(batch.rows)
+        part = Transaction()
+        part.batches.add(name)
+        part.conditions[role_key(team)] = self.context.held_roles[team]
+        part.conditions[batch_key(name)] = batch.mod_revision
+        for entry in dirty:
+            if not self._has_room_for_condition(transaction, part):
+                break
+            if not self._is_busy(transaction, entry.job):
+                self._update_row(part, rows, entry.job)
+        if rows == batch.rows:
+            transaction.blocks += part.blocks  # nothing of it has to be written
+            return
+        value = [row.to_value() for row in rows.values()]
+        size = value_bytes(value)
+        if size > self.buffer.limit():
+            self._postpone(batch_key(name), size, part.blocks)
+            return
+        if transaction.writes and (
+            transaction.bytes + size > constants.TRANSACTION_BYTES
+            or len(transaction.writes) >= self.max_writes
+        ):
+            return
+        part.writes.append(Put(batch_key(name), value))
+        part.bytes = size
+        transaction.merge(part)
+
+    def _has_room_for_condition(self, transaction: Transaction, part: Transaction) -> bool:
+        """Whether the condition of one more row may be added."""
+        return len(transaction.conditions.keys() | part.conditions.keys()) < self.max_conditions
+
+    def _update_row(self, part: Transaction, rows: dict[str, BatchRow], job: Job) -> None:
+        """Update the row of one job."""
+        block = self.buffer.work[job.id][ONLY_BLOCK]
+        if block.adds_bindings_to(job.blocks.get(ONLY_BLOCK)):
+            part.conditions[job_key(job.id)] = job.mod_revision
+        if self._is_over(job, block, finishing=False):
+            rows.pop(job.id, None)
+        else:
+            value = encode_block(block, self.buffer.form())
+            rows[job.id] = BatchRow(job.id, job.tasks, value)
+        part.blocks.append(BlockId(job.id, ONLY_BLOCK))
+        part.jobs.add(job.id)
