--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -93,10 +93,10 @@
     )
     for sender, message in FIRST["messages"].values():
         batch = parse_batch(encode(["batch", sender, [message]]))
-        effects = core.step(1.0, [("peer", None, batch.label, batch.messages, batch.since)])
+        effects = core.step(1.0, [("peer", None, batch.controller_id, batch.messages, batch.cancellations_until)])
         answers = [encode(answer_body(e[3])) for e in effects if e[0] == "answer"]
         old = msgspec.convert(decode(answers[0]), OldAnswer)
-        assert (old.label, batch.since) == ("h1", -1)
+        assert (old.label, batch.cancellations_until) == ("h1", -1)
         assert old.cancelled == [
             j.id for j in core.context.replica.jobs.values() if j.state == "cancelled"
         ]
@@ -310,7 +310,7 @@
     assert core.scheduler.buffer.tasks_per_record == 64
     page = settings_for("h0")
     limits = msgspec.structs.replace(page.facts.store, value_kb=2.0)  # the new limits, one day
-    facts = msgspec.structs.replace(page.facts, state=limits)
+    facts = msgspec.structs.replace(page.facts, store=limits)
     later = Controller(msgspec.structs.replace(page, facts=facts), random.Random(1), 0)
     assert later.scheduler.buffer.tasks_per_record == 18
     later.step(0.0, [("snapshot", [(FORMAT_KEY, [2, 64], 3)], 3, 0.0)])
