--- a/oakmux/constants/controller.py
+++ b/oakmux/constants/controller.py
@@ -1,5 +1,9 @@
 """The controller's event loop, and its messages to peers."""
 
+# A time before all others (s on the steady clock); finite, since ages computed from it are sent to
+# peers.
+NEVER = -1e9
+
 # Seconds for which commands are gathered into one step. A step has a cost of its own, and starting
 # a task takes about five.
 COMMAND_BATCH_S = 0.01
--- a/oakmux/core/agents/cancellation_log.py
+++ b/oakmux/core/agents/cancellation_log.py
@@ -1,7 +1,16 @@
-"""How current we are: news of the state service, word of the peers, cancellations known.
+"""Which cancellations this controller knows, and up to what time its knowledge is complete.
 
-The invariant (R ran_cancelled): whoever answers a worker 200 knows of *every* cancellation that
-any user was told of up to `cancels_known_until`, and applies it to every task on that worker.
+The invariant (R ran_cancelled): a controller that renews a worker's lease knows *every*
+cancellation that any user was told of up to `cancels_known_until`, and has applied it to every
+task on that worker.
+
+A cancellation must end a job's tasks within `cancel_s`. A worker whose lease is not renewed kills
+its tasks `lease_s` later. So a lease may be renewed by a controller whose knowledge is up to
+`cancel_s - lease_s` old (less a margin): even if a cancellation took place right after the last
+one that it knows of, the lease ends in time. That age is `staleness_bound_s`.
+
+Knowledge comes from the store, or, while the store is out, from peers: each tells the
+cancellations after the revision that it is asked for, so that there is no gap.
 """
 
 from oakmux import constants
@@ -10,34 +19,35 @@
 
 
 class CancellationLog:
-    """Whether we know enough to keep workers alive (R ran_cancelled) and to start tasks."""
+    """Tells whether we know enough to renew leases (R ran_cancelled) and to start tasks."""
 
     def __init__(self, context: Context, workers: WorkerTable) -> None:
         self.context = context
         self.workers = workers
+        # When each peer last had an answer of the store, and last answered us (s).
         self.peer_store_seen_at: dict[str, float] = {}
         self.peer_seen_at: dict[str, float] = {}
-        # Cancellations that peers told and our records lack, each with a time before which no user
-        # can have been told of it.
+        # Cancelled jobs that peers named and our records don't show as cancelled yet, each with a
+        # time before which no user can have been told of the cancellation.
         self.cancelled: dict[str, float] = {}
-        # Up to which revision, and up to which time, peers' words without a gap have brought all
-        # cancellations; and when each peer last told all that it had confirmed.
+        # Revision and time up to which the answers of peers, without a gap, contain all
+        # cancellations; and the time up to which each peer named all that it told users.
         self.replicated_revision = 0
-        self.replicated_at = -1e9
+        self.replicated_at = constants.NEVER
         self.acknowledged_at: dict[str, float] = {}
 
     @property
     def revision(self) -> int:
-        """The revision up to which we know of every cancellation: peers are asked from there."""
+        """The revision up to which all cancellations are known; peers are asked from there."""
         return max(self.replicated_revision, self.context.replica.revision)
 
     def cancels_known_until(self) -> float:
-        """Return the time up to which we know of every cancellation that was answered."""
+        """Return the time up to which all cancellations that users were told of are known."""
         context = self.context
         known = max(context.store_seen_at, self.replicated_at)
         members = context.settings.peers
         if all(m.controller_id in self.acknowledged_at for m in members):
-            # Whatever any of them told a user until then, it has told us.
+            # Each of them has named all cancellations that it told users of until then.
             known = max(
                 known,
                 min((self.acknowledged_at[m.controller_id] for m in members), default=context.now),
@@ -45,43 +55,49 @@
         return known
 
     def staleness_bound_s(self) -> float:
-        """Return the seconds for which leases renewed after a cancellation still end in time."""
+        """Return the age (s) that our knowledge may have for us to renew leases; see above."""
         worker_times = self.context.facts.workers
         return max(
             worker_times.cancel_s - worker_times.lease_s - constants.CANCELLATION_MARGIN_S, 0.0
         )
 
     def may_renew_leases(self) -> bool:
-        """Whether leases that we renew still end before a cancellation we can't know of."""
+        """Whether a lease renewed now ends in time for any cancellation that we may not know."""
         return self.context.now - self.cancels_known_until() < self.staleness_bound_s()
 
     def store_fresh(self) -> bool:
-        """Whether our own records are current."""
+        """Whether the store answered recently enough for our records to count as current."""
         return self.context.now - self.context.store_seen_at < constants.STORE_STALE_S
 
     def isolated(self) -> bool:
-        """Whether no peer has said a word of late, if there are any."""
+        """Whether there are peers and none of them has answered lately."""
         members = self.context.settings.peers
         return bool(members) and all(
-            self.context.now - self.peer_seen_at.get(m.controller_id, -1e9)
+            self.context.now - self.peer_seen_at.get(m.controller_id, constants.NEVER)
             >= constants.ISOLATION_S
             for m in members
         )
 
     def is_cancelled(self, job_id: str) -> bool:
-        """Whether a job is cancelled, by our records or by a peer's word."""
+        """Whether a job is cancelled, by our records or by the answer of a peer."""
         job = self.context.replica.jobs.get(job_id)
         return job_id in self.cancelled or (job is not None and job.state == "cancelled")
 
     def cancelled_unseen_for(self, seconds: float) -> bool:
-        """Whether a job was cancelled that long ago after all that our records show: what was
-        bound of it in between we don't know either."""
+        """Whether a cancellation that our records lack may be that old.
+
+        Bindings of the job made in the meantime are then missing in our records too.
+        """
         return any(self.context.now - at >= seconds for at in self.cancelled.values())
 
     def answer(self, since: int) -> tuple[list[str], int]:
-        """Return what a peer must know that knows all cancellations up to a revision: those after
-        it, and the revision up to which that is all of them; -1 if we can't say."""
-        if since < 0:  # of a version that does not say what it has
+        """Answer a peer that knows all cancellations up to a revision.
+
+        Returns:
+            The jobs cancelled after it, and the revision up to which these are complete; -1 if
+            they may be incomplete.
+        """
+        if since < 0:  # an earlier version, which does not say up to where it knows them
             return [
                 job
                 for _, job in self.context.replica.cancellations.by_revision[
@@ -100,17 +116,24 @@
         asked: float,
         until: int = -1,
     ) -> None:
-        """Take a peer's answer to a question asked at `asked`: it lives, and what was cancelled.
-
-        The time of the question counts, so that an answer that was held up is not taken for new.
-        The list begins where our knowledge ended when we asked, so with `until` there is no gap:
-        not by a peer that just started either, since all that its predecessor confirmed stands in
-        the records that it has loaded.
+        """Apply a peer's answer to a request for the cancellations that we don't know yet.
+
+        The list begins at the revision up to which we knew all of them at the request, so there is
+        no gap if the peer gives a revision up to which it is complete. That holds for a peer that
+        has just started too: what its former incarnation told users is in the records it loaded.
+
+        Args:
+            label: the peer.
+            incarnation: its incarnation, or 0 if it has none yet.
+            state_age: seconds since the store last answered the peer.
+            cancelled: ids of cancelled jobs.
+            asked: when the request was sent (s); an answer that was delayed is that old.
+            until: the revision up to which the list is complete, or -1.
         """
         if incarnation:
             self.peer_seen_at[label] = asked
             self.peer_store_seen_at[label] = max(
-                self.peer_store_seen_at.get(label, -1e9), asked - state_age
+                self.peer_store_seen_at.get(label, constants.NEVER), asked - state_age
             )
         not_before = self.cancels_known_until()
         complete = bool(incarnation) and until >= 0
@@ -119,23 +142,25 @@
             if job_id in self.cancelled or (job is not None and job.final):
                 continue
             if len(self.cancelled) >= constants.CANCELLATIONS_KEPT:
-                complete = False  # leases that we can't answer for end by themselves
+                complete = False  # leases that we can't renew safely will expire
                 break
             self.cancelled[job_id] = not_before
             self.reconcile_job(job_id)
         if complete:
             self.replicated_revision = max(self.replicated_revision, until)
             self.replicated_at = max(self.replicated_at, asked - state_age)
-            self.acknowledged_at[label] = max(self.acknowledged_at.get(label, -1e9), asked)
+            self.acknowledged_at[label] = max(
+                self.acknowledged_at.get(label, constants.NEVER), asked
+            )
 
     def forget(self) -> None:
-        """Drop what our own records say by now."""
+        """Drop cancellations that our own records show by now."""
         jobs = self.context.replica.jobs
         for job_id in [j for j in self.cancelled if j in jobs and jobs[j].final]:
             del self.cancelled[job_id]
 
     def reconcile_job(self, job_id: str) -> None:
-        """Stop a job's tasks wherever our records say that they may be."""
+        """Reconcile all machines to which tasks of a job are bound."""
         job = self.context.replica.jobs.get(job_id)
         if job is not None:
             self.workers.to_reconcile.update(b.machine for b in job.bindings())
--- a/oakmux/core/agents/heartbeats.py
+++ b/oakmux/core/agents/heartbeats.py
@@ -1,4 +1,4 @@
-"""Reports of workers: what they say of their machine and how they are answered."""
+"""Heartbeats of workers: their answers, and what they tell of their machines."""
 
 import math
 from typing import Any
@@ -12,13 +12,23 @@
 from oakmux.core.context import Context, Machine, Task, event
 from oakmux.core.leadership.leadership import Leadership
 from oakmux.core.model import Heartbeat
+from oakmux.task_status import (
+    DONE,
+    ERROR,
+    EXITED,
+    FETCHING,
+    REFUSED,
+    RUNNING,
+    STARTING,
+    TaskStatus,
+)
 
-STARTING = ("starting", "", False)
-REFUSED = ("refused", "", False)
+STARTING_STATUS = TaskStatus(STARTING, "", False)
+REFUSED_STATUS = TaskStatus(REFUSED, "", False)
 
 
 class HeartbeatHandler:
-    """Takes workers' reports."""
+    """Answers heartbeats and applies them to the machines."""
 
     def __init__(
         self,
@@ -37,7 +47,7 @@
         self.queue = queue
 
     def receive(self, rid: Any, heartbeat: Heartbeat) -> None:
-        """Take a worker's report and answer it."""
+        """Apply a worker's heartbeat and answer it; a 200 renews the worker's lease."""
         context = self.context
         machine = context.machines.get(heartbeat.machine)
         if machine is not None and (heartbeat.agent_epoch, heartbeat.sequence) <= machine.version:
@@ -62,7 +72,7 @@
             tracked.attached_at = context.now
         machine = self.take(tracked, heartbeat)
         if not self.cancellations.store_fresh():
-            # Refused by the state service alone: hand the worker over to a peer that is not.
+            # The store may refuse us alone: hand the worker over to a peer that it answers.
             for label, fresh in self.cancellations.peer_store_seen_at.items():
                 if context.now - fresh < constants.STORE_STALE_S / 2:
                     context.emit("answer", rid, 421, ("report_to", label))
@@ -73,7 +83,7 @@
         if heartbeat.fencing_token > context.term or not context.term:
             self.leadership.need_term_above(heartbeat.fencing_token)
             if heartbeat.fencing_token:
-                # The worker's own token keeps its lease; nothing starts under it.
+                # An answer under the worker's own token renews its lease; it starts nothing.
                 stops = self.commands.stop_cancelled(tracked, machine, set())
                 context.emit("answer", rid, 200, ("orders", heartbeat.fencing_token, stops))
             else:
@@ -87,11 +97,12 @@
         self.queue.offer(machine.name)
 
     def take(self, tracked: TrackedWorker, heartbeat: Heartbeat) -> Machine:
-        """Take a report newer than what we know, and settle those of our starts that it shows."""
+        """Apply a heartbeat newer than the last, and resolve the start commands that it shows."""
         context = self.context
         for task, term in list(tracked.unresolved_starts.items()):
-            # A start whose answer was lost is resolved once the worker shows the task, a newer
-            # session or a token above the start's: it can't act any more, or it has.
+            # A start command without an answer is resolved once the worker reports the task, a
+            # newer agent epoch, or a fencing token above the command's term: the worker carried it
+            # out, or refuses it from now on.
             if task in heartbeat.tasks or heartbeat.fencing_token > term:
                 del tracked.unresolved_starts[task]
         machine = context.machines.get(heartbeat.machine)
@@ -104,22 +115,22 @@
         return context.machines[heartbeat.machine]
 
     def visible_tasks(self, machine: Machine) -> dict[Task, tuple[str, str, bool]]:
-        """Return the tasks as owners must see them: unresolved and refused starts added."""
+        """Return a machine's tasks, with unresolved and refused starts added for schedulers."""
         tracked = self.workers.tracked.get(machine.name)
         if tracked is None or machine.manager != self.context.label:
             return machine.tasks
         tasks = dict(machine.tasks)
         for task in [*tracked.unresolved_starts, *tracked.answered_starts]:
-            tasks.setdefault(task, STARTING)
+            tasks.setdefault(task, STARTING_STATUS)
         for task in tracked.refused_starts:
-            tasks.setdefault(task, REFUSED)
+            tasks.setdefault(task, REFUSED_STATUS)
         return tasks
 
 
 def apply_heartbeat(
     context: Context, heartbeat: Heartbeat, manager: str, manager_term: int
 ) -> None:
-    """Bring the view of a machine up to date; the caller has checked that it is newer."""
+    """Update a machine by a heartbeat that the caller has found to be newer than the last."""
     machine = context.machines.get(heartbeat.machine)
     before: dict[Task, tuple[str, str, bool]] = {}
     if machine is None:
@@ -156,38 +167,38 @@
 
 
 def note_task_results(context: Context, machine: Machine, before: dict[Task, tuple]) -> None:
-    """Remember images that a machine holds and whether tasks fail on it."""
+    """Update images, failures, run times and idleness of a machine by its tasks' status."""
     live = []
     for task, (state, why, _) in machine.tasks.items():
         job_id = task[0].partition("/")[0]
         job = context.replica.jobs.get(job_id)
         spec = None if job is None else job.spec
         old = before.get(task, ("", "", False))
-        if state == "running" and old[0] != "running" and machine.manager == context.label:
+        if state == RUNNING and old[0] != RUNNING and machine.manager == context.label:
             event("running", task=task[0], attempt=task[1], machine=machine.name)
-        if state != "exited" and spec is not None:
+        if state != EXITED and spec is not None:
             live.append(spec)
-        if state == "exited" and old[0] != "exited":
+        if state == EXITED and old[0] != EXITED:
             if machine.manager == context.label:
                 event("exited", task=task[0], attempt=task[1], machine=machine.name, why=why)
-            if why == "done":
+            if why == DONE:
                 machine.errors.clear()
-            elif why == "error":
+            elif why == ERROR:
                 context.failures.record(job_id, machine.name)
                 if job_id not in machine.errors:
                     machine.errors.append(job_id)
                     del machine.errors[: -constants.FAILED_JOBS_KEPT]
-            if old[0] == "fetching" and why != "done" and spec is not None:
-                machine.images.pop(spec.image, None)  # a fetch that nobody waits for is given up
+            if old[0] == FETCHING and why != DONE and spec is not None:
+                machine.images.pop(spec.image, None)  # a fetch that no task needs is aborted
     for spec in live:
         hold_image(context, machine, spec.image, spec.image_gb)
-    # Since when a task runs; until then since now: what stops it then loses no work but a fetch.
+    # Since when each task runs; a task that does not run yet has no work to lose.
     machine.since = {
         task: machine.since.get(task, context.now)
-        if "running" == state[0] == before.get(task, ("",))[0]
+        if RUNNING == state[0] == before.get(task, ("",))[0]
         else context.now
         for task, state in machine.tasks.items()
-        if state[0] != "exited"
+        if state[0] != EXITED
     }
     if machine.since:
         machine.idle_since = None
@@ -196,7 +207,9 @@
 
 
 def hold_image(context: Context, machine: Machine, image: str, size_gb: float) -> None:
-    """Remember that a machine uses an image now."""
+    """Note that a machine uses an image now, which may evict others from its cache."""
     kind = context.types.get(machine.type)
-    context.replica.changes.stale_machines.add(machine.name)  # no `touch`: its room stays as it is
+    context.replica.changes.stale_machines.add(
+        machine.name
+    )  # not `touch`: its resources are unchanged
     machine.hold(image, size_gb, math.inf if kind is None else kind.cache_gb)
--- a/oakmux/core/agents/manager.py
+++ b/oakmux/core/agents/manager.py
@@ -1,4 +1,4 @@
-"""The agent manager's side: workers that report to us, their queues, offers and commands."""
+"""The agent manager: the part of a controller that workers send their heartbeats to."""
 
 from oakmux import constants
 from oakmux.core.agents.cancellation_log import CancellationLog
@@ -11,7 +11,7 @@
 
 
 class AgentManager:
-    """Hears workers, queues reservations, makes offers, gives commands; one part for each."""
+    """Joins heartbeats, reservation queues, worker commands and the cancellation log."""
 
     def __init__(self, context: Context, leadership: Leadership) -> None:
         self.context = context
@@ -23,12 +23,12 @@
             context, self.workers, self.cancellations, leadership, self.commands, self.queue
         )
         self.commands.take = self.heartbeats.take
-        self.next_look = 0.0
+        self.next_delayed_check_at = 0.0
 
     def tick(self) -> None:
-        """Send what is due to poked machines."""
-        if self.commands.with_delayed_starts and self.context.now >= self.next_look:
-            self.next_look = self.context.now + constants.TICK_S
+        """Reconcile the machines that need it, and check delayed starts once a tick."""
+        if self.commands.with_delayed_starts and self.context.now >= self.next_delayed_check_at:
+            self.next_delayed_check_at = self.context.now + constants.TICK_S
             self.workers.to_reconcile |= self.commands.with_delayed_starts
             self.commands.with_delayed_starts = set()
         to_reconcile, self.workers.to_reconcile = self.workers.to_reconcile, set()
--- a/oakmux/core/agents/reachability.py
+++ b/oakmux/core/agents/reachability.py
@@ -1,9 +1,10 @@
-"""Whether a machine hears us: that its reports arrive does not say so.
+"""Reachability: whether a worker receives our answers, which its heartbeats alone don't show.
 
-A machine whose answers and orders are lost reports to one controller after the other, and its
-session rises with every lease, while its room looks free and its tasks look started. A copy of a
-report that is minutes old looks like a machine that is not there any more. Neither has shown
-that it took an answer of ours; nothing is placed on a machine that has not.
+In a one-way partition a worker's heartbeats arrive and our answers and commands are lost. The
+worker tries one controller after the other and starts a new agent epoch with every lease, while
+its resources look free and its tasks look started. A heartbeat that the network delayed for
+minutes looks like a machine that is terminated by now. Neither worker has shown that it received
+an answer; nothing is placed on a machine until its worker has.
 """
 
 from oakmux import constants
@@ -12,8 +13,11 @@
 
 
 def assess_new_machine(context: Context, machine: Machine, ours: bool, term: int) -> None:
-    """Judge a machine that nobody here knew. A report to us proves nothing, whatever it says; a
-    peer that has settled it under its own term has heard it before."""
+    """Set the reachability of a machine that this controller did not know.
+
+    A heartbeat to us proves nothing, whatever it says. One to a peer proves that the worker
+    received an answer of that peer if it shows the peer's term.
+    """
     if ours or machine.fencing_token != term:
         machine.unreachable_signs = constants.UNREACHABLE_SIGNS
         machine.unreachable_since = context.now
@@ -22,24 +26,27 @@
 def assess_heartbeat(
     context: Context, machine: Machine, heartbeat: Heartbeat, manager: str, term: int
 ) -> bool:
-    """Judge a machine by a newer report than its last, before that is taken over; return whether
-    it has just proven to hear us.
+    """Update a machine's reachability by a newer heartbeat, before that is applied.
+
+    A worker that received an answer stays with its controller and shows that controller's term.
+    One that did not goes on to the next controller, or its lease expires while it sends
+    heartbeats. A lease that expires in silence is no evidence the first time: machines hang, and
+    zones are partitioned. When it happens again without an answer received in between, it counts:
+    a worker that is handed over to controllers which it can't reach comes back once a lease, in a
+    new agent epoch each time.
 
-    One that took an answer stays with its controller and shows that one's term; one that did not
-    goes on to the next controller, or its lease ends while it reports. A lease that ends in
-    silence says nothing the first time: machines hang, and zones are cut. One that ends so again,
-    with no answer taken in between, is a sign as well: a machine that is handed over to
-    controllers which it can't reach comes back once a lease, in a new session each time.
+    Returns:
+        Whether the machine has just proven to be reachable.
     """
     if (heartbeat.agent_epoch, heartbeat.sequence) == machine.version:
-        return False  # said again by its controller: nothing new of the machine
+        return False  # repeated by its controller: no news of the machine
     if heartbeat.agent_epoch == machine.agent_epoch and manager == machine.manager:
         if machine.unreachable_signs and term and heartbeat.fencing_token == term:
             machine.unreachable_signs, machine.unreachable_since = 0, None
             return True
         return False
-    spoke = context.now - machine.last_heartbeat_at < context.facts.workers.lease_s / 2
-    if heartbeat.agent_epoch > machine.agent_epoch and spoke:
+    sent_heartbeats = context.now - machine.last_heartbeat_at < context.facts.workers.lease_s / 2
+    if heartbeat.agent_epoch > machine.agent_epoch and sent_heartbeats:
         machine.unreachable_signs = constants.UNREACHABLE_SIGNS
     elif heartbeat.agent_epoch > machine.agent_epoch or manager != machine.manager:
         machine.unreachable_signs += 1
@@ -52,12 +59,12 @@
 
 
 def is_reachable(machine: Machine) -> bool:
-    """Whether nothing speaks against it that a machine hears us."""
+    """Whether a machine is taken to receive our answers."""
     return machine.unreachable_signs < constants.UNREACHABLE_SIGNS
 
 
 def unreachable_s(context: Context, machine: Machine) -> float:
-    """Return the seconds for which a machine has not heard us, as far as this process saw."""
+    """Return the seconds for which a machine has been unreachable while this process ran."""
     return (
         0.0
         if machine.unreachable_since is None
