--- a/oakmux/constants/controller.py
+++ b/oakmux/constants/controller.py
@@ -15,6 +15,9 @@
 MAX_QUEUED_COMMANDS = 2000
 # Entries that the controller's smaller caches and sets of past events hold at most (count).
 MAX_REMEMBERED = 2000
+# A time before all others (s), for what has not happened yet. It is finite because peers are sent
+# ages that are computed from such times.
+NEVER = -1e9
 # Seconds between two steps after which the process is taken to have been paused. It ticks ten
 # times a second; under load, gaps of some tenths of a second were the longest.
 PROCESS_PAUSE_S = 3.0
--- a/oakmux/core/agents/worker_commands.py
+++ b/oakmux/core/agents/worker_commands.py
@@ -132,7 +132,7 @@
                 and machine.fencing_token <= binding.term
                 and task not in machine.tasks
                 and self.cancellations.is_cancelled(job_id)
-                and context.now - self.cancellations.cancelled.get(job_id, -1e9)
+                and context.now - self.cancellations.cancelled.get(job_id, constants.NEVER)
                 >= self.cancellations.staleness_bound_s()
             ):
                 return True
--- a/oakmux/core/autoscaling/instance_inventory.py
+++ b/oakmux/core/autoscaling/instance_inventory.py
@@ -11,7 +11,6 @@
 from oakmux.core.state.formats import value_bytes, value_limit
 from oakmux.core.state.keys import TYPES_KEY, termination_key
 
-NEVER = float("-inf")
 StoreWrite = tuple[Any, ...]
 """(key, value, lease) to put a record, or (key,) to delete it."""
 
@@ -203,7 +202,8 @@
             if (
                 name in self.returned
                 and name not in replica.terminated_machines
-                and now - self.record_touched_at.get(name, NEVER) > constants.STORE_TIMEOUT_S
+                and now - self.record_touched_at.get(name, constants.NEVER)
+                > constants.STORE_TIMEOUT_S
             ):
                 self.record_touched_at[name] = now
                 writes.append((termination_key(name), True, None))
--- a/oakmux/core/autoscaling/unhealthy_machines.py
+++ b/oakmux/core/autoscaling/unhealthy_machines.py
@@ -7,7 +7,6 @@
 from oakmux.core.agents.capacity import is_quarantined
 from oakmux.core.agents.reachability import is_reachable, unreachable_s
 from oakmux.core.autoscaling.instance_inventory import (
-    NEVER,
     FailedBoot,
     Instance,
     InstanceInventory,
@@ -100,7 +99,7 @@
         """Whether the machine may send heartbeats to a live peer that we lost contact with."""
         context = self.context
         manager = machine.manager
-        peer_seen_at = self.cancellations.peer_seen_at.get(manager, NEVER)
+        peer_seen_at = self.cancellations.peer_seen_at.get(manager, constants.NEVER)
         return (
             manager in context.replica.live_controllers
             and manager != context.label
--- a/oakmux/core/context.py
+++ b/oakmux/core/context.py
@@ -130,9 +130,9 @@
         # also after their record was cleaned up.
         self.terminated: dict[str, None] = {}
         # When this process last went on after it had stood still: what it had heard before is old.
-        self.resumed_at = -1e9
+        self.resumed_at = constants.NEVER
         # When the state service was last back after we had lost it: nothing could start meanwhile.
-        self.store_recovered_at = -1e9
+        self.store_recovered_at = constants.NEVER
         self.draining: dict[str, float] = {}
         # Machines that were found unusable, to be looked at again when they are heard.
         self.unresponsive: set[str] = set()
@@ -141,7 +141,7 @@
         self.term = 0
         self.incarnation = 0
         self.held_roles: dict[str, int] = {}
-        self.store_seen_at = -1e9
+        self.store_seen_at = constants.NEVER
         self.changed_workers: set[str] = set()
         # Roles beside teams and fleet, and how ids begin that jobs of users can't have, for
         # subsystems that are switched on.
