--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -70,8 +70,10 @@
     core_parts = [f"oakmux.core.{part}" for part in PARTS]
     if within(imported, "tests", "tools"):
         return True
-    if within(importer, "oakmux.constants", "oakmux.task_status"):
+    if within(importer, "oakmux.constants"):
         return within(imported, "oakmux") and not within(imported, "oakmux.constants")
+    if within(importer, "oakmux.task_status"):
+        return within(imported, "oakmux")
     if within(importer, "oakmux.settings"):
         return not within(imported, "oakmux.constants") and within(imported, "oakmux")
     if within(importer, "oakmux.core"):
