--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -93,7 +93,9 @@
     )
     for sender, message in FIRST["messages"].values():
         batch = parse_batch(encode(["batch", sender, [message]]))
-        effects = core.step(1.0, [("peer", None, batch.controller_id, batch.messages, batch.cancellations_until)])
+        effects = core.step(
+            1.0, [("peer", None, batch.controller_id, batch.messages, batch.cancellations_until)]
+        )
         answers = [encode(answer_body(e[3])) for e in effects if e[0] == "answer"]
         old = msgspec.convert(decode(answers[0]), OldAnswer)
         assert (old.label, batch.cancellations_until) == ("h1", -1)
