--- a/oakmux/core/scheduling/__init__.py
+++ b/oakmux/core/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Placing the jobs of the teams that this controller owns."""
+"""Placement of the jobs of the teams whose roles this controller holds."""
--- a/oakmux/core/scheduling/backfill_candidates.py
+++ b/oakmux/core/scheduling/backfill_candidates.py
@@ -1,5 +1,4 @@
-"""Machines as candidates for a backfill reservation: when their tasks end, and what preempting
-them loses."""
+"""Candidates for a backfill reservation: when machines' tasks end, and what preemption loses."""
 
 import math
 from collections.abc import Iterable
--- a/oakmux/core/scheduling/backfill_plan.py
+++ b/oakmux/core/scheduling/backfill_plan.py
@@ -75,8 +75,10 @@
 
 
 def tasks_that_fit(need: Resources, free: Resources) -> int:
-    """Return how many tasks fit into free resources; as many as a record can hold if a task needs
-    nothing."""
+    """Return how many tasks fit into free resources.
+
+    Of tasks that need nothing as many fit as a record can hold.
+    """
     if need == NO_RESOURCES:
         return constants.BLOCK_TASKS
     return task_capacity(free, need)
--- a/oakmux/core/scheduling/backfill_planner.py
+++ b/oakmux/core/scheduling/backfill_planner.py
@@ -86,8 +86,10 @@
         )
 
     def _plan(self, job: Job, spec: JobSpec, state: PendingJob) -> BackfillPlan | None:
-        """Choose the machines to reserve, with spare ones if there are enough; None if there is
-        no acceptable plan."""
+        """Choose the machines to reserve, or None if there is no acceptable plan.
+
+        Some more than needed are reserved if there are enough, since machines may fail meanwhile.
+        """
         context = self.context
         feasible = self.index.feasible(spec, context.facts.zones)
         reserved = self.index.bitmap(context.backfill.reserved_before(job))
--- a/oakmux/core/scheduling/backfill_reservations.py
+++ b/oakmux/core/scheduling/backfill_reservations.py
@@ -91,8 +91,7 @@
         return not job.begun or gang is None or not is_starving(self.context, gang)
 
     def is_reserved(self, machine: str) -> bool:
-        """Whether a machine is kept for a gang; if idle, it is so for that and not for lack of
-        work."""
+        """Whether a machine is kept for a gang. If so, it may be idle although there is work."""
         reservation = self.by_job.get(self.by_machine.get(machine, ""))
         return reservation is not None and reservation.until > self.context.now
 
--- a/oakmux/core/scheduling/binding.py
+++ b/oakmux/core/scheduling/binding.py
@@ -252,8 +252,10 @@
     def _stop_gang_on_notice(
         self, job: Job, task: Task, visible_tasks: dict[Task, tuple[str, str, bool]]
     ) -> None:
-        """Stop a gang of which the cloud is about to reclaim a machine, so that its checkpoint is
-        saved while all its tasks still run."""
+        """Stop a gang of which the cloud is about to reclaim a machine.
+
+        So its checkpoint is saved while all its tasks still run.
+        """
         spec = job.spec
         if (
             spec is not None
--- a/oakmux/core/scheduling/gangs.py
+++ b/oakmux/core/scheduling/gangs.py
@@ -141,8 +141,10 @@
         return groups
 
     def _preempt_for_all(self, gang: Gang, groups: list[Group]) -> bool:
-        """Request preemption for all that a gang lacks in one of the groups, and reserve the rest
-        there; return whether there is such a group."""
+        """Request preemption for all that a gang lacks in one of the groups.
+
+        The capacity that is free there is reserved. Returns whether there is such a group.
+        """
         spec, state = gang.spec, gang.state
         if self.context.now < max(state.next_wide_sample_at, state.preempt_at):
             return False
@@ -158,8 +160,10 @@
         return False
 
     def _wait_for_capacity(self, gang: Gang, largest: Group) -> None:
-        """Have a gang wait with a backfill reservation, or hold the largest group's capacity if it
-        is its turn to hold any."""
+        """Have a gang wait for more capacity, with a backfill reservation if it gets one.
+
+        Otherwise it holds the largest group's capacity, if no other gang holds any.
+        """
         job, spec, state = gang
         if (
             self.holder != job.id
@@ -197,10 +201,10 @@
         return expected
 
     def _preempt_at_image_holders(self, gang: Gang, group: Group) -> bool:
-        """Preempt work on machines that hold the image, for all tasks that would fetch it, if
-        that costs less than the fetch; return whether that was requested.
+        """Request preemption where the image is, for all tasks that would otherwise fetch it.
 
-        One task that fetches keeps the whole gang waiting.
+        That is done if it costs less than the fetch: one task that fetches keeps the whole gang
+        waiting. Returns whether it was requested.
         """
         spec, state = gang.spec, gang.state
         fetching = [row for row in group.sampled if not row.has_image]
@@ -229,8 +233,7 @@
     def _request_preemption(
         self, gang: Gang, candidates: BitMap, wanted: int, max_cost_s: float
     ) -> bool:
-        """Request preemption on as many machines as tasks lack capacity; return whether it was
-        requested."""
+        """Request preemption on `wanted` machines; return whether it was requested."""
         job, spec, state = gang
         now = self.context.now
         names = request_preemption(
--- a/oakmux/core/scheduling/machine_index.py
+++ b/oakmux/core/scheduling/machine_index.py
@@ -386,8 +386,10 @@
                 yield members, has_image
 
     def _schedulable(self, number: int) -> Machine | None:
-        """Return a machine, or None after withdrawing it until its next heartbeat if it can't be
-        scheduled on any more."""
+        """Return a machine, or None if it is not schedulable any more.
+
+        Then it is withdrawn until its next heartbeat.
+        """
         machine = self.machines[number]
         if machine is not None and not is_schedulable(self.context, machine):
             self._withdraw(number)
@@ -415,8 +417,10 @@
         return BitMap() if holders is None else holders & self.feasible(spec, zones)
 
     def preemptible(self, job: Job, over_guarantee: Iterable[str]) -> BitMap:
-        """Return the machines with work that a job may preempt: of lower priority, or of the
-        teams in `over_guarantee`."""
+        """Return the machines with work that a job may preempt.
+
+        That is work of lower priority, or of the teams in `over_guarantee`.
+        """
         return BitMap.union(
             BitMap(),
             *(
--- a/oakmux/core/scheduling/minimum_share.py
+++ b/oakmux/core/scheduling/minimum_share.py
@@ -34,8 +34,13 @@
         self.share = context.settings.scheduling.minimum_share
 
     def due_job(self, kind: MachineType, free: Resources, jobs: Iterable[Job]) -> Job | None:
-        """Return the job that is due by age among those with a reservation on a machine, if the
-        debt is worth a task of it."""
+        """Return the oldest aged job that fits, if the debt is worth a task of it.
+
+        Args:
+            kind: the type of the machine with free capacity.
+            free: what is free on it.
+            jobs: the jobs with a reservation on it.
+        """
         if self.debt <= 0:
             return None
         aged = [
--- a/oakmux/core/scheduling/placement.py
+++ b/oakmux/core/scheduling/placement.py
@@ -84,8 +84,10 @@
 
 
 def strands_gpus(spec: JobSpec, kind: MachineType, free: Resources) -> bool:
-    """Whether a task without GPUs would leave a machine's free GPUs less than their share of its
-    CPUs."""
+    """Whether a task without GPUs would take CPUs that a machine's free GPUs need.
+
+    Each GPU of a machine needs its equal share of the machine's CPUs.
+    """
     return (
         not spec.gpus
         and free.gpus > constants.EPSILON
