--- a/oakmux/transport/rate_limit.py
+++ b/oakmux/transport/rate_limit.py
@@ -1,4 +1,4 @@
-"""Pacing: token buckets and back-off, so that limits are kept and not run into."""
+"""Rate limits that are kept rather than run into: token buckets, advances and back-off."""
 
 import asyncio
 import random
@@ -7,7 +7,7 @@
 
 
 class TokenBucket:
-    """Tokens that refill at a rate, up to `seconds` worth of it."""
+    """Tokens that refill at a rate (tokens a second), up to `seconds` worth of it."""
 
     def __init__(self, rate: float, seconds: float = 1.0) -> None:
         self.rate = max(rate, 0.1)
@@ -16,7 +16,7 @@
         self.at: float | None = None
 
     def wait(self, now: float, cost: float) -> float:
-        """Return the seconds until `cost` tokens are there (at most a full bucket's worth)."""
+        """Return the seconds until there are `cost` tokens, or a full bucket for a higher cost."""
         if self.at is not None:
             self.level = min(self.burst, self.level + (now - self.at) * self.rate)
         self.at = now
@@ -28,7 +28,7 @@
 
 
 class BurstAllowance:
-    """How far users' changes may go ahead of a controller's share of the rate.
+    """How many writes users may use in advance of a controller's share of the rate.
 
     All controllers going ahead at once would break the limit that the share keeps: at a cold
     start, after an outage, after a crash of all. So the allowance grows from nothing, and does so
@@ -40,11 +40,11 @@
         self.since: float | None = None
 
     def reset(self, now: float) -> None:
-        """Begin anew: something was refused."""
+        """Start again from nothing, since something was refused or not answered."""
         self.since = now
 
     def allowed(self, now: float) -> float:
-        """Return the changes that may be taken ahead."""
+        """Return the writes that may be used in advance."""
         if self.since is None:
             self.since = now
         grown = min(1.0, (now - self.since) / constants.USER_ADVANCE_GROWTH_S)
--- a/oakmux/transport/store_client.py
+++ b/oakmux/transport/store_client.py
@@ -13,6 +13,8 @@
     PATH_LEASES,
     PATH_TRANSACTIONS,
     PATH_WATCH,
+    Item,
+    WatchEvents,
     lease_body,
     parse_item_page,
     parse_lease,
@@ -36,6 +38,12 @@
 
 log = logging.getLogger("oakmux.state")
 
+REVISION_COMPACTED = 410
+"""Status of a watch whose revision the store no longer keeps: all records are read again."""
+
+MAX_WATCH_BACKOFF = 3
+"""Failures of the watch in a row that lengthen the pause before the next one."""
+
 
 class StoreClient:
     """Carries out the core's operations within this controller's share of the rate limits."""
@@ -208,11 +216,11 @@
         if status in (200, 409):
             return status, parse_transaction_result(answer)
         if status in (400, 429):
-            self._refused(status, guards, writes, answer)
+            self._log_refusal(status, guards, writes, answer)
         return (status if status == 400 else 503 if status in (429, 503) else 0), None
 
-    def _refused(self, status: int, guards: list, writes: list, answer: Any) -> None:
-        """Say once a key that we went beyond a limit; the value itself is the users'."""
+    def _log_refusal(self, status: int, guards: list, writes: list, answer: Any) -> None:
+        """Log once a key that a transaction was refused; values are the users' and not logged."""
         key = writes[0][0] if writes else guards[0][0] if guards else "none"
         if (status, key) in self.refused or len(self.refused) >= constants.MAX_REMEMBERED:
             return
@@ -244,7 +252,8 @@
         status, _ = await self._call("POST", f"{PATH_LEASES}/{lease}/renew", {})
         return status, None
 
-    async def _paced(self, path: str, timeout: float) -> tuple[int, Any]:
+    async def _rate_limited_get(self, path: str, timeout: float) -> tuple[int, Any]:
+        """Make a GET request as soon as the rate limit allows it."""
         loop = asyncio.get_running_loop()
         while (wait := self.requests.wait(loop.time(), 1)) > 0:
             await asyncio.sleep(wait)
@@ -253,54 +262,71 @@
 
     async def follow(self) -> None:
         """Read all records, then watch them for ever."""
-        tries = 0
+        failures = 0
         revision: int | None = None
-        loop = asyncio.get_running_loop()
         while True:
             try:
                 if revision is None:
                     revision = await self._load()
-                asked = loop.time()
-                path = (
-                    f"{PATH_WATCH}?prefix={PREFIX}&since={revision}"
-                    f"&block_ms={int(constants.WATCH_TIMEOUT_S * 1000)}"
-                )
-                status, answer = await self._paced(
-                    path, constants.WATCH_TIMEOUT_S + constants.STORE_TIMEOUT_S
-                )
-                if status == 200:
-                    events, revision = parse_watch_events(answer)
-                    self.put(("watch", events, revision, asked))
-                    tries = 0
-                    await asyncio.sleep(max(0.0, asked + self.watch_gap - loop.time()))
+                status, events = await self._watch(revision)
+                if events is not None:
+                    revision = events.revision
+                    failures = 0
                     continue
-                if status == 410:
+                if status == REVISION_COMPACTED:
                     revision = None
                     continue
             except (RequestNotSent, NoResponse, Malformed) as error:
                 log.debug("event=watch_failed why=%s", error)
             except Exception:
                 log.exception("event=watch_failed")
-            await pause(tries)
-            tries = min(tries + 1, 3)
+            await pause(failures)
+            failures = min(failures + 1, MAX_WATCH_BACKOFF)
+
+    async def _watch(self, revision: int) -> tuple[int, WatchEvents | None]:
+        """Report the changes after a revision and wait for the next watch's turn.
+
+        Returns:
+            The status, and the changes if it is 200.
+        """
+        loop = asyncio.get_running_loop()
+        requested_at = loop.time()
+        path = (
+            f"{PATH_WATCH}?prefix={PREFIX}&since={revision}"
+            f"&block_ms={int(constants.WATCH_TIMEOUT_S * 1000)}"
+        )
+        status, answer = await self._rate_limited_get(
+            path, constants.WATCH_TIMEOUT_S + constants.STORE_TIMEOUT_S
+        )
+        if status != 200:
+            return status, None
+        events = parse_watch_events(answer)
+        self.put(("watch", events.events, events.revision, requested_at))
+        await asyncio.sleep(max(0.0, requested_at + self.watch_gap - loop.time()))
+        return status, events
 
     async def _load(self) -> int:
-        """Read all records; the watch goes on from the first page's revision."""
-        rows: list[tuple[str, Any, int]] = []
-        since, first = "", None
-        asked = asyncio.get_running_loop().time()
+        """Read and report all records; return the revision of the first page.
+
+        The watch continues from it, so that no change made between two pages is missed.
+        """
+        items: list[Item] = []
+        since = ""
+        first_revision: int | None = None
+        requested_at = asyncio.get_running_loop().time()
         while True:
             path = f"{PATH_ITEMS}?prefix={PREFIX}&page={constants.LIST_PAGE_ITEMS}"
             if since:
                 path += f"&since={quote(since)}"
-            status, answer = await self._paced(path, 2 * constants.STORE_TIMEOUT_S)
+            status, answer = await self._rate_limited_get(path, 2 * constants.STORE_TIMEOUT_S)
             if status != 200:
                 raise NoResponse(f"status {status}")
-            items, more, revision = parse_item_page(answer)
-            rows += items
-            first = revision if first is None else first
-            if not more or not items:
+            page = parse_item_page(answer)
+            items += page.items
+            if first_revision is None:
+                first_revision = page.revision
+            if not page.has_more or not page.items:
                 break
-            since = items[-1][0]
-        self.put(("snapshot", rows, first, asked))
-        return first
+            since = page.items[-1][0]
+        self.put(("snapshot", items, first_revision, requested_at))
+        return first_revision
