--- a/oakmux/core/agents/worker_commands.py
+++ b/oakmux/core/agents/worker_commands.py
@@ -1,6 +1,7 @@
-"""Commands to workers: starts that the records say, stops, and forgetting what is over."""
+"""Reconciliation: commands that bring a worker's tasks in line with the records."""
 
 from collections.abc import Callable
+from typing import NamedTuple
 
 from oakmux import constants
 from oakmux.codec.workers import command_body
@@ -10,10 +11,18 @@
 from oakmux.core.leadership.leadership import Leadership
 from oakmux.core.model import CommandOutcome, Heartbeat
 from oakmux.core.state.records import Binding, Job
+from oakmux.task_status import EXITED, FETCHING, RUNNING, SAVING, STARTING
+
+
+class CommandBatch(NamedTuple):
+    """Commands for one worker, and the tasks that they start."""
+
+    commands: list[dict]
+    starts: list[Task]
 
 
 class WorkerCommands:
-    """Gives commands, in answers to reports and straight to workers."""
+    """Sends commands to workers, in answers to heartbeats and in direct requests."""
 
     def __init__(
         self,
@@ -31,84 +40,106 @@
         # Machines where a start is held back until others of its gang have their image.
         self.with_delayed_starts: set[str] = set()
 
-    def commands(
-        self, tracked: TrackedWorker, machine: Machine, forget: bool
-    ) -> tuple[list[dict], list[Task]]:
-        """Return the commands that a machine needs now, and which tasks they start."""
-        context = self.context
-        commands: list[dict] = []
-        starts: list[Task] = []
-        bound = context.replica.bindings.by_machine.get(machine.name, {})
-        settled = machine.fencing_token == context.term
-        names: set[Task] = set()
-        for (job_id, index), binding in bound.items():
+    def commands(self, tracked: TrackedWorker, machine: Machine, forget: bool) -> CommandBatch:
+        """Return the commands that a machine needs now.
+
+        Args:
+            tracked: what is remembered of the machine's worker.
+            machine: the machine as last reported.
+            forget: whether to end tasks without a binding as well.
+        """
+        replica = self.context.replica
+        batch = CommandBatch([], [])
+        bound_tasks: set[Task] = set()
+        for (job_id, index), binding in replica.bindings.by_machine.get(machine.name, {}).items():
             task = (f"{job_id}/{index}", binding.attempt)
-            names.add(task)
-            job = context.replica.jobs.get(job_id)
+            bound_tasks.add(task)
+            job = replica.jobs.get(job_id)
             if job is None:
                 continue
             ended = job.final or job_id in self.cancellations.cancelled
-            state = machine.tasks.get(task)
-            if state is not None:
-                if self._must_checkpoint(machine, job, state[0]):
-                    tracked.stops.setdefault(task, context.now)
-                if state[0] != "exited" and (ended or binding.stop or task in tracked.stops):
-                    self._stop(tracked, machine, commands, task, state[0], job, ended)
-                continue
-            if (
-                task in tracked.unresolved_starts
-                or task in tracked.answered_starts
-                or binding.term != context.term
-            ):
+            status = machine.tasks.get(task)
+            if status is None:
+                self._start_or_refuse(tracked, machine, task, job, binding, ended, batch)
                 continue
-            if binding.agent_epoch != machine.agent_epoch or not settled:
-                continue
-            if ended or binding.stop:
-                if task not in tracked.refused_starts:
-                    tracked.refused_starts.add(task)
-                    context.changed_workers.add(machine.name)
-            elif self._waits_for_gang_images(tracked, machine, job, binding, task):
-                self.with_delayed_starts.add(machine.name)
-            elif task not in tracked.refused_starts and self.cancellations.store_fresh():
-                commands.append(command_body("start", *task))
-                starts.append(task)
-        commands += self.stop_cancelled(tracked, machine, names)
-        tracked.refused_starts &= names
+            if self._must_checkpoint(machine, job, status[0]):
+                tracked.stops.setdefault(task, self.context.now)
+            if status[0] != EXITED and (ended or binding.stop or task in tracked.stops):
+                self._stop(tracked, machine, batch.commands, task, status[0], job, ended)
+        batch.commands.extend(self.stop_cancelled(tracked, machine, bound_tasks))
+        self._drop_outdated(tracked, machine, bound_tasks)
+        if forget:
+            self._end_unbound(tracked, machine, batch.commands, bound_tasks)
+        return batch
+
+    def _start_or_refuse(
+        self,
+        tracked: TrackedWorker,
+        machine: Machine,
+        task: Task,
+        job: Job,
+        binding: Binding,
+        ended: bool,
+        batch: CommandBatch,
+    ) -> None:
+        """Start a bound task that its worker does not report, or refuse to start it for good."""
+        context = self.context
+        if (
+            task in tracked.unresolved_starts
+            or task in tracked.answered_starts
+            or binding.term != context.term
+            or binding.agent_epoch != machine.agent_epoch
+            or machine.fencing_token != context.term
+        ):
+            return
+        if ended or binding.stop:
+            if task not in tracked.refused_starts:
+                tracked.refused_starts.add(task)
+                context.changed_workers.add(machine.name)
+        elif self._waits_for_gang_images(tracked, machine, job, binding, task):
+            self.with_delayed_starts.add(machine.name)
+        elif task not in tracked.refused_starts and self.cancellations.store_fresh():
+            batch.commands.append(command_body("start", *task))
+            batch.starts.append(task)
+
+    def _drop_outdated(
+        self, tracked: TrackedWorker, machine: Machine, bound_tasks: set[Task]
+    ) -> None:
+        """Drop what is remembered of tasks that are no longer bound or no longer reported."""
+        tracked.refused_starts &= bound_tasks
         tracked.delayed_since = {
-            task: since for task, since in tracked.delayed_since.items() if task in names
+            task: since for task, since in tracked.delayed_since.items() if task in bound_tasks
         }
         for task in [task for task in tracked.stops if task not in machine.tasks]:
             del tracked.stops[task]
-        if forget:
-            self._clean_up_unbound(tracked, machine, commands, names)
-        return commands, starts
 
     def stop_cancelled(
-        self, tracked: TrackedWorker, machine: Machine, besides: set[Task]
+        self, tracked: TrackedWorker, machine: Machine, excluded: set[Task]
     ) -> list[dict]:
-        """Return stops of all tasks of cancelled jobs on a machine (R ran_cancelled), but some.
+        """Return stops of all other tasks of cancelled jobs on a machine (R ran_cancelled).
 
-        Our records may lack them: they were bound after the state service had refused us, and the
-        worker came to us meanwhile. To a worker that has seen a term above ours they go under its
-        own: with the state service out no newer one comes, and its lease is renewed all the while;
-        whoever may command it besides, a stop of what a user was told is cancelled undoes nothing.
+        Our records may lack their bindings: they were made after the store had refused us, and the
+        worker was handed over to us meanwhile. A worker that has obeyed a higher term than ours
+        gets the stops under that term: while the store is out we can't raise our own, and the
+        worker's lease is renewed all the while. Stopping a cancelled task does no harm, whichever
+        controller may command the worker besides.
         """
         commands: list[dict] = []
         for task, state in machine.tasks.items():
             job_id = task[0].partition("/")[0]
             if (
-                task not in besides
-                and state[0] != "exited"
+                task not in excluded
+                and state[0] != EXITED
                 and self.cancellations.is_cancelled(job_id)
             ):
                 self._stop(tracked, machine, commands, task, state[0], None, True)
         return commands
 
     def late_start_possible(self, tracked: TrackedWorker, machine: Machine) -> bool:
-        """Whether a start of a cancelled job may still be on its way when it must be gone.
+        """Whether a start of a cancelled job may take effect after its time to end.
 
-        Its answer was lost, or another controller gave it. A newer term would rule it out, and
-        none can be had without the state service: then the worker's session has to end in time.
+        The command's answer was lost, or another controller sent it. Workers refuse it under a
+        newer term, but without the store no term can be raised: the lease then has to expire.
         """
         context = self.context
         if self.cancellations.store_fresh():
@@ -118,8 +149,8 @@
             and tracked.attached_at + context.facts.workers.lease_s > context.store_seen_at
             and self.cancellations.cancelled_unseen_for(self.cancellations.staleness_bound_s())
         ):
-            # Whoever kept it before us, and gave orders for a lease after that at the most, may
-            # have given a start of a job that was cancelled since, whose bindings we never saw.
+            # Its former controller, which could command it for one more lease at most, may have
+            # started a task of a job that was cancelled since and whose binding we never saw.
             return True
         for (job_id, index), binding in context.replica.bindings.by_machine.get(
             machine.name, {}
@@ -141,10 +172,10 @@
     def _waits_for_gang_images(
         self, tracked: TrackedWorker, machine: Machine, job: Job, binding: Binding, task: Task
     ) -> bool:
-        """Whether a gang's task that has its image should be started later, since others fetch it.
+        """Whether to delay a gang task that has its image while others of the gang fetch it.
 
-        The task would wait for them, `gang_wait_s` at most, and end with the whole attempt: a
-        fetch that takes longer was so given up and begun anew for ever.
+        A started task waits for the others for `gang_wait_s` at most, and then ends the attempt of
+        the whole gang. A fetch that takes longer would be aborted and begun anew for ever.
         """
         context, spec = self.context, job.spec
         if spec is None or not spec.joint or spec.image not in machine.images:
@@ -157,28 +188,28 @@
             for index, other in block.bound.items():
                 if other.attempt != binding.attempt or other.machine == machine.name:
                     continue
-                there = context.machines.get(other.machine)
-                state = there.tasks.get((f"{job.id}/{index}", other.attempt)) if there else None
-                if there is None:
+                other_machine = context.machines.get(other.machine)
+                if other_machine is None:
                     continue
-                if state is None and spec.image not in there.images:
+                state = other_machine.tasks.get((f"{job.id}/{index}", other.attempt))
+                if state is None and spec.image not in other_machine.images:
                     return True
-                # Of a start on its way nobody can say yet whether the image is there.
-                if state is not None and state[0] in ("fetching", "starting"):
+                # Whether the image is there is not known while the start is on its way.
+                if state is not None and state[0] in (FETCHING, STARTING):
                     return True
         return False
 
     def _must_checkpoint(self, machine: Machine, job: Job, state: str) -> bool:
-        """Whether a task has to save now, since the cloud is about to take its machine.
+        """Whether a task has to save now, since the cloud is about to reclaim its machine.
 
-        The tasks of a larger gang have to be stopped together: their owner sees to that.
+        The tasks of a larger gang are stopped together by the scheduler that owns the job.
         """
         spec = job.spec
         if (
             machine.notice_at is None
             or spec is None
             or not spec.checkpoint_s
-            or state != "running"
+            or state != RUNNING
             or spec.tasks > 1
         ):
             return False
@@ -198,27 +229,34 @@
         job: Job | None,
         ended: bool,
     ) -> None:
+        """Stop a task; unless its job has ended, it gets the time to save a checkpoint."""
         grace = 0.0 if ended or job is None or job.spec is None else job.spec.save_s
-        if state == "saving" and not ended:
+        if state == SAVING and not ended:
             return
         commands.append(command_body("stop", task[0], task[1], grace))
         tracked.stops.setdefault(task, self.context.now)
         event("stop", task=task[0], attempt=task[1], machine=machine.name, grace=grace)
 
-    def _clean_up_unbound(
-        self, tracked: TrackedWorker, machine: Machine, commands: list[dict], names: set[Task]
+    def _end_unbound(
+        self,
+        tracked: TrackedWorker,
+        machine: Machine,
+        commands: list[dict],
+        bound_tasks: set[Task],
     ) -> None:
-        """Forget exited tasks that the records have let go of; stop live ones."""
+        """End tasks without a binding: let the worker forget exited ones, stop the others."""
         context = self.context
         orphans = {
-            t: tracked.unbound_since.get(t, context.now) for t in machine.tasks if t not in names
+            t: tracked.unbound_since.get(t, context.now)
+            for t in machine.tasks
+            if t not in bound_tasks
         }
         tracked.unbound_since = orphans
         if not self.cancellations.store_fresh():
             return
         for task, since in orphans.items():
-            # Our replica may lag behind the agent manager that started the task: wait a while.
-            if machine.tasks[task][0] == "exited":
+            # The binding may not have reached our replica yet: wait a while.
+            if machine.tasks[task][0] == EXITED:
                 if (
                     context.now - since >= constants.PEER_HEARTBEAT_S
                     and task not in tracked.unresolved_starts
@@ -228,7 +266,7 @@
                 commands.append(command_body("stop", task[0], task[1], 0.0))
 
     def reconcile(self, name: str) -> None:
-        """Send starts and stops straight to a worker, when there are any."""
+        """Send the starts and stops that a worker needs in a direct request, if there are any."""
         context = self.context
         tracked = self.workers.tracked.get(name)
         machine = context.machines.get(name)
@@ -269,7 +307,7 @@
         tracked = self.workers.tracked.setdefault(name, TrackedWorker())
         tracked.command_in_flight = False
         if outcome == CommandOutcome.LOST:
-            # They may still be carried out, minutes later: only a newer term settles that.
+            # The commands may be carried out minutes later; a newer term rules that out.
             tracked.next_command_at = context.now + constants.COMMAND_TIMEOUT_S
             self.leadership.need_term_above(term)
             return
@@ -287,7 +325,7 @@
             self.leadership.need_term_above(heartbeat.fencing_token)
 
     def move(self, name: str, task: str, attempt: int) -> None:
-        """Stop a service so that its owner starts it on another machine."""
+        """Stop a service's task so that its scheduler starts it on another machine."""
         tracked = self.workers.tracked.get(name)
         machine = self.context.machines.get(name)
         if tracked is not None and machine is not None and (task, attempt) in machine.tasks:
