--- a/oakmux/core/autoscaling/unhealthy_machines.py
+++ b/oakmux/core/autoscaling/unhealthy_machines.py
@@ -89,9 +89,11 @@
         patience = 2 if self._manager_unheard(machine) else 1
         if silent_s > self._contact_timeout_s * patience:
             return ReturnReason.HEARTBEAT_TIMEOUT
-        deaf_s = min(unreachable_s(context, machine), context.now - inventory.role_acquired_at)
+        unreachable_for_s = min(
+            unreachable_s(context, machine), context.now - inventory.role_acquired_at
+        )
         patience = 2 if machine.zone in unreachable_zones else 1
-        if deaf_s > self._contact_timeout_s * patience:
+        if unreachable_for_s > self._contact_timeout_s * patience:
             return ReturnReason.UNREACHABLE
         return None
 
