--- a/tests/fakes/checks.py
+++ b/tests/fakes/checks.py
@@ -21,13 +21,13 @@
         self.cancel_requested: set[str] = set()
         self.starts = 0
         self.start_log: list[tuple[float, str, int, str]] = []
-        # When a start was last given, by task and attempt; and starts that came after their job's
-        # cancellation was confirmed, with the seconds from then to the giving and to the start.
+        # When a start command was last issued, by task and attempt; and starts after their job's
+        # cancellation was confirmed, with the seconds from then to the command and the start.
         self.given: dict[tuple[str, int], float] = {}
         self.late_starts: list[tuple[str, float, float]] = []
 
     def needs(self, job_id: str) -> set[str]:
-        """Return the jobs that a job needs, directly or through others."""
+        """Return the direct and indirect dependencies of a job."""
         found: set[str] = set()
         stack = [job_id]
         while stack:
@@ -55,7 +55,7 @@
             for index in range(self.specs[job_id].tasks):
                 assert f"{job_id}/{index}" in self.completed, f"not_done: {job_id}/{index}"
         if state in ("queued", "running"):
-            # Stricter than the rule, which allows cancel_s: nobody may hear an older answer.
+            # Stricter than the rule, which allows cancel_s: no user may get an older answer.
             for name in self.needs(job_id):
                 assert sent <= self.cancelled_at.get(name, sent), f"orphaned: {job_id} by {name}"
         if state == "cancelled":
@@ -73,9 +73,9 @@
         """Called when a user was told something new about a job."""
 
     def check_cancelled(self) -> None:
-        """Look for tasks that are on a machine more than cancel_s after the word; looked at twice
-        a second, and when a machine that hung goes on. One that hangs beyond its lease can't go on
-        with them."""
+        """Check that no task is on a machine more than `cancel_s` after the cancellation of its job
+        was confirmed (R ran_cancelled); runs twice a second and when a hung machine resumes. A
+        machine that hangs beyond its lease can't resume its tasks."""
         if not self.cancelled_at:
             return
         for worker in self.workers.values():
@@ -91,7 +91,7 @@
                 ), f"ran_cancelled: {task}"
 
     def check_start_commands(self, label: str, orders: list[dict]) -> None:
-        """No controller gives a start of a job that it knows to be cancelled."""
+        """Check that no controller issues a start of a job that it knows to be cancelled."""
         core = self.cores[label]
         for order in orders:
             if order["verb"] == "launch":
@@ -102,8 +102,8 @@
                 )
 
     def placed(self) -> list[tuple[FakeWorker, str, int]]:
-        """Return the tasks that are on a machine by the rules' words: also while they wait for
-        their gang, save, hang or can't be reached."""
+        """Return the tasks that are placed on a machine by the rules: also while they wait for
+        their gang, save a checkpoint, hang or can't be reached."""
         found = []
         for worker in self.workers.values():
             if not worker.dead:
@@ -128,7 +128,7 @@
         return found
 
     def started(self, worker: FakeWorker, key: tuple[str, int]) -> None:
-        """Check the rules at the moment a start is carried out."""
+        """Check the rules at the moment a start command is executed."""
         task, attempt = key
         job_id = task.partition("/")[0]
         for name in self.specs[job_id].waits_on:
@@ -143,7 +143,7 @@
         self.start_log.append((self.now, task, attempt, worker.name))
 
     def check_place(self, worker: FakeWorker, task: str) -> None:
-        """Check the rules on where a task may be: when it is started and when it has its image."""
+        """Check the placement rules, when a task is started and when it has its image."""
         job_id = task.partition("/")[0]
         job = self.specs[job_id]
         others = [row for row in self.placed() if row[:2] != (worker, task)]
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -21,7 +21,7 @@
         self.boot_s: Callable[[], float | None] = lambda: self.rng.uniform(1.0, 4.0)
 
     def record_machines(self) -> None:
-        """Note what the cloud would list now; lists are answered from two seconds ago."""
+        """Record the current list; the cloud answers with the list of two seconds ago."""
         rows = [
             ListedInstance(
                 w.name, w.name, "big", w.zone, w.spot, "running" if w.up else "booting", 1.0
--- a/tests/fakes/network.py
+++ b/tests/fakes/network.py
@@ -7,7 +7,7 @@
 
 
 class FakeNetwork:
-    """The event queue, and the ways between controllers, workers, store and cloud."""
+    """The event queue, and the links between controllers, workers, store and cloud."""
 
     def __init__(self, seed: int, labels: list[str]) -> None:
         self.rng = random.Random(seed)
@@ -16,10 +16,10 @@
         self.heap: list[tuple[float, int, Callable[[], None]]] = []
         self.serial = 0
         self.cuts: set[frozenset[str]] = set()
-        self.one_way: set[tuple[str, str]] = set()  # from, to: held up
+        self.one_way: set[tuple[str, str]] = set()  # (from, to): messages are delayed
         self.loss = self.twice = self.slow = 0.0
-        self.state_slow = 0.0  # seconds by which answers of the state service come late, at most
-        self.muted: set[str] = set()  # machines that reach no controller, but hear direct orders
+        self.state_slow = 0.0  # maximum delay of messages of the store, in seconds
+        self.muted: set[str] = set()  # machines that reach no controller but receive commands
 
     def after(self, seconds: float, run: Callable[[], None]) -> None:
         self.serial += 1
@@ -39,7 +39,7 @@
         return frozenset((a, b)) in self.cuts or (a, b) in self.one_way
 
     def carry(self, a: str, b: str, run: Callable[[], None]) -> None:
-        """Carry a message: now, much later (held by a cut or a slow way), twice or never."""
+        """Deliver a message: soon, much later (partition, slow link), twice or never."""
         if self.cut(a, b):
             self.after(self.rng.uniform(1.0, 40.0), run)
         elif self.state_slow and "state" in (a, b):
@@ -61,8 +61,8 @@
         timeout: float,
         when: Callable[[Callable[[], None]], None] = lambda run: run(),
     ) -> None:
-        """A request that is served once, perhaps late, and its answer or a time-out; `when` lets
-        the server serve later."""
+        """Send a request, served once and perhaps late, and pass its answer or `lost` on time-out
+        to `done`; `when` lets the server defer serving it."""
         state = {"open": True, "served": False}
 
         def answer(value: Any) -> None:
@@ -83,18 +83,18 @@
         self.carry(a, b, at_server)
 
     def mute(self, names: list[str], seconds: float) -> None:
-        """Machines reach no controller, while direct orders reach them."""
+        """Block messages from machines to controllers, but not commands sent to them."""
         self.muted.update(names)
         self.after(seconds, lambda: self.muted.difference_update(names))
 
     def drop_inbound(self, names: list[str], seconds: float) -> None:
-        """What machines say arrives; answers and orders do not reach them."""
+        """Delay answers and commands to machines, while their heartbeats arrive."""
         pairs = {(label, name) for label in self.labels for name in names}
         self.one_way |= pairs
         self.after(seconds, lambda: self.one_way.difference_update(pairs))
 
     def isolate(self, label: str, seconds: float) -> None:
-        """A controller loses the state service and its peers, but not its workers."""
+        """Partition a controller from the store and its peers, but not from its workers."""
         pairs = {frozenset((label, other)) for other in [*self.labels, "state"] if other != label}
         self.cuts |= pairs
         self.after(seconds, lambda: self.cuts.difference_update(pairs))
--- a/tests/fakes/store.py
+++ b/tests/fakes/store.py
@@ -9,7 +9,7 @@
 
 
 class FakeStore:
-    """The state service: guards, leases and a log of changes."""
+    """The key-value store: transactions, leases and a log of changes."""
 
     def __init__(self, sim: "Simulation") -> None:
         self.sim = sim
@@ -92,7 +92,7 @@
 
         def back() -> None:
             if self.sim.now < self.down_until:
-                return  # another one has begun meanwhile
+                return  # another outage began meanwhile
             self.down = False
             for lease in self.leases.values():
                 lease[0] = self.sim.now + lease[1]
--- a/tests/fakes/users.py
+++ b/tests/fakes/users.py
@@ -13,7 +13,7 @@
 
     def __init__(self, seed: int, labels: list[str], teams: tuple[Team, ...]) -> None:
         super().__init__(seed, labels, teams)
-        self.close = 0.0  # share of news to users after which all controllers are asked at once
+        self.close = 0.0  # share of state changes after which all controllers are queried
         self.submitted: dict[str, float] = {}
 
     def command(self, label: str, command: tuple) -> None:
@@ -37,7 +37,7 @@
         self._user(job_id, lambda rid: ("query", rid, job_id), lambda s, a: True)
 
     def tell(self, label: str, *command: Any) -> list[tuple[int, tuple]]:
-        """Ask one controller once as a user, with all checks; return its answers as they come."""
+        """Send one user request to one controller; return the list that its answers are put in."""
         answers: list[tuple[int, tuple]] = []
         before, sent = self.told.get(command[1]), self.now
 
@@ -53,8 +53,8 @@
             self.query_all_controllers(job_id)
 
     def query_all_controllers(self, job_id: str) -> None:
-        """Right after a user was told something new, ask all controllers again and again within
-        20 ms, and submit anew; some cancel at once."""
+        """Query all controllers several times within 20 ms after a user was told a new state, and
+        submit the job again; sometimes cancel it at once."""
         for label in self.labels * 2:
             self.after(
                 self.rng.uniform(0.001, 0.02),
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -11,7 +11,7 @@
 
 
 class FakeWorker:
-    """One machine: token, lease, session and tasks, as the protocol has them."""
+    """One machine and its worker, following the worker's rules in the protocol."""
 
     def __init__(self, sim: "Simulation", name: str, zone: str, spot: bool) -> None:
         self.sim, self.name, self.zone, self.spot = sim, name, zone, spot
@@ -27,7 +27,7 @@
         self.reported_token = -1e9
         self.up = False
         self.hung_since = self.hung_until = -1.0
-        self.held: list[Callable[[], None]] = []  # what reached it while it hung
+        self.held: list[Callable[[], None]] = []  # messages that arrived while it hung
 
     def start(self) -> None:
         if not self.dead:
@@ -52,7 +52,7 @@
         )
 
     def peek(self) -> Heartbeat:
-        """Return the report that it would send now, and leave it as it is."""
+        """Return the heartbeat that it would send now, without changing its state."""
         sequence, tasks = self.sequence, {key: list(row) for key, row in self.tasks.items()}
         heartbeat = self.snapshot()
         self.sequence, self.tasks = sequence, tasks
@@ -62,17 +62,17 @@
         return None if self.taken_at is None else max(0.0, self.taken_at - self.sim.now)
 
     def take(self, seconds: float) -> None:
-        """The cloud takes the machine back after a notice."""
+        """Let the cloud reclaim the machine after a notice of this many seconds."""
         self.taken_at = self.sim.now + seconds
         self.sim.after(seconds, lambda: self.sim.kill(self.name))
 
     @property
     def hung(self) -> bool:
-        """Whether the machine hangs: it does nothing, but may go on within its lease."""
+        """Whether the machine hangs: it does nothing, but may resume within its lease."""
         return self.sim.now < self.hung_until
 
     def hang(self, seconds: float) -> None:
-        """Stand still; what comes meanwhile is kept, and the tasks go on where they were."""
+        """Hang for some seconds; messages are queued, and tasks continue where they stopped."""
         if self.dead or self.hung:
             return
         self.advance()
@@ -80,7 +80,7 @@
         self.sim.after(seconds, self.resume)
 
     def resume(self) -> None:
-        """The machine goes on: its lease is looked at first, then what it was sent."""
+        """Resume after a hang: check the lease first, then handle the queued messages."""
         if self.dead:
             return
         for row in self.tasks.values():
@@ -92,7 +92,7 @@
             run()
 
     def run_when_awake(self, run: Callable[[], None]) -> None:
-        """Do something now, or when the machine goes on."""
+        """Run a callback now, or when the machine resumes."""
         if self.hung:
             self.held.append(run)
         else:
@@ -100,7 +100,7 @@
 
     @property
     def lease_expired(self) -> bool:
-        """Whether its tasks are as good as gone: they are killed before anything else happens."""
+        """Whether the lease expired, so that its tasks are killed before anything else."""
         return self.sim.now - self.lease_from > deployment.LEASE_S
 
     def advance(self) -> None:
@@ -125,7 +125,7 @@
                 self.sim.finish(key, row, self.sick)
 
     def heartbeat(self) -> None:
-        """Send a report and go on; the answer counts within 4 s."""
+        """Send a heartbeat and schedule the next; an answer counts within `ANSWER_S`."""
         if self.dead:
             return
         if self.hung:
@@ -154,7 +154,7 @@
                 self.node = sim.labels.index(answer[1])
             elif status != 200:
                 self.node = (self.node + 1) % len(sim.labels)
-            # A higher token is a change, which is reported sooner, once in half a lease.
+            # A higher token is reported sooner, at most once in half a lease.
             token_rose = self.fencing_token > before
             sooner = token_rose and sim.now - self.reported_token > deployment.LEASE_S / 2
             if sooner:
@@ -180,7 +180,7 @@
         ):
             sim.stale_heartbeats.append(heartbeat)
         if sim.late_copy_share and sim.rng.random() < sim.late_copy_share:
-            # To whom it may be, its answer goes nowhere; the machine may be gone by then.
+            # A late copy to any controller: its answer is dropped; the machine may be dead.
             other = sim.rng.choice(sim.labels)
             sim.after(
                 sim.rng.uniform(0.5, 4 * deployment.LEASE_S),
--- a/tests/helpers/clusters.py
+++ b/tests/helpers/clusters.py
@@ -18,7 +18,7 @@
 
 
 def wait_for_state(sim: Simulation, job_id: str, seconds: float) -> str:
-    """Ask for a job and return what its user has been told that many seconds later."""
+    """Query a job and return the state its user was told after this many seconds."""
     sim.query(job_id)
     sim.run(seconds)
     return sim.told[job_id]
@@ -69,7 +69,7 @@
 
 
 def move_workers_to(sim: Simulation, label: str) -> None:
-    """Let all machines report to one controller."""
+    """Let all machines send their heartbeats to one controller."""
     for worker in sim.workers.values():
         worker.node = sim.labels.index(label)
     sim.run(3)
@@ -77,7 +77,7 @@
 
 
 def check_recovered(sim: Simulation, seconds: float = 150.0) -> None:
-    """All troubles are over: every job is answered, and ends."""
+    """End all faults and check that every job is answered and finishes."""
     sim.cuts.clear()
     sim.one_way.clear()
     sim.stuck.clear()
--- a/tests/helpers/faults.py
+++ b/tests/helpers/faults.py
@@ -20,7 +20,7 @@
 def run_with_random_faults(
     seed: int, seconds: float = 150.0, recount: bool = False, count: int = 3
 ) -> Simulation:
-    """Play a random story: jobs come, everything fails, then all is well again."""
+    """Submit random jobs under random faults, then end all faults."""
     sim = Simulation(seed, count, teams=TIGHT if seed % 2 else TEAMS)
     sim.recount = recount
     sim.loss, sim.twice, sim.slow = 0.01, 0.01, 0.005
@@ -178,7 +178,7 @@
 def moved(
     context: Context, machine: Machine, manager: str, agent_epoch: int = 1, fencing_token: int = 0
 ) -> None:
-    """Take the next report of a machine, as a controller hears of it."""
+    """Record the next heartbeat of a machine as a controller's view of it."""
     heartbeat = Heartbeat(
         machine.name,
         "a:1",
@@ -197,7 +197,7 @@
 
 
 class QuickRestart(Simulation):
-    """Restarts controllers at the n-th operation that any of them sends to the state service."""
+    """Restarts controllers at the n-th operation that any of them sends to the store."""
 
     def __init__(self, at: int, who: int, back: float, served: bool, count: int = 3) -> None:
         self.at, self.who, self.back, self.served, self.calls = at, who, back, served, 0
@@ -230,14 +230,14 @@
 
 
 def partition_machines(sim: Simulation, names: list[str], seconds: float) -> None:
-    """Nothing passes between machines and controllers; what is sent is held."""
+    """Partition machines from all controllers; messages are delayed."""
     pairs = {frozenset((label, name)) for label in sim.labels for name in names}
     sim.cuts |= pairs
     sim.after(seconds, lambda: sim.cuts.difference_update(pairs))
 
 
 class DelayedStarts(Simulation):
-    """Holds direct orders with one kind of command for so many seconds, while armed."""
+    """Delays direct commands of one kind by some seconds, while armed."""
 
     def __init__(self, seed: int, verb: str, seconds: float, count: int = 3) -> None:
         self.verb, self.seconds, self.armed = verb, seconds, False
@@ -270,7 +270,7 @@
 
 
 class RepeatedTransactions(Simulation):
-    """Keeps every transaction that changes something."""
+    """Records every transaction that writes, so that it can be repeated."""
 
     def __init__(self, seed: int, count: int = 3) -> None:
         self.sent: list[tuple[str, list, list, int]] = []
@@ -288,7 +288,7 @@
 
 
 def inject_fault(sim: Simulation, how: str, names: list[str], seconds: float) -> None:
-    """Put machines out of reach in one of the ways that there are."""
+    """Make machines unreachable by the named kind of fault."""
     if how == "hang":
         for name in names:
             sim.workers[name].hang(seconds)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""A real process on loopback: a deployment on the fakes, in real time, with both listeners.
+"""A real process on loopback: a simulated deployment in real time, with both listeners.
 
 Prints one JSON line with its ports and tokens once it serves.
 """
--- a/tests/test_binding_batches.py
+++ b/tests/test_binding_batches.py
@@ -1,4 +1,4 @@
-"""Pages: the bindings of many small jobs in one value, and all that can happen to its writer."""
+"""Binding batches: bindings of many small jobs in one record, and faults of its writer."""
 
 import random
 from collections import Counter
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The page of capacities and the files that it is made from."""
+"""The generated capacity document and the measurements that it is made from."""
 
 import msgspec
 import pytest
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -1,4 +1,4 @@
-"""Short stories of jobs that wait on others."""
+"""Jobs with dependencies: their order, cancellation cascades and limits."""
 
 import random
 
--- a/tests/test_late_messages.py
+++ b/tests/test_late_messages.py
@@ -93,7 +93,7 @@
 
 
 def test_a_start_command_is_not_resent_after_its_task_was_forgotten(monkeypatch):
-    """A repeated launch after `forget` runs the task anew. Of one keeper and term each attempt is
+    """A repeated launch after `forget` runs the task anew. Of one controller and term each attempt is
     sent while its binding stands and nothing of it is unresolved; forgotten once it is gone."""
     sim = Simulation(1)
     sim.run(12)
--- a/tests/test_log_tools.py
+++ b/tests/test_log_tools.py
@@ -1,4 +1,4 @@
-"""Stories of the tools that read controllers' logs."""
+"""The tools that read the logs of controllers."""
 
 import pytest
 from click.testing import CliRunner
--- a/tests/test_peer_client.py
+++ b/tests/test_peer_client.py
@@ -11,7 +11,7 @@
     # Each changed report was a request to six peers by itself.
     sent: list[tuple[float, list]] = []
 
-    async def story() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
         peer = PeerClient("h0", "h1", "10.0.0.2:81", lambda command: None, lambda: 7)
 
@@ -32,6 +32,6 @@
         await asyncio.sleep(0.4)
         pump.cancel()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
     assert [names for _, names in sent] == [["view", "view"], ["view", "offer"]]
     assert sent[0][0] >= constants.PEER_UPDATE_WINDOW_S
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -105,7 +105,7 @@
     sim.submit("job-1", spec("service", 3))
     sim.submit("job-2", spec("gang", 6))
     sim.submit("job-3", spec("gang", 6))
-    sim.run(0.3 * constants.START_LIMIT_S + 10)  # by now they are elders
+    sim.run(0.3 * constants.START_LIMIT_S + 10)  # by now they are starving
     sim.submit("job-4", spec("gang", 3, estimate_s=8.0))
     sim.submit("job-5", spec("array", 6, estimate_s=8.0))
     sim.run(60)
--- a/tests/test_regression_verdict.py
+++ b/tests/test_regression_verdict.py
@@ -1,4 +1,4 @@
-"""The verdict on regression runs, from journal entries as recorded, torn and unfinished."""
+"""The verdict on regression runs, from complete, truncated and unfinished journal entries."""
 
 import json
 from pathlib import Path
--- a/tests/test_schedule_clients.py
+++ b/tests/test_schedule_clients.py
@@ -1,4 +1,4 @@
-"""Stories of clients: a calendar's client over TLS and the command line, on loopback."""
+"""Clients of schedules: a CalDAV client over TLS and the command line, on loopback."""
 
 import base64
 import json
--- a/tests/test_schedule_expressions.py
+++ b/tests/test_schedule_expressions.py
@@ -1,4 +1,4 @@
-"""Properties: turns against the oracle, and readers that never fall over."""
+"""Cron expressions and recurrences: their firings against an oracle, and robust parsers."""
 
 from datetime import UTC, datetime, timedelta
 from functools import cache
--- a/tests/test_schedule_firings.py
+++ b/tests/test_schedule_firings.py
@@ -1,4 +1,4 @@
-"""Short stories of turns: each is made once, on time, whatever dies."""
+"""Firings of schedules: each happens once and on time, whichever controller fails."""
 
 import random
 from collections import Counter
--- a/tests/test_schedule_replay.py
+++ b/tests/test_schedule_replay.py
@@ -1,4 +1,4 @@
-"""The replayed year, shortened; and that it notices when turns are not guarded."""
+"""A shortened replay of a year of firings, which must detect unconditional writes."""
 
 from datetime import datetime
 
--- a/tests/test_schedule_settings.py
+++ b/tests/test_schedule_settings.py
@@ -1,4 +1,4 @@
-"""Stories of the operator's settings for schedules, and of what is refused with one line."""
+"""Settings for schedules and load spreading, and errors reported in one line."""
 
 import subprocess
 import sys
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -24,7 +24,7 @@
 
 
 def with_state(play):
-    """Let a story play with a state client whose requests are only noted."""
+    """Run `play` with a store client whose requests are only recorded."""
 
     async def run():
         sent, put = [], []
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Short stories of two versions side by side, and of limits that fall."""
+"""Rolling upgrades: two versions side by side, and limits that are lowered."""
 
 import json
 import logging
--- a/tests/timed.py
+++ b/tests/timed.py
@@ -1,4 +1,4 @@
-"""A deployment with schedules: clocks that differ, requests, and what turns became."""
+"""A simulation with schedules: skewed clocks, requests, and the results of firings."""
 
 from datetime import datetime
 from typing import Any
