--- a/tests/test_late_messages.py
+++ b/tests/test_late_messages.py
@@ -93,8 +93,9 @@
 
 
 def test_a_start_command_is_not_resent_after_its_task_was_forgotten(monkeypatch):
-    """A repeated launch after `forget` runs the task anew. Of one controller and term each attempt is
-    sent while its binding stands and nothing of it is unresolved; forgotten once it is gone."""
+    """A repeated `launch` after `forget` would run the task again. A controller sends each attempt
+    of one term only while its binding exists and no earlier command for it is unresolved, and
+    forgets it after the binding has ended."""
     sim = Simulation(1)
     sim.run(12)
     sent: dict[tuple, set[str]] = {}
