--- a/oakmux/core/controller.py
+++ b/oakmux/core/controller.py
@@ -170,7 +170,7 @@
         if replica.format != self.format:
             self.format = replica.format
             event("format", format=self.format)
-            self.scheduler.buffer.switched()
+            self.scheduler.buffer.on_format_change()
         freed, replica.changes.released_jobs = replica.changes.released_jobs, []
         for job_id in freed:  # age and the aims for starting count from now
             replica.jobs[job_id].since = context.wall + int(context.now * 1000)
--- a/oakmux/core/scheduling/binding.py
+++ b/oakmux/core/scheduling/binding.py
@@ -54,7 +54,7 @@
         for job in list(self.context.replica.active.values()):
             if self.buffer.owns(job):
                 self.changed(job.id)
-                if self.buffer.form() >= FORMAT_COMPACT:
+                if self.buffer.record_format() >= FORMAT_COMPACT:
                     self.buffer.shrink(job)
                 self.context.changed_workers.update(b.machine for b in job.bindings())
 
@@ -91,7 +91,7 @@
             self.release(state)
         self.buffer.finished_jobs.pop(job.id, None)
         for number in list(job.blocks):
-            if not self.buffer.block(job, number).bound and number not in self.buffer.work.get(
+            if not self.buffer.block(job, number).bound and number not in self.buffer.changed.get(
                 job.id, ()
             ):
                 in_batch = job.blocks[number].batch is not None
@@ -147,7 +147,7 @@
     ) -> bool:
         """Keep an offer until the best of the collected offers are taken."""
         zones = [binding.zone for binding in self.buffer.bindings(job)]
-        if not zone_allowed(spec, zones, offer.zone) or not self.buffer.unstarted(job):
+        if not zone_allowed(spec, zones, offer.zone) or not self.buffer.unbound_tasks(job):
             return False
         state.offers.append(offer)
         self.collecting[job.id] = None
@@ -167,7 +167,7 @@
         chosen = choose_gang_offers(spec, state.offers)
         size = self.buffer.tasks_per_record
         if chosen is not None and all(
-            self.buffer.holds(job, first // size, chosen[first : first + size])
+            self.buffer.block_fits(job, first // size, chosen[first : first + size])
             for first in range(0, spec.tasks, size)
         ):
             state.offers = [offer for offer in state.offers if offer not in chosen]
--- a/oakmux/core/scheduling/sampling.py
+++ b/oakmux/core/scheduling/sampling.py
@@ -175,7 +175,7 @@
 
     def _tasks_to_start(self, job: Job, spec: JobSpec, bound: bool) -> int:
         """Return how many tasks of a job may start now; `bound` if any is bound."""
-        wanted = self.buffer.unstarted(job)
+        wanted = self.buffer.unbound_tasks(job)
         if spec.kind == "gang" and bound:
             return 0  # a new attempt waits until every task of the old one has ended
         if not spec.joint and self.context.failures.is_suspect(job):
@@ -198,7 +198,7 @@
         most = max(constants.MAX_RESERVATIONS_PER_JOB, spec.tasks if spec.kind == "gang" else 1)
         wanted = 0
         for job_id in self.schedule.queues.first(shape, most):
-            wanted += self.buffer.unstarted(self.context.replica.jobs[job_id])
+            wanted += self.buffer.unbound_tasks(self.context.replica.jobs[job_id])
             if wanted >= most:
                 break
         return min(wanted, most)
--- a/oakmux/core/state/record_writer.py
+++ b/oakmux/core/state/record_writer.py
@@ -38,7 +38,7 @@
             self._send(transaction)
         else:
             for block in transaction.blocks:
-                self.buffer.settled(block.job_id, block.number)
+                self.buffer.release_block(block.job_id, block.number)
 
     def _is_due(self) -> bool:
         """Whether there is anything to write now."""
@@ -69,7 +69,7 @@
         # Not written, or not known to be: tried again on condition of the newest mod revisions. A
         # delayed duplicate then fails, since each successful write changes those that it checks.
         for block in transaction.blocks:
-            if block.number in self.buffer.work.get(block.job_id, ()):
+            if block.number in self.buffer.changed.get(block.job_id, ()):
                 self.buffer.dirty.setdefault(block, 0.0)
         self.write_after = self.context.now + constants.BACKOFF_FIRST_S
         if status == 400:
@@ -92,7 +92,7 @@
             event("job_done", job=job_id)
         for block in transaction.blocks:
             if block not in self.buffer.dirty:
-                self.buffer.settled(block.job_id, block.number)
+                self.buffer.release_block(block.job_id, block.number)
 
     def _read_again(self, keys: Iterable[str]) -> None:
         """Read records whose state in the store is not known."""
--- a/oakmux/core/state/transaction_builder.py
+++ b/oakmux/core/state/transaction_builder.py
@@ -96,7 +96,7 @@
         """Return the name of the batch that holds a job's only block, if one does."""
         if entry.numbers != [ONLY_BLOCK]:
             return None
-        return self.buffer.work[entry.job.id][ONLY_BLOCK].batch
+        return self.buffer.changed[entry.job.id][ONLY_BLOCK].batch
 
     # --- task blocks with records of their own ---
 
@@ -107,8 +107,8 @@
             if transaction.writes:
                 return
             numbers = numbers[: self.context.facts.store.strictest.txn_ops - 1]
-        record_format = self.buffer.form()
-        changed = self.buffer.work[job.id]
+        record_format = self.buffer.record_format()
+        changed = self.buffer.changed[job.id]
         values = {number: encode_block(changed[number], record_format) for number in numbers}
         numbers = [n for n in numbers if not self._postpone_too_large(job.id, n, values[n])]
         numbers = self._within_bytes(transaction, numbers, values)
@@ -136,7 +136,7 @@
         key, old = block_key(job.id, number), job.blocks.get(number)
         part.conditions[key] = old.mod_revision if old is not None else 0
         part.blocks.append(BlockId(job.id, number))
-        if not self._is_over(job, self.buffer.work[job.id][number], finishing):
+        if not self._is_over(job, self.buffer.changed[job.id][number], finishing):
             part.writes.append(Put(key, value))
         elif old is not None:
             part.writes.append(Delete(key))
@@ -177,8 +177,8 @@
     def _postpone_too_large(self, job_id: str, number: int, value: Value) -> bool:
         """Postpone a block whose value exceeds the limit until more of its tasks have ended;
         return whether it does."""
-        limit = self.buffer.limit()
-        bound = len(self.buffer.work[job_id][number].bound)
+        limit = self.buffer.max_value_bytes()
+        bound = len(self.buffer.changed[job_id][number].bound)
         if bound * constants.BINDING_BYTES <= limit or value_bytes(value) <= limit:
             return False
         self._postpone(block_key(job_id, number), value_bytes(value), [BlockId(job_id, number)])
@@ -188,7 +188,7 @@
         """Try the blocks of a record that has outgrown the limit again later."""
         if key not in self.outgrown:
             self.outgrown.add(key)
-            limit = self.buffer.limit()
+            limit = self.buffer.max_value_bytes()
             log.error("event=record_too_large key=%s bytes=%s limit=%s", key, size, limit)
         for block in blocks:
             self.buffer.dirty[block] = self.context.now + constants.RETRY_MAX_S
@@ -202,7 +202,7 @@
             if len(transaction.writes) >= self.max_writes:
                 return
             job = self.context.replica.jobs[job_id]
-            block = self.buffer.work.get(job_id, {}).get(ONLY_BLOCK)
+            block = self.buffer.changed.get(job_id, {}).get(ONLY_BLOCK)
             if (
                 block is None
                 or block.batch is None
@@ -240,7 +240,7 @@
             return
         value = [row.to_value() for row in rows.values()]
         size = value_bytes(value)
-        if size > self.buffer.limit():
+        if size > self.buffer.max_value_bytes():
             self._postpone(batch_key(name), size, part.blocks)
             return
         if transaction.writes and (
@@ -258,13 +258,13 @@
 
     def _update_row(self, part: Transaction, rows: dict[str, BatchRow], job: Job) -> None:
         """Update the row of one job."""
-        block = self.buffer.work[job.id][ONLY_BLOCK]
+        block = self.buffer.changed[job.id][ONLY_BLOCK]
         if block.adds_bindings_to(job.blocks.get(ONLY_BLOCK)):
             part.conditions[job_key(job.id)] = job.mod_revision
         if self._is_over(job, block, finishing=False):
             rows.pop(job.id, None)
         else:
-            value = encode_block(block, self.buffer.form())
+            value = encode_block(block, self.buffer.record_format())
             rows[job.id] = BatchRow(job.id, job.tasks, value)
         part.blocks.append(BlockId(job.id, ONLY_BLOCK))
         part.jobs.add(job.id)
--- a/oakmux/core/state/write_buffer.py
+++ b/oakmux/core/state/write_buffer.py
@@ -1,4 +1,4 @@
-"""Working copies of the records of our teams' jobs, until they are written."""
+"""Changed task blocks of the teams whose roles are held, until they are recorded."""
 
 import math
 from collections.abc import Sequence
@@ -42,130 +42,143 @@
 
 
 class WriteBuffer:
-    """What we changed of the records of our teams' jobs, until the state service has it."""
+    """Changes to the task blocks of jobs that are not recorded yet, and which jobs finished.
+
+    Readers that need the state as it will be recorded ask here instead of the replica.
+    """
 
     def __init__(self, context: Context) -> None:
         self.context = context
-        self.work: dict[str, dict[int, TaskBlock]] = {}
+        # Changed copies of task blocks, by job and number.
+        self.changed: dict[str, dict[int, TaskBlock]] = {}
+        # When to write each of them (local time, s); without those on their way to the store.
         self.dirty: dict[tuple[str, int], float] = {}
+        # Jobs whose tasks are all completed, until that is recorded.
         self.finished_jobs: dict[str, None] = {}
         # Whether a transaction was refused for its size.
         self.refused = False
         limits = context.facts.store.strictest
-        self.least_bytes = value_limit(limits)
+        self.strictest_value_bytes = value_limit(limits)
         share = limits.write_rps / context.settings.size
         self.configured_tasks_per_record = tasks_per_block(context.facts.store.value_kb)
         self.coalesce_s = min(
             max(constants.COALESCE_MIN_S, constants.COALESCE_CHANGES / share),
             constants.COALESCE_MAX_S,
         )
-        self.batches = BatchAllocator(context, self.least_bytes)
+        self.batches = BatchAllocator(context, self.strictest_value_bytes)
 
     @property
     def tasks_per_record(self) -> int:
-        """How many tasks share a record. The mapping never moves with the limits: a task that is
-        bound would look unbound (R ran_twice). Once the format is recorded, it stands there."""
+        """How many tasks share a task block. This never changes with the limits of the store: a
+        bound task would look unbound (R ran_twice). It is recorded with the format."""
         return self.context.replica.tasks_per_record or self.configured_tasks_per_record
 
-    def limit(self) -> int:
-        """Bytes that a value may take when it is written. What earlier versions left larger may
-        be written so until the switch, unless a transaction was refused."""
-        if self.form() >= FORMAT_COMPACT or self.refused:
-            return self.least_bytes
+    def max_value_bytes(self) -> int:
+        """Return the bytes that a written value may take. What earlier versions left larger may be
+        written so until the format changes, unless a transaction was refused."""
+        if self.record_format() >= FORMAT_COMPACT or self.refused:
+            return self.strictest_value_bytes
         return value_limit(self.context.facts.store)
 
-    def form(self) -> int:
+    def record_format(self) -> int:
         """Return the format that records are written in."""
         return self.context.replica.format
 
-    def holds(self, job: Job, number: int, offers: Sequence[OfferedCapacity]) -> bool:
-        """Whether a chunk's record can hold bindings to what is offered as well. The coming limit
-        counts at any time: once the limits fell, bindings that can't be written would never go."""
+    def block_fits(self, job: Job, number: int, offers: Sequence[OfferedCapacity]) -> bool:
+        """Whether a block's record can take bindings to the offers as well.
+
+        The strictest announced limit always applies: once in force, larger blocks could not be
+        written any more.
+        """
         block = self.block(job, number)
         if block.batch is not None:
-            return True  # its page has room for all of the job's bindings
-        if (len(block.bound) + len(offers)) * constants.BINDING_BYTES <= self.least_bytes:
+            return True  # its batch has room for all of the job's bindings
+        if (
+            len(block.bound) + len(offers)
+        ) * constants.BINDING_BYTES <= self.strictest_value_bytes:
             return True
         trial = block.copy()
         trial.last = self.next_attempt(job)
-        first = (number + 1) * self.tasks_per_record  # no task's number there is longer
+        first = (number + 1) * self.tasks_per_record  # no index of a task in it has more digits
         for index, offer in enumerate(offers, first):
             trial.bound[index] = Binding(
                 trial.last, offer.machine, offer.agent_epoch, offer.term, offer.zone
             )
-        return value_bytes(encode_block(trial, self.form())) <= self.least_bytes
+        return value_bytes(encode_block(trial, self.record_format())) <= self.strictest_value_bytes
 
     def next_attempt(self, job: Job) -> int:
         """Return an attempt number that no task of the job has used."""
-        return 1 + max((c.last for c in self.blocks(job)), default=0)
+        return 1 + max((block.last for block in self.blocks(job)), default=0)
 
-    def switched(self) -> None:
-        """A new format holds: write anew what earlier versions left larger than the limits."""
+    def on_format_change(self) -> None:
+        """Write again, in the new format, what earlier versions left larger than the limits."""
         for job in list(self.context.replica.active.values()):
             if self.owns(job):
                 self.shrink(job)
 
     def shrink(self, job: Job) -> None:
-        """See that chunks of format 1 keep within the limits to come."""
+        """Write blocks of format 1 again that exceed the strictest announced limit."""
         for number, block in job.blocks.items():
             if (
                 not block.compact
-                and number not in self.work.get(job.id, ())
-                and len(block.bound) * constants.BINDING_BYTES > self.least_bytes
-                and value_bytes(encode_block(block, FORMAT_FIRST)) > self.least_bytes
+                and number not in self.changed.get(job.id, ())
+                and len(block.bound) * constants.BINDING_BYTES > self.strictest_value_bytes
+                and value_bytes(encode_block(block, FORMAT_FIRST)) > self.strictest_value_bytes
             ):
                 self.edit(job, number)
 
     def owns(self, job: Job) -> bool:
-        """Whether the job's team is ours."""
+        """Whether the role of the job's team is held."""
         return job.team in self.context.held_roles
 
     def block(self, job: Job, number: int) -> TaskBlock:
-        """Return a chunk as it will be written, or an empty one; only to be read."""
-        return self.work.get(job.id, {}).get(number) or job.blocks.get(number) or TaskBlock()
+        """Return a block as it will be recorded, or an empty one; not to be changed."""
+        return self.changed.get(job.id, {}).get(number) or job.blocks.get(number) or TaskBlock()
 
     def edit(self, job: Job, number: int, due: float = 0.0) -> TaskBlock:
-        """Return a working copy to change; it is written once `due`, the earliest first."""
-        mine = self.work.setdefault(job.id, {})
-        block = mine.get(number)
+        """Return a copy of a block to change; it is written once `due` (s), the earliest first."""
+        changed = self.changed.setdefault(job.id, {})
+        block = changed.get(number)
         if block is None:
             old = job.blocks.get(number)
-            block = mine[number] = old.copy() if old is not None else self._new_chunk(job)
+            block = changed[number] = old.copy() if old is not None else self._new_block(job)
         self.dirty[(job.id, number)] = min(due, self.dirty.get((job.id, number), math.inf))
         return block
 
-    def _new_chunk(self, job: Job) -> TaskBlock:
-        """Return an empty chunk, in a page if the job is small."""
+    def _new_block(self, job: Job) -> TaskBlock:
+        """Return an empty block, in a batch if the job is small."""
         block = TaskBlock()
-        if self.form() >= FORMAT_BATCHES and shares_batch(job.tasks, self.tasks_per_record):
+        if self.record_format() >= FORMAT_BATCHES and shares_batch(
+            job.tasks, self.tasks_per_record
+        ):
             block.batch = self.batches.choose(job.team, job.id, job.tasks)
         return block
 
-    def settled(self, job_id: str, number: int) -> None:
-        """Let go of a working copy: the records say the same."""
-        mine = self.work.get(job_id, {})
-        mine.pop(number, None)
-        if not mine:
-            self.work.pop(job_id, None)
+    def release_block(self, job_id: str, number: int) -> None:
+        """Drop the changed copy of a block: it is recorded."""
+        changed = self.changed.get(job_id, {})
+        changed.pop(number, None)
+        if not changed:
+            self.changed.pop(job_id, None)
             self.batches.release(job_id)
 
     def blocks(self, job: Job) -> list[TaskBlock]:
-        """Return all chunks of a job as they will be written."""
-        mine = self.work.get(job.id)
-        if not mine:
+        """Return all blocks of a job as they will be recorded."""
+        changed = self.changed.get(job.id)
+        if not changed:
             return list(job.blocks.values())
-        return list({**job.blocks, **mine}.values())
+        return list({**job.blocks, **changed}.values())
 
     def bindings(self, job: Job) -> list[Binding]:
-        """Return all bindings of a job as they will be written."""
+        """Return all bindings of a job as they will be recorded."""
         return [b for block in self.blocks(job) for b in block.bound.values()]
 
-    def unstarted(self, job: Job) -> int:
+    def unbound_tasks(self, job: Job) -> int:
         """Count the tasks that are neither done nor bound."""
         if job.spec is None or job.final:
             return 0
         left, size = job.spec.tasks, self.tasks_per_record
-        for block in self.blocks(job):  # hundreds, of a huge array: most are over or not begun
+        for block in self.blocks(job):  # hundreds, of a huge array: most have no bindings
             left -= block.done.bit_count()
             if block.bound:
                 left -= sum(1 for i in block.bound if not block.done >> (i % size) & 1)
@@ -193,7 +206,7 @@
             block = self.block(job, number)
             if index in block.bound or block.done >> bit & 1:
                 index += 1
-            elif self.holds(job, number, [offer]):
+            elif self.block_fits(job, number, [offer]):
                 return index
             else:  # wait until other tasks of this block have ended
                 index = (number + 1) * size
@@ -203,7 +216,7 @@
         """Return what a team whose role is held uses: all that is bound and not proven to have
         ended. The count of the records is corrected by the few changed blocks."""
         cpus, gpus = self.context.replica.usage.by_team.get(team, NO_USAGE)
-        for job_id, changed in self.work.items():
+        for job_id, changed in self.changed.items():
             job = self.context.replica.jobs[job_id]
             if job.team == team:
                 more = sum(len(block.bound) for block in changed.values()) - sum(
@@ -214,9 +227,10 @@
         return Usage(cpus, gpus)
 
     def drop_lost(self, held: set[str]) -> None:
-        """Drop working copies but of teams that we hold all the while."""
+        """Drop the changes of all teams but those whose roles were `held` without a break."""
         jobs = self.context.replica.jobs
-        for job_id in [j for j in self.work if jobs[j].team not in held]:
-            for number in self.work.pop(job_id):
+        lost = [job_id for job_id in self.changed if jobs[job_id].team not in held]
+        for job_id in lost:
+            for number in self.changed.pop(job_id):
                 self.dirty.pop((job_id, number), None)
             self.batches.release(job_id)
--- a/tests/fakes/simulation.py
+++ b/tests/fakes/simulation.py
@@ -24,7 +24,7 @@
     """Let a controller behave as the first version does where records are concerned: it neither
     says what it can read nor takes note of the format."""
     core.leadership._negotiate_format = lambda: None  # type: ignore[method-assign]
-    core.scheduler.buffer.least_bytes = value_limit(core.context.facts.store)
+    core.scheduler.buffer.strictest_value_bytes = value_limit(core.context.facts.store)
     replica, apply = core.context.replica, core.context.replica.apply
 
     def old_apply(key: str, value: Any, mod_revision: int) -> None:
--- a/tests/test_binding_batches.py
+++ b/tests/test_binding_batches.py
@@ -97,7 +97,7 @@
     )
     sim.submit("job-100", spec("array", constants.BATCH_JOB_TASKS + 1, gpus=0.0, cpus=0.1))
     sim.run(15)
-    least = sim.cores["h0"].scheduler.buffer.least_bytes
+    least = sim.cores["h0"].scheduler.buffer.strictest_value_bytes
     found = sim.cores["h0"].context.replica.job_records.batches
     assert len(found) > 1
     for page in found.values():
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -108,10 +108,10 @@
     core, other = sim.cores[owner], next(la for la in sim.labels if la != owner)
     core.scheduler.writer.write_after = sim.now + 1000.0
     sim.submit("job-1", spec("array", 1, estimate_s=300.0))
-    while not core.scheduler.buffer.work.get("job-1"):
+    while not core.scheduler.buffer.changed.get("job-1"):
         sim.run(0.2)
     sim.stuck = {owner}
-    [binding] = core.scheduler.buffer.work["job-1"][0].bound.values()
+    [binding] = core.scheduler.buffer.changed["job-1"][0].bound.values()
     theirs = binding._replace(attempt=5, agent_epoch=binding.agent_epoch + 1)
     block = TaskBlock(0, 5, 0, {0: theirs})
     state = sim.state
