--- a/tests/fakes/checks.py
+++ b/tests/fakes/checks.py
@@ -73,9 +73,11 @@
         """Called when a user was told something new about a job."""
 
     def check_cancelled(self) -> None:
-        """Check that no task is on a machine more than `cancel_s` after the cancellation of its job
-        was confirmed (R ran_cancelled); runs twice a second and when a hung machine resumes. A
-        machine that hangs beyond its lease can't resume its tasks."""
+        """Check that tasks leave their machines within `cancel_s` of the confirmed cancellation.
+
+        R ran_cancelled. Runs twice a second and when a hung machine resumes. A machine that hangs
+        beyond its lease can't resume its tasks.
+        """
         if not self.cancelled_at:
             return
         for worker in self.workers.values():
--- a/tests/test_message_validation.py
+++ b/tests/test_message_validation.py
@@ -57,26 +57,34 @@
         parse_job_id({**GOOD, "id": job_id})
 
 
-def test_an_invalid_heartbeat_is_malformed():
-    good = {
-        "box": "n-1",
-        "addr": "10.1.0.1:9000",
-        "flavour": "g8",
-        "site": "a",
-        "loaner": True,
-        "tenure": 1,
-        "tick": 88,
-        "baton": 41,
-        "warning_s": None,
-        "pieces": [{"piece": "job-1/3", "try": 2, "status": "ended", "cause": "done"}],
-    }
-    assert parse_heartbeat(good).tasks == {("job-1/3", 2): ("exited", "done", False)}
-    for field, value in (
+HEARTBEAT = {
+    "box": "n-1",
+    "addr": "10.1.0.1:9000",
+    "flavour": "g8",
+    "site": "a",
+    "loaner": True,
+    "tenure": 1,
+    "tick": 88,
+    "baton": 41,
+    "warning_s": None,
+    "pieces": [{"piece": "job-1/3", "try": 2, "status": "ended", "cause": "done"}],
+}
+
+
+def test_a_valid_heartbeat_is_parsed():
+    assert parse_heartbeat(HEARTBEAT).tasks == {("job-1/3", 2): ("exited", "done", False)}
+
+
+@pytest.mark.parametrize(
+    ("field", "value"),
+    [
         ("tenure", -1),
         ("pieces", [{}]),
         ("box", ""),
         ("tick", "1"),
         ("pieces", [{"piece": "x", "try": 1, "status": "running"}]),
-    ):
-        with pytest.raises(Malformed):
-            parse_heartbeat({**good, field: value})
+    ],
+)
+def test_an_invalid_heartbeat_is_malformed(field, value):
+    with pytest.raises(Malformed):
+        parse_heartbeat({**HEARTBEAT, field: value})
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -38,28 +38,41 @@
 """
 
 
-def test_settings_errors_name_the_field(tmp_path):
+COMING = "\n[facts.state.next]\nwrite_rps = 1e6\nvalue_kb = 2.0\ntxn_ops = 4\n"
+
+
+@pytest.fixture
+def config_file(tmp_path):
+    """A valid settings file."""
     file = tmp_path / "c.toml"
     file.write_text(CONFIG)
-    assert settings.load(str(file)).facts.teams[0].gpus_max == 4.0
-    for old, new, field in (
+    return file
+
+
+def test_valid_settings_are_loaded(config_file):
+    assert settings.load(str(config_file)).facts.teams[0].gpus_max == 4.0
+
+
+@pytest.mark.parametrize(
+    ("old", "new", "field"),
+    [
         ("rps = 100", "rps = -1", "facts.state.rps"),
         ("[facts]", "[facts]\nsize = -1", "facts.size"),
         ("gpus_max = 4", "gpus_max = -4", "facts.teams.*gpus_max"),
         ("127.0.0.1:2", "nowhere", "external.state"),
         ("lease_s = 10", "", "lease_s"),
         ("[facts]", "[facts", "TOML"),
-    ):
-        file.write_text(CONFIG.replace(old, new, 1))
-        with pytest.raises(settings.SettingsError, match=field):
-            settings.load(str(file))
+    ],
+)
+def test_settings_errors_name_the_field(config_file, old, new, field):
+    config_file.write_text(CONFIG.replace(old, new, 1))
+    with pytest.raises(settings.SettingsError, match=field):
+        settings.load(str(config_file))
 
 
-def test_the_smaller_of_present_and_coming_limits_counts(tmp_path):
-    file = tmp_path / "c.toml"
-    coming = "\n[facts.state.next]\nwrite_rps = 1e6\nvalue_kb = 2.0\ntxn_ops = 4\n"
-    file.write_text(CONFIG + coming)
-    present = settings.load(str(file)).facts.store
+def test_the_smaller_of_present_and_coming_limits_counts(config_file):
+    config_file.write_text(CONFIG + COMING)
+    present = settings.load(str(config_file)).facts.store
     least = present.strictest
     assert (least.rps, least.write_rps, least.value_kb, least.txn_ops) == (
         present.rps,
@@ -67,14 +80,20 @@
         2.0,
         4,
     )
-    for old, new, field in (
+
+
+@pytest.mark.parametrize(
+    ("old", "new", "field"),
+    [
         ("value_kb = 2.0", "value_kb = 0", "facts.state.next.value_kb"),
         ("txn_ops = 4", "txn_ops = 1", "txn_ops"),
         ("txn_ops = 4", "txn_ops = 'x'", "txn_ops"),
-    ):
-        file.write_text(CONFIG + coming.replace(old, new))
-        with pytest.raises(settings.SettingsError, match=field):
-            settings.load(str(file))
+    ],
+)
+def test_errors_of_coming_limits_name_the_field(config_file, old, new, field):
+    config_file.write_text(CONFIG + COMING.replace(old, new))
+    with pytest.raises(settings.SettingsError, match=field):
+        settings.load(str(config_file))
 
 
 def test_invalid_settings_exit_with_one_line_and_code_2(tmp_path):
