--- a/tests/helpers/clusters.py
+++ b/tests/helpers/clusters.py
@@ -38,7 +38,8 @@
     for number, team in enumerate(("red", "blue")):
         sim.submit(f"job-{number}", spec("array", 8, team, estimate_s=run_s, zone=zone))
     sim.run(12)
-    assert len(running_machines(sim)) >= 2 and len(sim.live()) >= 12
+    assert len(running_machines(sim)) >= 2
+    assert len(sim.live()) >= 12
     return sim
 
 
--- a/tests/test_backfill.py
+++ b/tests/test_backfill.py
@@ -110,7 +110,9 @@
         found += 1
         exact += plan.lost_s <= bound + 1e-6
         ours, least = ours + plan.lost_s, least + bound
-    assert found > 200 and ours <= 1.2 * least and exact > 0.8 * found
+    assert found > 200
+    assert ours <= 1.2 * least
+    assert exact > 0.8 * found
 
 
 def test_preemption_made_needless_by_a_larger_task_is_spared():
@@ -276,7 +278,8 @@
                 ("peer", lambda *a: None, "h9", [["opening", "job-9", 2, 0.0, [first], 30.0]]),
             )
         sim.run(2)
-    assert not sim.workers[first].dead and all(sim.workers[name].dead for name in others)
+    assert not sim.workers[first].dead
+    assert all(sim.workers[name].dead for name in others)
     sim.run(30)
     assert sim.workers[first].dead  # nobody announces the reservation any more
 
--- a/tests/test_binding_batches.py
+++ b/tests/test_binding_batches.py
@@ -82,8 +82,10 @@
     sim.state.put, sim.state.drop = counted, dropped
     swarm(sim, 60, 4.0)
     assert sim.unfinished(40) == set()
-    assert before and sim.starts == 60
-    assert changes["j"] == 120 and changes["t"] == changes["-t"] == 0
+    assert before
+    assert sim.starts == 60
+    assert changes["j"] == 120
+    assert changes["t"] == changes["-t"] == 0
     assert changes["p"] < 80  # each job's own record took 120: one to bind it, one to let go
     assert all(value == [] for value, _ in pages(sim).values())
 
@@ -130,7 +132,8 @@
     others = {
         buffer.batches.choose("red", f"job-{n}", constants.BATCH_JOB_TASKS) for n in range(2, 6)
     }
-    assert first == "red/0" and len(others) > 1
+    assert first == "red/0"
+    assert len(others) > 1
     buffer.batches.release("job-1")
     assert buffer.batches.choose("red", "job-9", 1) == "red/0"
 
@@ -151,20 +154,19 @@
     kept = replica.jobs["job-2"].blocks[0]
     replica.changes.jobs.clear()
     replica.apply(key, [row("job-1", "m3", 2), row("job-2", "m2")], 12)
-    assert replica.changes.jobs == {"job-1"} and replica.jobs["job-2"].blocks[0] is kept
+    assert replica.changes.jobs == {"job-1"}
+    assert replica.jobs["job-2"].blocks[0] is kept
     replica.apply(key, [row("job-1"), row("job-2", "m9")], 11)  # older: it changes nothing
-    assert (
-        list(replica.bindings.by_machine) == ["m2", "m3"]
-        and replica.job_records.batches["red/0"].mod_revision == 12
-    )
+    assert list(replica.bindings.by_machine) == ["m2", "m3"]
+    assert replica.job_records.batches["red/0"].mod_revision == 12
     replica.apply(key, [row("job-2", "m2")], 13)
-    assert not replica.jobs["job-1"].blocks and list(replica.bindings.by_machine) == ["m2"]
+    assert not replica.jobs["job-1"].blocks
+    assert list(replica.bindings.by_machine) == ["m2"]
     replica.apply(batch_key("red/7"), None, 13)  # read, and not there
     assert "red/7" not in replica.job_records.batches
     replica.apply(key, [row("job-1"), ["torn"]], 14)  # all of it or nothing
-    assert replica.job_records.batches["red/0"].mod_revision == 13 and list(
-        replica.bindings.by_machine
-    ) == ["m2"]
+    assert replica.job_records.batches["red/0"].mod_revision == 13
+    assert list(replica.bindings.by_machine) == ["m2"]
 
 
 def test_a_batch_counts_before_the_record_of_its_job_is_known():
@@ -174,7 +176,8 @@
     replica.apply(job_key("job-1"), encode_job("queued", "red", spec(gpus=2.0), 0, 1), 4)
     assert replica.usage.by_team["red"] == (1.0, 2.0)
     replica.load([(job_key("job-1"), encode_job("queued", "red", spec(gpus=2.0), 0, 1), 4)], 9)
-    assert replica.usage.by_team["red"] == (0.0, 0.0) and not replica.bindings.by_machine
+    assert replica.usage.by_team["red"] == (0.0, 0.0)
+    assert not replica.bindings.by_machine
 
 
 # --- rules: one binder, durable before it is told, cancellation or binding ---
@@ -195,8 +198,10 @@
                     bound.add(binding)
             elif key.startswith("ox/j/") and value[0] == "done":
                 ends += 1
-                assert key in guarded and f"ox/own/{value[1]}" in guarded
-    assert bound and ends
+                assert key in guarded
+                assert f"ox/own/{value[1]}" in guarded
+    assert bound
+    assert ends
 
 
 @pytest.mark.parametrize("count", [3, 7])
@@ -216,7 +221,8 @@
     for _, guards, writes, _ in written:
         guarded = {key for key, _ in guards}
         for key, value, _ in [write for write in writes if write[0].startswith("ox/p/")]:
-            assert key in guarded and f"ox/own/{key.split('/')[2]}" in guarded
+            assert key in guarded
+            assert f"ox/own/{key.split('/')[2]}" in guarded
             assert value_bytes(value) <= constants.BATCH_BYTES
     check_jobs_are_guarded(sim.sent)
     for core in sim.cores.values():  # nobody writes any more, but all that was sent comes again
@@ -369,7 +375,8 @@
     names = swarm(sim, 12, 4.0, estimate_s=60.0)
     for label in sim.labels:
         sim.run(1)
-        assert not pages(sim) and sim.state.rows[FORMAT_KEY][0][0] == FORMAT_COMPACT
+        assert not pages(sim)
+        assert sim.state.rows[FORMAT_KEY][0][0] == FORMAT_COMPACT
         sim.cancel(dice.choice(names))
         roll(sim, label, gap=4.0)
     sim.run(3)
@@ -392,7 +399,8 @@
         sim.formats[label] = FORMAT_COMPACT
         sim.crash(label, 1.0)
         sim.run(4)
-    assert not pages(sim) and sim.state.rows[FORMAT_KEY][0] == [FORMAT_COMPACT, 64]
+    assert not pages(sim)
+    assert sim.state.rows[FORMAT_KEY][0] == [FORMAT_COMPACT, 64]
     check_recovered(sim)
     assert all(sim.told[name] == "done" for name in names)
 
@@ -433,4 +441,5 @@
         cell.submit(cpu_job("team-0", 1, 60.0))
     cell.run(5.0)
     assert cell.starts == 1700
-    assert max(sizes) <= limit * 1024 and (limit < 100 or max(sizes) > 8 * 1024)
+    assert max(sizes) <= limit * 1024
+    assert limit < 100 or max(sizes) > 8 * 1024
--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -47,7 +47,8 @@
     sim.drop_inbound(running_machines(sim), 100.0)
     sim.cancel("job-1")
     sim.run(CANCEL_S + 2)  # the fakes check it as well
-    assert sim.told["job-1"] == "cancelled" and not sim.live()
+    assert sim.told["job-1"] == "cancelled"
+    assert not sim.live()
 
 
 @pytest.mark.parametrize("count", [3, 7])
@@ -119,7 +120,8 @@
     sim.submit("job-1", spec("array", 3, estimate_s=300.0))
     sim.run(3)
     names = running(sim, "job-1")
-    assert len(names) == 3 and job_of(sim, ours, "job-1") is None
+    assert len(names) == 3
+    assert job_of(sim, ours, "job-1") is None
     sim.cuts |= {frozenset((label, name)) for label in sim.labels[1:] for name in names}
     cancel_at(sim, sim.labels[-1], "job-1")
     sim.state.outage(2 * CANCEL_S)
@@ -205,7 +207,8 @@
     sim.armed = True
     sim.submit("job-1", spec("array", 2, estimate_s=1.0, gpus=1.0))
     sim.run(0.6)
-    assert sim.held and not running(sim, "job-1")
+    assert sim.held
+    assert not running(sim, "job-1")
     sim.cuts |= {frozenset(("h1", name)) for name in running_machines(sim)}
     cancel_at(sim, "h2", "job-1")
     sim.state.outage(3 * CANCEL_S)
@@ -281,7 +284,8 @@
     sim.armed = True
     sim.submit("job-1", spec("array", 2, estimate_s=1.0, gpus=1.0))
     sim.run(1.2)
-    assert sim.held and not running(sim, "job-1")
+    assert sim.held
+    assert not running(sim, "job-1")
     replica = sim.cores["h2"].context.replica
     assert "job-1" not in replica.jobs or not replica.jobs["job-1"].bindings()
     sim.cuts |= {frozenset(("h1", name)) for name in running_machines(sim)}
@@ -356,7 +360,8 @@
         sim.run(seconds + 1)
         sim.cloud_down = False
         sim.run(CANCEL_S)
-        assert not running(sim, "job-2") and not running(sim, "job-1")
+        assert not running(sim, "job-2")
+        assert not running(sim, "job-1")
         check_recovered(sim, 350)
 
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -19,7 +19,9 @@
 def test_a_linear_fit_reports_its_quality():
     found = fit(series((1, 3), (2, 5), (3, 7), (4, 9)))
     assert (found.slope, found.intercept, found.residual) == (2, 1, 0)
-    assert found.at(10) == 21 and found.beyond(10) and not found.beyond(4)
+    assert found.at(10) == 21
+    assert found.beyond(10)
+    assert not found.beyond(4)
     assert fit(series((1, 3), (2, 5), (3, 7), (4, 5))).residual == pytest.approx(1.6 / 7)
     with pytest.raises(ValueError, match="at least 4"):
         fit(series((1, 1), (2, 2), (3, 3)))
@@ -38,7 +40,8 @@
     points = [Point(point.x, 2 * point.y) for point in changed.points]
     write_series(tmp_path, msgspec.structs.replace(changed, points=points))
     result = run.invoke(capacity.main, ["page", "--check", "--folder", str(tmp_path)])
-    assert result.exit_code == 1 and "disagree" in result.output
+    assert result.exit_code == 1
+    assert "disagree" in result.output
 
 
 def test_a_capacity_limit_is_where_growth_reaches_the_budget():
@@ -57,4 +60,5 @@
         cell.submit(cpu_job("team-0", 3, 2.0))
     cell.run(8.0)
     jobs = cell.core.context.replica.jobs.values()
-    assert cell.starts == 18 and {job.state for job in jobs} == {"done"}
+    assert cell.starts == 18
+    assert {job.state for job in jobs} == {"done"}
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -38,7 +38,8 @@
     run = CliRunner().invoke
     base = ["--ini", str(ini)]
     result = run(main, [*base, "submit", "--file", str(job), "--gpus", "1"])
-    assert result.exit_code == 0 and "job-1: done" in result.output
+    assert result.exit_code == 0
+    assert "job-1: done" in result.output
     assert [a[0] for a in asked] == ["127.0.0.1:1", "127.0.0.1:2"]  # the second one answered
     run(main, [*base, "submit", "--file", str(job), "--waits-on", "job-5", "--waits-on", "job-6"])
     assert bodies[-1]["waits_on"] == ["job-5", "job-6"]
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -82,7 +82,9 @@
     sim.run(12)
     for core in sim.cores.values():
         job = core.context.replica.jobs["job-2"]
-        assert not job.ready and not job.blocks and "job-2" not in core.scheduler.open
+        assert not job.ready
+        assert not job.blocks
+        assert "job-2" not in core.scheduler.open
         assert not any("job-2" in kept.queue for kept in core.agents.workers.tracked.values())
         assert core.context.replica.usage.by_team.get("red", (0, 0))[1] == 0
 
@@ -236,7 +238,8 @@
     sim.run(2)
     sim.submit("job-700", sim.specs["job-700"])  # whatever became of those it names
     sim.run(1)
-    assert not sim.refusals and ask_all(sim, 700) == ["cancelled"]
+    assert not sim.refusals
+    assert ask_all(sim, 700) == ["cancelled"]
     many = tuple(f"job-{number:018d}" for number in range(200))
     chain(sim, (701, dict(waits_on=many)))
     sim.run(1)
@@ -271,7 +274,8 @@
     sim.run(10)
     busy = {name for _, task, _, name in sim.start_log if task.startswith("job-1/")}
     used = {name for _, task, _, name in sim.start_log if task.startswith("job-2/")}
-    assert used <= busy and len(sim.workers) == rented
+    assert used <= busy
+    assert len(sim.workers) == rented
 
 
 def test_tasks_without_gpus_avoid_spot_machines_while_others_have_capacity():
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -152,7 +152,8 @@
     sim.run(0.3 + 2 * REPORT_S + 1.5)  # they try another after a second
     core = sim.cores["h0"]
     known = [m for n, m in core.context.machines.items() if n in running_machines(sim)]
-    assert known and all(reachability.is_reachable(machine) for machine in known)
+    assert known
+    assert all(reachability.is_reachable(machine) for machine in known)
 
 
 @pytest.mark.parametrize("count", [3, 7])
--- a/tests/test_gang_scheduling.py
+++ b/tests/test_gang_scheduling.py
@@ -18,7 +18,8 @@
     )
     sim.run(15)
     placed = [w for w, task, _ in sim.live() if task.startswith("job-2/")]
-    assert len(placed) == 2 and {w.zone for w in placed} == {"a"}
+    assert len(placed) == 2
+    assert {w.zone for w in placed} == {"a"}
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4, 5])
@@ -48,7 +49,8 @@
     sim.run(45)
     names = {name for _, task, _, name in sim.start_log if task.startswith("job-2/")}
     attempts = [attempt for _, task, attempt, _ in sim.start_log if task.startswith("job-2/")]
-    assert len(names) == 2 and attempts == [1, 1]
+    assert len(names) == 2
+    assert attempts == [1, 1]
     assert wait_for_state(sim, "job-2", 3) == "done"
 
 
@@ -64,7 +66,8 @@
     before = sim.start_log[:]
     sim.submit("job-3", spec("gang", 2, "blue", one_zone=True, priority=2, gpus=3.0))
     sim.run(20)
-    assert sim.start_log == before and len(sim.live()) == 13
+    assert sim.start_log == before
+    assert len(sim.live()) == 13
 
 
 def test_simultaneous_urgent_gangs_all_get_capacity_in_a_full_fleet():
--- a/tests/test_job_api.py
+++ b/tests/test_job_api.py
@@ -216,7 +216,9 @@
         for n in range(1, 241)
         if (at := sim.begun_at(f"job-{n}")) is not None
     ]
-    assert len(waits) >= 180 and sorted(waits)[len(waits) // 2] < 6.0 and max(waits) < 30.0
+    assert len(waits) >= 180
+    assert sorted(waits)[len(waits) // 2] < 6.0
+    assert max(waits) < 30.0
     sim.late_writes = 0.0
     check_recovered(sim, 60)
 
--- a/tests/test_late_messages.py
+++ b/tests/test_late_messages.py
@@ -39,7 +39,8 @@
     name = running_machines(sim)[0]
     old = copy_of(sim, name)
     sim.run(80 + constants.TERMINATION_KEEP_S)
-    assert sim.workers[name].dead and not any(key.startswith("ox/gone") for key in sim.state.rows)
+    assert sim.workers[name].dead
+    assert not any(key.startswith("ox/gone") for key in sim.state.rows)
     for label in sim.labels:
         assert deliver(sim, label, old) == [503]
     sim.run(3)
@@ -119,7 +120,8 @@
         sim.run(3)
     sim.slow = sim.twice = 0.0
     check_recovered(sim, 60)
-    assert sum("forget" in verbs for verbs in sent.values()) >= 20 and not twice
+    assert sum("forget" in verbs for verbs in sent.values()) >= 20
+    assert not twice
 
 
 @pytest.mark.parametrize("count", [3, 7])
@@ -218,7 +220,8 @@
     sim.run(20 + constants.TERMINATION_KEEP_S)
     assert len(sim.start_log) == before  # no role, machine or task was lost by it
     gone = [key for key in sim.state.rows if key.startswith("ox/gone/")]
-    assert not gone and sorted(sim.cores["h0"].context.replica.live_controllers) == sim.labels
+    assert not gone
+    assert sorted(sim.cores["h0"].context.replica.live_controllers) == sim.labels
     check_recovered(sim, 80)
 
 
@@ -340,5 +343,6 @@
                 deliver(sim, label, heartbeat)
     sim.run(8)
     left = sorted((task, worker.name) for worker, task, _ in sim.live())
-    assert left == where and len(sim.start_log) == starts
+    assert left == where
+    assert len(sim.start_log) == starts
     check_recovered(sim, 350)
--- a/tests/test_log_tools.py
+++ b/tests/test_log_tools.py
@@ -80,7 +80,8 @@
     # Four GPUs: the array takes two at 2 s, for 5 and 4 s; the gang needs all four.
     assert paper.replay(day.work(False), capacity) == {"x": [0.0, 0.0], "y": [2.0, 2.0]}
     with_fetches = paper.replay(day.work(True), capacity)
-    assert with_fetches["y"] == [6.0, 6.0] and sorted(with_fetches["x"]) == [0.0, 2.0]
+    assert with_fetches["y"] == [6.0, 6.0]
+    assert sorted(with_fetches["x"]) == [0.0, 2.0]
 
 
 @pytest.mark.parametrize("tool, more", [(spread.main, []), (paper.main, ["--gpus", "2"])])
@@ -90,4 +91,5 @@
     bad.write_text("nothing\n")
     assert "y" in CliRunner().invoke(tool, [str(good), *more]).output
     refused = CliRunner().invoke(tool, [str(bad), *more])
-    assert refused.exit_code == 2 and "no event" in refused.output
+    assert refused.exit_code == 2
+    assert "no event" in refused.output
--- a/tests/test_machine_index.py
+++ b/tests/test_machine_index.py
@@ -162,7 +162,8 @@
     context, job = fleet.context, JOBS[job_id]
     drawn = fleet.index.draw(job, zones, {"m5"}, wanted)
     names = [row.machine.name for row in drawn]
-    assert len(set(names)) == len(names) and "m5" not in names
+    assert len(set(names)) == len(names)
+    assert "m5" not in names
     fitting = {
         m.name
         for m in context.machines.values()
@@ -202,7 +203,8 @@
     fleet = after([("heartbeat", "m1", set(), False)])
     fleet.wait(100.0)
     assert fleet.index.draw(JOBS["job-0"], ZONES, (), 1) == []
-    assert not fleet.index.classes and "m1" in fleet.context.unresponsive
+    assert not fleet.index.classes
+    assert "m1" in fleet.context.unresponsive
     fleet.heartbeat("m1", set(), False)
     fleet.index.refresh()
     assert [row.machine.name for row in fleet.index.draw(JOBS["job-0"], ZONES, (), 1)] == ["m1"]
@@ -223,7 +225,8 @@
         )
         fleet.index.draw(JOBS["job-0"], ZONES, (), 4)
         probes.append(len(seen))
-    assert probes[0] == pytest.approx(probes[1], abs=2) and probes[1] < 40
+    assert probes[0] == pytest.approx(probes[1], abs=2)
+    assert probes[1] < 40
 
 
 @pytest.mark.parametrize("scarce", ["cpus", "memory_gb"])
@@ -244,4 +247,5 @@
     wanted = spec("array", 1, "blue", gpus=0.0, spot=True, **little)
     for _ in range(20):
         drawn = fleet.index.draw(wanted, ZONES, (), 2)
-        assert drawn and {row.machine.name for row in drawn} <= set(names[90:])
+        assert drawn
+        assert {row.machine.name for row in drawn} <= set(names[90:])
--- a/tests/test_partitions.py
+++ b/tests/test_partitions.py
@@ -78,7 +78,8 @@
     sim.specs["job-3"] = spec()  # what is written late is accepted, though nobody was told
     sim.command(alone, ("submit", lambda status, _: taken.append(status), "job-3", spec(), ""))
     sim.run(CANCEL_S + 3)  # the fakes check that no task of job-1 is left
-    assert health == [503] and taken == [503]
+    assert health == [503]
+    assert taken == [503]
     assert not {name for *_, name in sim.start_log[starts:]} & set(there)
     sim.one_way.clear()
     sim.run(2 * CANCEL_S)
--- a/tests/test_pending_queues.py
+++ b/tests/test_pending_queues.py
@@ -164,7 +164,8 @@
         waits += [
             when - at for when, task, _, _ in sim.start_log if task.startswith(f"job-{number}/")
         ]
-    assert len(waits) >= 18 and sorted(waits)[len(waits) // 2] < 3.0
+    assert len(waits) >= 18
+    assert sorted(waits)[len(waits) // 2] < 3.0
     assert sim.unfinished(250) == set()
 
 
@@ -254,7 +255,8 @@
     while (head := queues.head(shape)) is not None:
         order.append(head.job_id)
         queues.drop(head.job_id)
-    assert order[-1] == "job-0" and order.index("job-1") < order.index("job-2")
+    assert order[-1] == "job-0"
+    assert order.index("job-1") < order.index("job-2")
 
 
 def test_the_only_job_of_a_queue_may_miss_its_objective():
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -50,7 +50,8 @@
     names = sorted({worker.name for worker, _, _ in sim.live()})
     sim.submit("job-8", spec("array", 16, "green", gpus=2.0, estimate_s=5.0))
     sim.run(25)
-    assert len(running_machines(sim)) >= len(names) + 4 and len(sim.live()) == 16
+    assert len(running_machines(sim)) >= len(names) + 4
+    assert len(sim.live()) == 16
     return names
 
 
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -140,7 +140,8 @@
     seen = sim.cores[owner].context.machines[name]
     assert seen.manager == other or not reachability.is_reachable(seen)
     sim.run(constants.VIEW_RESEND_S + 2)
-    assert seen.manager == manager and reachability.is_reachable(seen)
+    assert seen.manager == manager
+    assert reachability.is_reachable(seen)
     sim.submit("job-2", spec("array", 2, estimate_s=2.0))
     sim.run(3)
     assert [task for _, task, _, _ in sim.start_log if task.startswith("job-2/")]
--- a/tests/test_regression_verdict.py
+++ b/tests/test_regression_verdict.py
@@ -42,7 +42,8 @@
 
 def test_broken_rules_take_precedence():
     found = regress.judge(recorded(BROKEN), base(1.0))
-    assert found[0].rank == 0 and "rule invented broken 12 times" in found[0].text
+    assert found[0].rank == 0
+    assert "rule invented broken 12 times" in found[0].text
     assert [row.rank for row in found] == sorted(row.rank for row in found)
 
 
@@ -85,7 +86,8 @@
     assert CliRunner().invoke(regress.main, [*args, "check"]).exit_code == 0
     (journal / "20261201T000003-c.json").write_text(json.dumps({**entry, "score": 0.2}))
     result = CliRunner().invoke(regress.main, [*args, "check"])
-    assert result.exit_code == 1 and "fell" in result.output
+    assert result.exit_code == 1
+    assert "fell" in result.output
     baseline.write_text("[[site]]\nname = 3\n")
     assert CliRunner().invoke(regress.main, [*args, "check"]).exit_code == 2
     assert (
@@ -111,6 +113,8 @@
         result = CliRunner().invoke(regress.main, ["--kit", str(tmp_path), *command, "--why", "x"])
         assert result.exit_code == 1  # nothing was entered into the journal
         score, *hunts = (tmp_path / "calls").read_text().splitlines()
-        assert score.startswith("score ") and score.count("-ops.toml") == 2
-        assert len(hunts) == hunted and all(row.startswith("hunt ") for row in hunts)
+        assert score.startswith("score ")
+        assert score.count("-ops.toml") == 2
+        assert len(hunts) == hunted
+        assert all(row.startswith("hunt ") for row in hunts)
         assert sum("-hunt.toml --days 2" in row for row in hunts) == (2 if hunted else 0)
--- a/tests/test_scale_bench.py
+++ b/tests/test_scale_bench.py
@@ -98,7 +98,8 @@
     ledger = Ledger(config)
     ledger.take(SOUND)
     ledger.close(60.0)
-    assert not ledger.breaches and ledger.counts["starts"] == 6
+    assert not ledger.breaches
+    assert ledger.counts["starts"] == 6
     ledger.take([on(61, PINNED, 0, "m1", 0)])
     assert {breach.rule for breach in ledger.breaches} == {"wrong_place", "ran_cancelled"}
 
@@ -125,16 +126,19 @@
     worker = HollowWorker(config, "m1", "", zone_name(0), 0.0, lambda *_: None)
     launch = {"verb": "launch", "piece": f"{ARRAY.id}/0", "try": 1}
     worker.answered(0.0, 1, {"baton": 5, "orders": [launch]}, 0.1)
-    assert worker.fencing_token == 5 and len(worker.tasks) == 1
+    assert worker.fencing_token == 5
+    assert len(worker.tasks) == 1
     assert worker.direct({"baton": 4, "tenure": 1, "orders": []}, 0.2) == 409
     assert worker.direct({"tenure": 1, "orders": []}, 0.2) == 400
     again = {**launch, "try": 2}
     worker.answered(0.2, 1, {"baton": 4, "orders": [again]}, 0.3)  # dropped: a lower token
-    assert worker.lease_from == 0.0 and len(worker.tasks) == 1
+    assert worker.lease_from == 0.0
+    assert len(worker.tasks) == 1
     worker.answered(0.4, 1, {"baton": 5, "orders": [again]}, 0.5)
     assert worker.tasks[TaskKey(again["piece"], 2)].cause == "in_use"
     worker.advance(0.4 + config.times.lease_s + 0.1)
-    assert worker.agent_epoch == 2 and not worker.tasks
+    assert worker.agent_epoch == 2
+    assert not worker.tasks
     worker.answered(9.0, 1, {"baton": 5, "orders": [launch]}, 9.1)  # of an earlier session
     assert not worker.tasks
 
@@ -157,7 +161,8 @@
     assert store.transact(0.0, [{"path": "a/1", "stamp": 0}], [put]) == 1
     with pytest.raises(Refused) as refused:
         store.transact(0.0, [{"path": "a/1", "stamp": 0}], [put])
-    assert refused.value.status == 409 and refused.value.body["failed"] == ["a/1"]
+    assert refused.value.status == 409
+    assert refused.value.body["failed"] == ["a/1"]
     with pytest.raises(Refused) as refused:
         store.transact(0.0, [], [{"write": "a/2", "v": "x" * 2000}])
     assert refused.value.status == 400
@@ -165,12 +170,15 @@
         store.transact(0.0, [], [{"write": "a/2", "v": 1, "permit": 99}])
     assert refused.value.status == 400
     store.renew(0.9, lease)
-    assert not store.expire(1.5) and store.expire(2.0) and not store.rows
+    assert not store.expire(1.5)
+    assert store.expire(2.0)
+    assert not store.rows
     with pytest.raises(Refused) as refused:
         store.renew(2.0, lease)
     assert refused.value.status == 404
     events = store.events_since("a/", 0)
-    assert events is not None and len(events) == 2
+    assert events is not None
+    assert len(events) == 2
     assert decode(watch_body(store.revision, events))["events"][1] == {
         "delete": "a/1",
         "stamp": 2,
@@ -205,7 +213,8 @@
     with pytest.raises(ConfigError, match=why):
         load_config(path)
     result = CliRunner().invoke(scale.main, [str(path)])
-    assert result.exit_code == 2 and len(result.output.strip().splitlines()) == 1
+    assert result.exit_code == 2
+    assert len(result.output.strip().splitlines()) == 1
 
 
 def test_a_small_run_with_real_controllers_and_faults_breaks_no_rule(tmp_path):
@@ -213,10 +222,15 @@
     result = CliRunner().invoke(scale.main, [str(DATA), "--out", str(out)])
     assert result.exit_code == 0, result.output
     report = json.loads(out.read_bytes())
-    assert report["complete"] and report["starts"] > 10 and report["accepted"] > 5
-    assert set(report["rules"]) == set(RULES) and not any(report["rules"].values())
-    assert report["changes"] > 0 and report["times"]["submission"]["count"] > 5
-    assert 0 < report["most_processes"] <= 9 and report["most_memory_mb"] < 2000
+    assert report["complete"]
+    assert report["starts"] > 10
+    assert report["accepted"] > 5
+    assert set(report["rules"]) == set(RULES)
+    assert not any(report["rules"].values())
+    assert report["changes"] > 0
+    assert report["times"]["submission"]["count"] > 5
+    assert 0 < report["most_processes"] <= 9
+    assert report["most_memory_mb"] < 2000
     assert "workers" in result.output  # a line a second
 
 
--- a/tests/test_schedule_clients.py
+++ b/tests/test_schedule_clients.py
@@ -110,7 +110,8 @@
     with pytest.raises(dav_error.NotFoundError):
         made.load()
     status, body = raw(service, "PUT", "/dav/red/nightly/other.ics", event("two").encode())
-    assert status == 403 and "has this UID" in body.decode()
+    assert status == 403
+    assert "has this UID" in body.decode()
     entry = json.loads(run(service, "--json", "schedule", "list", "red/nightly/"))
     assert [row["rule"] for row in entry] == ["FREQ=DAILY"]
     run(service, "schedule", "calendar", "remove", "red/nightly", code=1)
@@ -156,7 +157,8 @@
 def test_an_invalid_object_is_rejected_as_a_whole(service, text, status, word):
     raw(service, "MKCALENDAR", "/dav/red/bad/")
     got, body = raw(service, "PUT", "/dav/red/bad/a.ics", text.encode())
-    assert got == status and word in body.decode()
+    assert got == status
+    assert word in body.decode()
     assert raw(service, "GET", "/dav/red/bad/a.ics")[0] == 404
     assert json.loads(run(service, "--json", "schedule", "list", "red/bad/")) == []
 
@@ -203,7 +205,8 @@
     table = tmp_path / "old.tab"
     table.write_text(TABLE + "61 * * * * /bin/x\n* * * * *\n")
     text = run(service, "schedule", "import", str(table), "--team", "red", code=2)
-    assert "line 7, column 1: minute: 0 to 59" in text and "nothing stored: 2 bad of 4" in text
+    assert "line 7, column 1: minute: 0 to 59" in text
+    assert "nothing stored: 2 bad of 4" in text
     assert run(service, "schedule", "list", "red/old.") == "no entries\n"
     run(service, "schedule", "check", str(table), "--team", "red", code=2)
     table.write_text(TABLE)
--- a/tests/test_schedule_expressions.py
+++ b/tests/test_schedule_expressions.py
@@ -166,7 +166,9 @@
     assert bool(lines) != bool(problems)
     for line in lines:
         again, none = crontab.parse(f"{line.rule.text} {line.command}")
-        assert not none and again[0].rule == line.rule and again[0].command == line.command
+        assert not none
+        assert again[0].rule == line.rule
+        assert again[0].command == line.command
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
--- a/tests/test_schedule_firings.py
+++ b/tests/test_schedule_firings.py
@@ -62,7 +62,8 @@
         sim.skip(1740)
         sim.run(60)
     assert sim.past("red/night") == [(f"{before}T{firing}", "made")]
-    assert len(sim.past("red/often")) == 3 and len(sim.made) == 4
+    assert len(sim.past("red/often")) == 3
+    assert len(sim.made) == 4
 
 
 def test_a_burst_of_firings_continues_under_another_role_holder():
@@ -115,8 +116,10 @@
     sim.until("2026-12-02T00:02:50+00:00")
     made = Counter(names(sim))
     # Back at 00:02:13 or so: 23:59 is too late by then for a window of 150 s.
-    assert made["red/n000"] == 3 and made["red/daily"] == 1
-    assert made["red/last"] == 1 and made["red/none"] == 1
+    assert made["red/n000"] == 3
+    assert made["red/daily"] == 1
+    assert made["red/last"] == 1
+    assert made["red/none"] == 1
     assert ("2026-12-01T23:59", "missed: too late to catch up") in sim.past("red/n000")
     assert [row for row in sim.past("red/last") if row[1] == "made"] == [
         ("2026-12-02T00:02", "made")
@@ -225,7 +228,8 @@
         sim.run(25)
         sim.crash(sim.holder())
         sim.run(35)
-    assert len(sim.made) == 18 and len({job for _, job in sim.made}) == 18
+    assert len(sim.made) == 18
+    assert len({job for _, job in sim.made}) == 18
     assert max(sim.late()) < 8.0
     assert min(Counter(names(sim)).values()) == 6
 
@@ -275,7 +279,8 @@
     sim.run(40)
     assert sim.holder() == "h2"
     counts = Counter(names(sim))
-    assert counts["red/n000"] == counts["red/n001"] == 2 and len(sim.made) == 4
+    assert counts["red/n000"] == counts["red/n001"] == 2
+    assert len(sim.made) == 4
 
 
 def test_a_template_whose_team_was_removed():
@@ -286,7 +291,8 @@
     for label in sim.labels:
         sim.crash(label)
     sim.run(90)
-    assert [row[1] for row in sim.past("blue/n")][-1] == "refused" and not sim.made
+    assert [row[1] for row in sim.past("blue/n")][-1] == "refused"
+    assert not sim.made
     sim.gone_teams.clear()
     for label in sim.labels:
         sim.crash(label)
@@ -305,7 +311,8 @@
     sim.state.put(job_key(taken), encode_job("queued", "red", old, 0, 1), None)
     sim.run(50)
     ((_, job),) = sim.made
-    assert job != taken and sim.past("red/n") == [("2026-12-01T03:00", "made")]
+    assert job != taken
+    assert sim.past("red/n") == [("2026-12-01T03:00", "made")]
 
 
 def test_users_cannot_take_the_id_of_a_firing():
@@ -360,7 +367,8 @@
     sim.ask_for("pause", name="red/n")
     told = [sim.ask_for("run-now", label, name="red/n", word="w1") for label in sim.labels]
     assert [status for status, _ in told] == [201, 200, 200]
-    assert len({tuple(body["jobs"]) for _, body in told}) == 1 and len(sim.made) == 1
+    assert len({tuple(body["jobs"]) for _, body in told}) == 1
+    assert len(sim.made) == 1
     assert sim.ask_for("run-now", name="red/n", word="w2")[0] == 201
     assert sim.past("red/n")[-1][1] == "by hand"
 
@@ -388,7 +396,8 @@
 def test_a_template_that_could_never_run_is_refused_when_it_is_stored(what, status, word):
     sim = settled("2026-12-01T03:00:30+00:00")
     got, body = sim.ask_for("template", **what)
-    assert got == status and word in body
+    assert got == status
+    assert word in body
 
 
 @pytest.mark.parametrize(
@@ -408,7 +417,8 @@
     sim = settled("2026-12-01T03:00:30+00:00")
     template = "red/none" if more.pop("t", None) else "red/t"
     status, body = sim.cron("red/n", text, zone, template, **more)
-    assert status == 422 and word in body
+    assert status == 422
+    assert word in body
     assert sim.ask_for("list", prefix="red/")[1]["entries"] == []
 
 
@@ -445,4 +455,5 @@
         for at in range(first, last + 1, 60)
     }
     made = [job for _, job in sim.made]
-    assert len(made) == len(set(made)) and set(made) == expected
+    assert len(made) == len(set(made))
+    assert set(made) == expected
--- a/tests/test_schedule_replay.py
+++ b/tests/test_schedule_replay.py
@@ -14,7 +14,9 @@
 def test_every_firing_of_a_short_year_happens_once():
     result = replay(40, 8, 3, START)
     assert result.good, result
-    assert result.firings > 500 and result.made > 400 and sum(result.troubles.values()) > 30
+    assert result.firings > 500
+    assert result.made > 400
+    assert sum(result.troubles.values()) > 30
     assert result.late_ms["p99"] < 1000
 
 
--- a/tests/test_schedule_settings.py
+++ b/tests/test_schedule_settings.py
@@ -81,7 +81,8 @@
     path.write_text(text)
     with pytest.raises(settings.SettingsError) as error:
         settings.load_scheduling_options(str(path))
-    assert word in str(error.value) and "\n" not in str(error.value)
+    assert word in str(error.value)
+    assert "\n" not in str(error.value)
 
 
 def test_the_deploy_example_for_load_spreading_is_valid_and_names_what_it_enables():
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -106,7 +106,8 @@
         check=False,
     )
     assert done.returncode == 2
-    assert done.stderr.count("\n") == 1 and "facts.zones" in done.stderr
+    assert done.stderr.count("\n") == 1
+    assert "facts.zones" in done.stderr
 
 
 def test_constants_are_used():
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -71,7 +71,8 @@
         state.submit("txn", 1, [], [("k", 1, None)], 1)
         state.submit("txn", 2, [], [("user", 1, None)], 0)
         await turns()
-        assert sent == [PATH_TRANSACTIONS] and state.changes.level < -state.changes.rate
+        assert sent == [PATH_TRANSACTIONS]
+        assert state.changes.level < -state.changes.rate
         state.changes.level = -3 * state.changes.rate
         state.submit("txn", 3, [], [("user", 1, None)], 0)
         await turns()
@@ -88,7 +89,8 @@
         for number in range(int(limit)):
             state.submit("txn", number, [], [("user", 1, None)], 0)
         await turns(int(limit))
-        assert len(sent) > 0.2 * limit and 3 * len(sent) <= limit
+        assert len(sent) > 0.2 * limit
+        assert 3 * len(sent) <= limit
         # The others come in time or hear at once that they can't be served.
         for number in range(int(4 * limit)):
             state.submit("txn", number, [], [("user", 1, None)], 0)
@@ -122,13 +124,15 @@
         state.changes.wait(asyncio.get_running_loop().time(), 0)
         before = state.changes.level
         given = state.lend(5.0)
-        assert given == 5.0 and state.changes.level == pytest.approx(before - 5.0)
+        assert given == 5.0
+        assert state.changes.level == pytest.approx(before - 5.0)
         assert state.lend(1e9) < before  # never more than there is
         state.changes.level = -1e6
         state.submit("txn", 1, [], [("k", 1, None)], 1)
         await turns()
         assert state.lend(1.0) == 0.0  # it waits itself
-        assert put[0][0] == "short" and not sent
+        assert put[0][0] == "short"
+        assert not sent
         state.credit(2e6)
         await turns()
         assert sent == [PATH_TRANSACTIONS]
--- a/tests/test_store_outages.py
+++ b/tests/test_store_outages.py
@@ -17,7 +17,8 @@
     sim.run(6)
     assert answers == [503, 503]
     sim.run(20)
-    assert sim.start_log == before and len(sim.live()) == 3  # no lease ran out
+    assert sim.start_log == before
+    assert len(sim.live()) == 3
 
 
 def test_a_restart_during_a_cloud_outage_uses_the_recorded_machine_types():
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -62,7 +62,9 @@
 
 def test_records_of_the_first_version_are_read_and_written_alike():
     replica = first_replica()
-    assert replica.format == 1 and replica.tasks_per_record is None and not replica.unreadable
+    assert replica.format == 1
+    assert replica.tasks_per_record is None
+    assert not replica.unreadable
     states = {job_id: job.state for job_id, job in replica.jobs.items()}
     assert states == {
         "job-1": "queued",
@@ -102,7 +104,8 @@
         assert old.cancelled == [
             j.id for j in core.context.replica.jobs.values() if j.state == "cancelled"
         ]
-    assert "message_failed" not in caplog.text and "m1" in core.context.machines
+    assert "message_failed" not in caplog.text
+    assert "m1" in core.context.machines
     sim, forms = Simulation(1), {}
     send = sim.send
 
@@ -237,7 +240,8 @@
     sim.run(45)
     sim.query("job-1")
     sim.run(3)
-    assert sim.told["job-1"] == "done" and sim.cores["h0"].context.replica.format == FORMAT
+    assert sim.told["job-1"] == "done"
+    assert sim.cores["h0"].context.replica.format == FORMAT
 
 
 def test_records_left_too_large_are_shrunk_after_the_switch_and_can_be_released():
@@ -253,7 +257,8 @@
     fall(sim, 1.2)
     sim.cancel("job-1")
     sim.run(30)
-    assert key not in sim.state.rows and sim.state.too_large == 0
+    assert key not in sim.state.rows
+    assert sim.state.too_large == 0
 
 
 def test_lowered_limits_before_the_switch_do_not_block_writes_forever():
@@ -286,7 +291,8 @@
     for job_id in ("job-1", "job-2"):
         sim.query(job_id)
     sim.run(4)
-    assert sim.told == {"job-1": "done", "job-2": "done"} and sim.state.too_large == 0
+    assert sim.told == {"job-1": "done", "job-2": "done"}
+    assert sim.state.too_large == 0
     assert not [key for key in sim.state.rows if key.startswith("ox/t/")]
 
 
