--- a/oakmux/transport/operation_queue.py
+++ b/oakmux/transport/operation_queue.py
@@ -57,23 +57,26 @@
     def __init__(self) -> None:
         self.heap: list[QueuedOperation] = []
         self.woken = asyncio.Event()
+        self.writes = 0
+        """Number of the writes of all operations."""
+        self.urgent_writes = 0
+        """Number of the writes that users or other controllers wait for."""
 
     def push(self, queued: QueuedOperation) -> None:
         """Add an operation."""
         heapq.heappush(self.heap, queued)
+        self.writes += queued.writes
+        if queued.priority <= 0:
+            self.urgent_writes += queued.writes
         self.woken.set()
 
     def pop(self) -> QueuedOperation:
         """Remove and return the first operation; there must be one."""
-        return heapq.heappop(self.heap)
-
-    def count_writes(self) -> int:
-        """Count the writes of all operations."""
-        return sum(queued.writes for queued in self.heap)
-
-    def count_urgent_writes(self) -> int:
-        """Count the writes of the operations that users or other controllers wait for."""
-        return sum(queued.writes for queued in self.heap if queued.priority <= 0)
+        queued = heapq.heappop(self.heap)
+        self.writes -= queued.writes
+        if queued.priority <= 0:
+            self.urgent_writes -= queued.writes
+        return queued
 
     async def wait(self, timeout: float) -> None:
         """Wait until the queue is woken, for `timeout` seconds at most."""
--- a/oakmux/transport/store_client.py
+++ b/oakmux/transport/store_client.py
@@ -95,12 +95,7 @@
     def _would_expire(self, now: float, writes: int) -> bool:
         """Whether a user's writes would wait for their turn for longer than they may."""
         self.changes.wait(now, 0)  # refills the bucket
-        missing = (
-            self.writes.count_urgent_writes()
-            + writes
-            - self.changes.level
-            - self.ahead.allowed(now)
-        )
+        missing = self.writes.urgent_writes + writes - self.changes.level - self.ahead.allowed(now)
         return missing > self.changes.rate * constants.STORE_QUEUE_TIMEOUT_S
 
     async def pump(self, queue: OperationQueue) -> None:
@@ -155,7 +150,7 @@
         The rate is split evenly, the work is not. What is lent was the peers' own share, so that
         the sum stays within the limit.
         """
-        missing = self.writes.count_writes() - self.changes.level
+        missing = self.writes.writes - self.changes.level
         if missing > 0 and now >= self.next_borrow:
             self.next_borrow = now + constants.BORROW_INTERVAL_S
             self.put(("short", missing))
