--- a/oakmux/cli/controllers.py
+++ b/oakmux/cli/controllers.py
@@ -2,6 +2,7 @@
 
 import sys
 from http.client import HTTPException
+from typing import Any
 
 import click
 
@@ -49,7 +50,7 @@
     )
 
 
-def request_health(server: str) -> dict:
+def request_health(server: str) -> dict[str, Any]:
     """Return the health of one controller, or the error that kept it from answering."""
     try:
         status, answer = client.request_one(server, "GET", PATH_HEALTH)
@@ -59,7 +60,7 @@
     return {"server": server, "ready": status == 200, **health}
 
 
-def health_line(row: dict) -> str:
+def health_line(row: dict[str, Any]) -> str:
     """Return the health of one controller as one line of text."""
     ready = "ready" if row["ready"] else "NOT READY"
     if "error" in row:
--- a/oakmux/cli/jobs.py
+++ b/oakmux/cli/jobs.py
@@ -46,14 +46,14 @@
 }
 
 
-def summary_line(job: dict) -> str:
+def summary_line(job: dict[str, Any]) -> str:
     """Return the state of a job as one line of text."""
     job_id, state, completed_tasks, running_tasks, waits_on = parse_job_summary(job)
     text = f"{job_id}: {state} (done {completed_tasks}, running {running_tasks})"
     return f"{text}, waits on {', '.join(waits_on)}" if waits_on else text
 
 
-def read_job(path: str) -> dict:
+def read_job(path: str) -> dict[str, Any]:
     """Read a job from a TOML or JSON file."""
     try:
         text = Path(path).read_text(encoding="utf-8")
@@ -69,7 +69,7 @@
     return value
 
 
-def make_submission(job: dict) -> dict:
+def make_submission(job: dict[str, Any]) -> dict[str, Any]:
     """Return the submission of a job, with defaults, or end if it is malformed."""
     made = submission_body({**DEFAULTS, **job})
     try:
@@ -137,7 +137,9 @@
     context.show(answer, summary_line(answer))
 
 
-def request_job(context: CliContext, job_id: str, method: str = "GET", action: str = "") -> dict:
+def request_job(
+    context: CliContext, job_id: str, method: str = "GET", action: str = ""
+) -> dict[str, Any]:
     """Ask about a job, or act on it; end unless the answer is its state."""
     if not JOB_ID.match(job_id):
         fail(f"not a job id: {job_id}", EXIT_BAD)
--- a/oakmux/codec/answers.py
+++ b/oakmux/codec/answers.py
@@ -7,7 +7,7 @@
 from oakmux.codec.workers import commands_answer_body, report_to_body
 
 
-def _peer_answer_body(*fields: Any) -> list:
+def _peer_answer_body(*fields: Any) -> list[Any]:
     return ["peer", *fields]
 
 
@@ -26,7 +26,7 @@
 }
 
 
-def answer_body(answer: tuple) -> Any:
+def answer_body(answer: tuple[Any, ...]) -> Any:
     """Return the body of an answer, a kind followed by its fields; raises ValueError."""
     body_of = _BODIES.get(answer[0])
     if body_of is None:
--- a/oakmux/codec/cloud.py
+++ b/oakmux/codec/cloud.py
@@ -29,7 +29,7 @@
         raise Malformed("catalogue") from None
 
 
-def _parse_machine_type(row: dict) -> MachineType:
+def _parse_machine_type(row: dict[str, Any]) -> MachineType:
     return MachineType(
         name=row["sku"],
         cpus=float(row["vcpus"]),
@@ -44,7 +44,9 @@
     )
 
 
-def rental_body(request_id: str, type_name: str, zone: str, spot: bool, count: int) -> dict:
+def rental_body(
+    request_id: str, type_name: str, zone: str, spot: bool, count: int
+) -> dict[str, Any]:
     """Return the request for a rental; repeated under the same id, it rents once."""
     return {
         "hire": request_id,
@@ -55,7 +57,7 @@
     }
 
 
-def return_body(instances: list[str]) -> dict:
+def return_body(instances: list[str]) -> dict[str, Any]:
     """Return the request that gives instances back."""
     return {"boxes": instances}
 
@@ -77,7 +79,7 @@
         raise Malformed("machine list") from None
 
 
-def _parse_instance(row: dict) -> ListedInstance:
+def _parse_instance(row: dict[str, Any]) -> ListedInstance:
     return ListedInstance(
         name=row["id"],
         address=row.get("addr", ""),
--- a/oakmux/codec/peers.py
+++ b/oakmux/codec/peers.py
@@ -38,7 +38,9 @@
     """Revision up to which the peer knows all cancellations."""
 
 
-def batch_body(controller_id: str, messages: list[tuple], cancellations_until: int) -> list:
+def batch_body(
+    controller_id: str, messages: list[tuple[Any, ...]], cancellations_until: int
+) -> list[Any]:
     """Return the request that sends messages to a peer."""
     return ["batch", controller_id, messages, cancellations_until]
 
--- a/oakmux/codec/store.py
+++ b/oakmux/codec/store.py
@@ -50,7 +50,7 @@
     mod_revision: int
 
 
-def transaction_body(conditions: Sequence[Condition], writes: Sequence[Write]) -> dict:
+def transaction_body(conditions: Sequence[Condition], writes: Sequence[Write]) -> dict[str, Any]:
     """Return the request for a transaction."""
     return {
         "guards": [{"path": key, "stamp": mod_revision} for key, mod_revision in conditions],
@@ -58,7 +58,7 @@
     }
 
 
-def _write_body(write: Write) -> dict:
+def _write_body(write: Write) -> dict[str, Any]:
     if len(write) == 1:
         return {"delete": write[0]}
     key, value, lease = write
@@ -113,7 +113,7 @@
     return parse_transaction_result(answer).revision
 
 
-def lease_body(duration_s: float) -> dict:
+def lease_body(duration_s: float) -> dict[str, Any]:
     """Return the request for a lease."""
     return {"life_ms": int(duration_s * 1000)}
 
--- a/oakmux/codec/users.py
+++ b/oakmux/codec/users.py
@@ -162,7 +162,7 @@
     return job_id
 
 
-def parse_job(value: dict) -> JobSpec:
+def parse_job(value: dict[str, Any]) -> JobSpec:
     """Return the job that a submission describes; raises Malformed with a short reason."""
     submission = _read_submission(value)
     for field, accepts, reason in _CHECKS:
@@ -192,14 +192,14 @@
     )
 
 
-def _read_submission(value: dict) -> _Submission:
+def _read_submission(value: dict[str, Any]) -> _Submission:
     try:
         return msgspec.convert(value, _Submission)
     except (msgspec.ValidationError, TypeError, OverflowError) as error:
         raise Malformed(str(error)[:MAX_TEXT]) from None
 
 
-def submission_body(job: dict) -> dict:
+def submission_body(job: dict[str, Any]) -> dict[str, Any]:
     """Return the submission of a job that is given in the command line's terms."""
     body = {CLI_FIELDS[name]: value for name, value in job.items()}
     kind, priority = JOB_FIELDS["kind"], JOB_FIELDS["priority"]
@@ -208,7 +208,7 @@
     return body
 
 
-def job_description(spec: JobSpec) -> dict:
+def job_description(spec: JobSpec) -> dict[str, Any]:
     """Return a job in the command line's terms, without its id and its dependencies."""
     made = {}
     for name in CLI_FIELDS:
@@ -234,7 +234,7 @@
 
 def job_summary_body(
     job_id: str, state: str, completed_tasks: int, running_tasks: int, *waits_on: list[str]
-) -> dict:
+) -> dict[str, Any]:
     """Return the answer on a job's state; dependencies are in it only if they are given."""
     body: dict[str, Any] = {
         "id": job_id,
@@ -263,7 +263,7 @@
 
 def health_body(
     controller_id: str, ready: bool, term: int, roles: list[str], machines: int
-) -> dict:
+) -> dict[str, Any]:
     """Return the answer to a health check."""
     return {
         "label": controller_id,
@@ -274,6 +274,6 @@
     }
 
 
-def error_body(reason: str) -> dict:
+def error_body(reason: str) -> dict[str, Any]:
     """Return the answer to a refused request."""
     return {"error": reason}
--- a/oakmux/codec/workers.py
+++ b/oakmux/codec/workers.py
@@ -128,7 +128,7 @@
     return tasks
 
 
-def command_body(kind: str, task: str, attempt: int, grace_s: float = 0.0) -> dict:
+def command_body(kind: str, task: str, attempt: int, grace_s: float = 0.0) -> dict[str, Any]:
     """Return one command to a worker: start, stop or forget; only a stop has a grace period."""
     body: dict[str, Any] = {"verb": COMMAND_VERBS[kind], "piece": task, "try": attempt}
     if kind == "stop":
@@ -136,16 +136,18 @@
     return body
 
 
-def commands_body(fencing_token: int, agent_epoch: int, commands: list[dict]) -> dict:
+def commands_body(
+    fencing_token: int, agent_epoch: int, commands: list[dict[str, Any]]
+) -> dict[str, Any]:
     """Return the request that sends commands to a worker."""
     return {"baton": fencing_token, "tenure": agent_epoch, "orders": commands}
 
 
-def commands_answer_body(fencing_token: int, commands: list[dict]) -> dict:
+def commands_answer_body(fencing_token: int, commands: list[dict[str, Any]]) -> dict[str, Any]:
     """Return the answer to a heartbeat: commands for the worker."""
     return {"baton": fencing_token, "orders": commands}
 
 
-def report_to_body(controller_id: str | None) -> dict:
+def report_to_body(controller_id: str | None) -> dict[str, Any]:
     """Return the answer to a heartbeat that names the controller to send heartbeats to."""
     return {"boss": controller_id} if controller_id else {}
--- a/oakmux/transport/worker_client.py
+++ b/oakmux/transport/worker_client.py
@@ -2,6 +2,7 @@
 
 import logging
 from collections.abc import Callable
+from typing import Any
 
 from oakmux import constants
 from oakmux.codec.cbor import Malformed, decode, encode
@@ -23,7 +24,12 @@
         self.client = Client(constants.WORKER_CONNECTIONS)
 
     async def send_commands(
-        self, number: int, addr: str, fencing_token: int, agent_epoch: int, commands: list[dict]
+        self,
+        number: int,
+        addr: str,
+        fencing_token: int,
+        agent_epoch: int,
+        commands: list[dict[str, Any]],
     ) -> None:
         """Send commands and report the outcome and the worker's heartbeat under a number."""
         outcome, heartbeat = CommandOutcome.LOST, None
