--- a/tests/fakes/objectives.py
+++ b/tests/fakes/objectives.py
@@ -1,15 +1,41 @@
 """What users may expect once faults are over: jobs start, finish and are answered."""
 
+from oakmux.core.model import JobSpec
 from tests.fakes import deployment
 from tests.fakes.users import FakeUsers
+from tests.fakes.worker import FakeWorker
+
+PlacedTask = tuple[FakeWorker, str]
+
+
+def is_eligible(worker: FakeWorker, job: JobSpec, zones: list[str]) -> bool:
+    """Whether a job, with tasks in these zones, may use a machine."""
+    return (
+        worker.up
+        and not worker.dead
+        and not worker.hung
+        and job.zone in (None, worker.zone)
+        and (job.spot or not worker.spot)
+        and (not job.one_zone or set(zones) <= {worker.zone})
+    )
+
+
+def count_fitting(job: JobSpec, specs: list[JobSpec]) -> int:
+    """Return how many tasks of a job fit beside tasks of these jobs on one machine."""
+    free = (
+        deployment.TYPE.cpus - sum(s.cpus for s in specs),
+        deployment.TYPE.gpus - sum(s.gpus for s in specs),
+        deployment.TYPE.memory_gb - sum(s.memory_gb for s in specs),
+    )
+    needs = (job.cpus, job.gpus, job.memory_gb)
+    return min(int(have / need) for have, need in zip(free, needs, strict=True) if need)
 
 
 class Objectives(FakeUsers):
     """Judges a whole run by what users saw."""
 
     def startable_jobs(self, seconds: float = 90.0) -> set[str]:
-        """Return the jobs that wait all the while though a machine has room for them and their
-        team is under its limit; asked once all troubles are over."""
+        """Return the jobs that could have started throughout; called once all faults are over."""
         found = set(self.specs)
         end = self.now + seconds
         while self.now < end and found:
@@ -18,8 +44,10 @@
         return found
 
     def could_start(self, job_id: str) -> bool:
-        """Whether an accepted job lacks tasks for which there is room within all rules. A gang
-        and a service's or array's next task are judged alike: by all that must start at once."""
+        """Whether an accepted job lacks tasks for which there is capacity within all rules.
+
+        A gang needs capacity for all its tasks at once, any other job for its next task.
+        """
         job = self.specs[job_id]
         if (
             self.told.get(job_id) != "accepted"
@@ -27,61 +55,55 @@
             or any(self.told.get(name) != "done" for name in self.needs(job_id))
         ):
             return False
-        there = [
-            (w, key[0], row)
-            for w in self.workers.values()
-            if w.up and not w.dead
-            for key, row in w.tasks.items()
-            if row[0] != "exited"
-        ]
-        mine = {task for _, task, _ in there if task.startswith(job_id + "/")}
-        left = [
-            i
-            for i in range(job.tasks)
-            if (task := f"{job_id}/{i}") not in mine and task not in self.completed
-        ]
-        if not left or (job.kind == "gang" and mine):
+        unfinished = self.unfinished_tasks()
+        own = {task for _, task in unfinished if task.startswith(job_id + "/")}
+        if own >= self.missing_tasks(job_id) or (job.kind == "gang" and own):
             return False
         count = job.tasks if job.kind == "gang" else 1
-        specs = [self.specs[task.partition("/")[0]] for _, task, _ in there]
-        team, cpus, gpus = self.teams[job.team], count * job.cpus, count * job.gpus
-        cpus += sum(s.cpus for s in specs if s.team == job.team)
-        gpus += sum(s.gpus for s in specs if s.team == job.team)
-        if (team.cpus_max and cpus > team.cpus_max) or (team.gpus_max and gpus > team.gpus_max):
+        if not self.is_within_quota(job, count, unfinished):
             return False
-        zones = [w.zone for w, task, _ in there if task.startswith(job_id + "/")]
-        free_resources: dict[str, int] = {}
+        return self.count_startable(job_id, unfinished) >= count
+
+    def unfinished_tasks(self) -> list[PlacedTask]:
+        """Return the tasks on machines that are up, from their start until they exit."""
+        return [
+            (worker, key[0])
+            for worker in self.workers.values()
+            if worker.up and not worker.dead
+            for key, row in worker.tasks.items()
+            if row[0] != "exited"
+        ]
+
+    def missing_tasks(self, job_id: str) -> set[str]:
+        """Return the tasks of a job that are not completed."""
+        return {f"{job_id}/{i}" for i in range(self.specs[job_id].tasks)} - self.completed
+
+    def spec_of(self, task: str) -> JobSpec:
+        return self.specs[task.partition("/")[0]]
+
+    def is_within_quota(self, job: JobSpec, count: int, unfinished: list[PlacedTask]) -> bool:
+        """Whether so many more tasks of a job stay within its team's quota."""
+        team = self.teams[job.team]
+        specs = [self.spec_of(task) for _, task in unfinished]
+        cpus = count * job.cpus + sum(s.cpus for s in specs if s.team == job.team)
+        gpus = count * job.gpus + sum(s.gpus for s in specs if s.team == job.team)
+        within_cpus = not team.cpus_max or cpus <= team.cpus_max
+        within_gpus = not team.gpus_max or gpus <= team.gpus_max
+        return within_cpus and within_gpus
+
+    def count_startable(self, job_id: str, unfinished: list[PlacedTask]) -> int:
+        """Return how many tasks of a job fit on the machines within its placement constraints."""
+        job = self.specs[job_id]
+        zones = [worker.zone for worker, task in unfinished if task.startswith(job_id + "/")]
+        by_zone: dict[str, int] = {}
         for worker in self.workers.values():
-            on = [self.specs[t.partition("/")[0]] for w, t, _ in there if w is worker]
-            if (
-                worker.up
-                and not worker.dead
-                and not worker.hung
-                and job.zone in (None, worker.zone)
-                and (job.spot or not worker.spot)
-                and (not job.one_zone or set(zones) <= {worker.zone})
-            ):
-                free = (
-                    deployment.TYPE.cpus - sum(s.cpus for s in on),
-                    deployment.TYPE.gpus - sum(s.gpus for s in on),
-                    deployment.TYPE.memory_gb - sum(s.memory_gb for s in on),
-                )
-                fit = min(
-                    int(have / need)
-                    for have, need in zip(free, (job.cpus, job.gpus, job.memory_gb), strict=True)
-                    if need
-                )
-                free_resources[worker.zone] = free_resources.get(worker.zone, 0) + fit
+            if is_eligible(worker, job, zones):
+                specs = [self.spec_of(task) for other, task in unfinished if other is worker]
+                by_zone[worker.zone] = by_zone.get(worker.zone, 0) + count_fitting(job, specs)
         if job.spread:
             most = (job.tasks + 1) // 2
-            free_resources = {
-                zone: min(fit, most - zones.count(zone)) for zone, fit in free_resources.items()
-            }
-        return (
-            max(free_resources.values(), default=0)
-            if job.one_zone
-            else sum(free_resources.values())
-        ) >= count
+            by_zone = {zone: min(fit, most - zones.count(zone)) for zone, fit in by_zone.items()}
+        return max(by_zone.values(), default=0) if job.one_zone else sum(by_zone.values())
 
     def unresponsive(self, seconds: float = 90.0) -> set[str]:
         """Ask for every job ever accepted, and return those about which no question was answered
