--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -115,7 +115,6 @@
 def test_without_precedence_of_starving_jobs_the_largest_may_never_start(monkeypatch):
     for module in (
         "core.scheduling.queue_order",
-        "core.agents.reservation_queue",
         "core.scheduling.pending_queues",
         "core.scheduling.quota_claims",
         "core.scheduling.gangs",
