--- a/oakmux/core/agents/heartbeats.py
+++ b/oakmux/core/agents/heartbeats.py
@@ -11,7 +11,7 @@
 from oakmux.core.agents.worker_commands import WorkerCommands
 from oakmux.core.context import Context, Machine, Task, event
 from oakmux.core.leadership.leadership import Leadership
-from oakmux.core.model import Heartbeat
+from oakmux.core.model import Heartbeat, JobSpec
 from oakmux.task_status import (
     DONE,
     ERROR,
@@ -179,17 +179,7 @@
         if state != EXITED and spec is not None:
             live.append(spec)
         if state == EXITED and old[0] != EXITED:
-            if machine.manager == context.label:
-                event("exited", task=task[0], attempt=task[1], machine=machine.name, why=why)
-            if why == DONE:
-                machine.errors.clear()
-            elif why == ERROR:
-                context.failures.record(job_id, machine.name)
-                if job_id not in machine.errors:
-                    machine.errors.append(job_id)
-                    del machine.errors[: -constants.FAILED_JOBS_KEPT]
-            if old[0] == FETCHING and why != DONE and spec is not None:
-                machine.images.pop(spec.image, None)  # a fetch that no task needs is aborted
+            _note_exit(context, machine, task, why, spec, old[0])
     for spec in live:
         hold_image(context, machine, spec.image, spec.image_gb)
     # Since when each task runs; a task that does not run yet has no work to lose.
@@ -206,6 +196,24 @@
         machine.idle_since = context.now
 
 
+def _note_exit(
+    context: Context, machine: Machine, task: Task, why: str, spec: JobSpec | None, old_state: str
+) -> None:
+    """Record whether a task failed on a machine, and whether its image was fetched."""
+    if machine.manager == context.label:
+        event("exited", task=task[0], attempt=task[1], machine=machine.name, why=why)
+    if why == DONE:
+        machine.errors.clear()
+    elif why == ERROR:
+        job_id = task[0].partition("/")[0]
+        context.failures.record(job_id, machine.name)
+        if job_id not in machine.errors:
+            machine.errors.append(job_id)
+            del machine.errors[: -constants.FAILED_JOBS_KEPT]
+    if old_state == FETCHING and why != DONE and spec is not None:
+        machine.images.pop(spec.image, None)  # a fetch that no task needs is aborted
+
+
 def hold_image(context: Context, machine: Machine, image: str, size_gb: float) -> None:
     """Note that a machine uses an image now, which may evict others from its cache."""
     kind = context.types.get(machine.type)
