--- a/oakmux/codec/peers.py
+++ b/oakmux/codec/peers.py
@@ -1,60 +1,98 @@
-"""The protocol between controllers: batches of messages `[kind, ...]`, and their answers.
-
-Fields that earlier versions do not send come last and have defaults.
-"""
+"""Requests between controllers: batches of messages `[tag, field, ...]`, and their answers."""
 
+import logging
+from collections.abc import Sequence
 from typing import Any
 
 import msgspec
 
-from oakmux.codec.cbor import Malformed, decode
+from oakmux.codec.cbor import MAX_TEXT, Malformed, decode, encode
+from oakmux.core import peer_messages
+from oakmux.core.peer_messages import PeerMessage
+
+log = logging.getLogger("oakmux.peers")
 
 PATH_PEERS = "/peer"
 
-UNKNOWN_REVISION = -1
-"""Stands for a revision that an earlier version does not send."""
+_TYPES = {message_type.TAG: message_type for message_type in peer_messages.ALL_TYPES}
+
+
+class BatchRow(msgspec.Struct, array_like=True):
+    """A request as it is on the wire; earlier versions don't send `since`."""
+
+    tag: str
+    sender: str
+    messages: list[list[Any]]
+    since: int = -1
+
+
+class MessageBatch(msgspec.Struct, frozen=True):
+    """The messages of a request.
+
+    `since` is the revision up to which the sender knows all cancellations; -1 if it does not say.
+    """
+
+    sender: str
+    messages: list[PeerMessage]
+    since: int
 
 
 class PeerAnswer(msgspec.Struct, array_like=True):
-    """The answer to a batch: how current the peer's records are, and what was cancelled."""
+    """A peer's answer to a request.
 
-    kind: str
+    It says how old the peer's records are (in seconds) and what was cancelled since the revision
+    that the request named, up to `until`; earlier versions don't send that.
+    """
+
+    tag: str
     controller_id: str
     incarnation: int
-    records_age_s: float
+    store_age_s: float
     cancelled: list[str]
-    """Jobs cancelled since the revision that the batch named."""
-    complete_until: int = UNKNOWN_REVISION
-    """Revision up to which `cancelled` is complete."""
+    until: int = -1
 
 
-class PeerBatch(msgspec.Struct, array_like=True):
-    """Messages of a peer."""
+def encode_message(message: PeerMessage) -> list:
+    """Return a message as it is on the wire."""
+    row = [message.TAG, *msgspec.structs.astuple(message)]
+    if isinstance(message, peer_messages.Reserve) and not message.preempt:
+        del row[-1]
+    return row
+
+
+def decode_message(row: Sequence[Any]) -> PeerMessage:
+    """Return the message of a row; raises Malformed."""
+    try:
+        return _TYPES[row[0]](*row[1:])
+    except (IndexError, KeyError, TypeError) as error:
+        raise Malformed(f"peer's message {str(row[:1])[:MAX_TEXT]}: {error!r}") from None
 
-    kind: str
-    controller_id: str
-    messages: list[list[Any]]
-    cancellations_until: int = UNKNOWN_REVISION
-    """Revision up to which the peer knows all cancellations."""
 
+def encode_batch(sender: str, messages: Sequence[PeerMessage], since: int) -> bytes:
+    """Return the body of a request."""
+    return encode(["batch", sender, [encode_message(one) for one in messages], since])
 
-def batch_body(
-    controller_id: str, messages: list[tuple[Any, ...]], cancellations_until: int
-) -> list[Any]:
-    """Return the request that sends messages to a peer."""
-    return ["batch", controller_id, messages, cancellations_until]
 
+def decode_batch(body: bytes) -> MessageBatch:
+    """Return the messages of a request; raises Malformed.
 
-def parse_batch(body: bytes) -> PeerBatch:
-    """Read a peer's request; raises Malformed."""
+    A single message that can't be read, such as one of a later version, is logged and left out.
+    """
     try:
-        return msgspec.convert(decode(body), PeerBatch)
+        row = msgspec.convert(decode(body), BatchRow)
     except msgspec.ValidationError as error:
         raise Malformed(str(error)) from None
+    messages = []
+    for message in row.messages:
+        try:
+            messages.append(decode_message(message))
+        except Malformed as error:
+            log.error("event=message_failed peer=%s why=%s", row.sender, error)
+    return MessageBatch(row.sender, messages, row.since)
 
 
-def parse_peer_answer(body: bytes) -> PeerAnswer:
-    """Read a peer's answer to a batch; raises Malformed."""
+def decode_answer(body: bytes) -> PeerAnswer:
+    """Return a peer's answer; raises Malformed."""
     try:
         return msgspec.convert(decode(body), PeerAnswer)
     except msgspec.ValidationError as error:
--- a/oakmux/core/agents/cancellation_log.py
+++ b/oakmux/core/agents/cancellation_log.py
@@ -16,6 +16,7 @@
 from oakmux import constants
 from oakmux.core.agents.tracked_workers import WorkerTable
 from oakmux.core.context import Context
+from oakmux.core.messages import PeerAnswered
 
 
 class CancellationLog:
@@ -107,16 +108,8 @@
         found = self.context.replica.cancellations.since(since)
         return ([], -1) if found is None else (found, self.context.replica.revision)
 
-    def peer_alive(
-        self,
-        label: str,
-        incarnation: int,
-        state_age: float,
-        cancelled: list[str],
-        asked: float,
-        until: int = -1,
-    ) -> None:
-        """Apply a peer's answer to a request for the cancellations that we don't know yet.
+    def peer_answered(self, answer: PeerAnswered) -> None:
+        """Take a peer's answer: it lives, and what was cancelled.
 
         The list begins at the revision up to which we knew all of them at the request, so there is
         no gap if the peer gives a revision up to which it is complete. That holds for a peer that
@@ -130,14 +123,16 @@
             asked: when the request was sent (s); an answer that was delayed is that old.
             until: the revision up to which the list is complete, or -1.
         """
-        if incarnation:
+        label, asked, until = answer.controller_id, answer.asked_at, answer.until
+        store_seen_at = asked - answer.store_age_s
+        if answer.incarnation:
             self.peer_seen_at[label] = asked
             self.peer_store_seen_at[label] = max(
-                self.peer_store_seen_at.get(label, constants.NEVER), asked - state_age
+                self.peer_store_seen_at.get(label, constants.NEVER), store_seen_at
             )
         not_before = self.cancels_known_until()
-        complete = bool(incarnation) and until >= 0
-        for job_id in cancelled:
+        complete = bool(answer.incarnation) and until >= 0
+        for job_id in answer.cancelled:
             job = self.context.replica.jobs.get(job_id)
             if job_id in self.cancelled or (job is not None and job.final):
                 continue
@@ -148,7 +143,7 @@
             self.reconcile_job(job_id)
         if complete:
             self.replicated_revision = max(self.replicated_revision, until)
-            self.replicated_at = max(self.replicated_at, asked - state_age)
+            self.replicated_at = max(self.replicated_at, store_seen_at)
             self.acknowledged_at[label] = max(
                 self.acknowledged_at.get(label, constants.NEVER), asked
             )
--- a/oakmux/core/agents/capacity.py
+++ b/oakmux/core/agents/capacity.py
@@ -2,7 +2,8 @@
 
 from oakmux import constants
 from oakmux.core.agents.reachability import is_reachable
-from oakmux.core.context import Context, Machine
+from oakmux.core.context import Context
+from oakmux.core.machine import Machine
 from oakmux.core.model import JobSpec
 from oakmux.core.resources import NO_RESOURCES, Resources, subtract
 from oakmux.task_status import EXITED, REFUSED
--- a/oakmux/core/agents/heartbeats.py
+++ b/oakmux/core/agents/heartbeats.py
@@ -1,17 +1,19 @@
 """Heartbeats of workers: their answers, and what they tell of their machines."""
 
 import math
-from typing import Any
 
 from oakmux import constants
+from oakmux.core import messages
 from oakmux.core.agents.cancellation_log import CancellationLog
 from oakmux.core.agents.reachability import assess_heartbeat, assess_new_machine
 from oakmux.core.agents.reservation_queue import ReservationQueue
 from oakmux.core.agents.tracked_workers import TrackedWorker, WorkerTable
 from oakmux.core.agents.worker_commands import WorkerCommands
-from oakmux.core.context import Context, Machine, Task, event
+from oakmux.core.context import Context
 from oakmux.core.leadership.leadership import Leadership
+from oakmux.core.machine import Machine, Task
 from oakmux.core.model import Heartbeat, JobSpec
+from oakmux.logs import event
 from oakmux.task_status import (
     DONE,
     ERROR,
@@ -46,25 +48,26 @@
         self.commands = commands
         self.queue = queue
 
-    def receive(self, rid: Any, heartbeat: Heartbeat) -> None:
-        """Apply a worker's heartbeat and answer it; a 200 renews the worker's lease."""
+    def receive(self, command: messages.ReceiveHeartbeat) -> None:
+        """Take a worker's report and answer it."""
         context = self.context
+        rid, heartbeat = command.request, command.heartbeat
         machine = context.machines.get(heartbeat.machine)
         if machine is not None and (heartbeat.agent_epoch, heartbeat.sequence) <= machine.version:
-            context.emit("answer", rid, 503, ("error", "old report"))
+            context.answer(rid, 503, ("error", "old report"))
             return
         if (
             heartbeat.machine in context.replica.terminated_machines
             or heartbeat.machine in context.terminated
         ):
-            context.emit("answer", rid, 503, ("error", "returned"))
+            context.answer(rid, 503, ("error", "returned"))
             return
         if (
             not context.replica.loaded
             or context.replica.unknown_format
             or not self.cancellations.may_renew_leases()
         ):
-            context.emit("answer", rid, 503, ("error", "no current records"))
+            context.answer(rid, 503, ("error", "no current records"))
             return
         tracked = self.workers.tracked.setdefault(heartbeat.machine, TrackedWorker())
         tracked.answered_starts.clear()
@@ -75,23 +78,23 @@
             # The store may refuse us alone: hand the worker over to a peer that it answers.
             for label, fresh in self.cancellations.peer_store_seen_at.items():
                 if context.now - fresh < constants.STORE_STALE_S / 2:
-                    context.emit("answer", rid, 421, ("report_to", label))
+                    context.answer(rid, 421, ("report_to", label))
                     return
         if self.commands.late_start_possible(tracked, machine):
-            context.emit("answer", rid, 503, ("error", "a cancelled start is on its way"))
+            context.answer(rid, 503, ("error", "a cancelled start is on its way"))
             return
         if heartbeat.fencing_token > context.term or not context.term:
             self.leadership.need_term_above(heartbeat.fencing_token)
             if heartbeat.fencing_token:
                 # An answer under the worker's own token renews its lease; it starts nothing.
                 stops = self.commands.stop_cancelled(tracked, machine, set())
-                context.emit("answer", rid, 200, ("orders", heartbeat.fencing_token, stops))
+                context.answer(rid, 200, ("orders", heartbeat.fencing_token, stops))
             else:
-                context.emit("answer", rid, 503, ("error", "no term yet"))
+                context.answer(rid, 503, ("error", "no term yet"))
             return
         commands, starts = self.commands.commands(tracked, machine, forget=True)
         tracked.answered_starts.update(starts)
-        context.emit("answer", rid, 200, ("orders", context.term, commands))
+        context.answer(rid, 200, ("orders", context.term, commands))
         if starts:
             context.changed_workers.add(machine.name)
         self.queue.offer(machine.name)
@@ -155,7 +158,7 @@
             manager_term,
             heartbeat.notice_s is None,
         )
-        machine.take(heartbeat, context.now)
+        machine.apply(heartbeat, context.now)
         context.note_heartbeat(machine)
     if machine.manager != manager:
         event("heard", machine=machine.name, manager=manager, agent_epoch=machine.agent_epoch)
@@ -217,7 +220,5 @@
 def hold_image(context: Context, machine: Machine, image: str, size_gb: float) -> None:
     """Note that a machine uses an image now, which may evict others from its cache."""
     kind = context.types.get(machine.type)
-    context.replica.changes.stale_machines.add(
-        machine.name
-    )  # not `touch`: its resources are unchanged
-    machine.hold(image, size_gb, math.inf if kind is None else kind.cache_gb)
+    context.replica.changes.stale_machines.add(machine.name)  # no `touch`: its room stays as it is
+    machine.use_image(image, size_gb, math.inf if kind is None else kind.cache_gb)
--- a/oakmux/core/agents/preemption.py
+++ b/oakmux/core/agents/preemption.py
@@ -5,7 +5,8 @@
 
 from oakmux import constants
 from oakmux.core.agents.capacity import free_resources
-from oakmux.core.context import Context, Machine, Task
+from oakmux.core.context import Context
+from oakmux.core.machine import Machine, Task
 from oakmux.core.model import JobSpec
 from oakmux.core.resources import Resources, fits_resources, subtract
 from oakmux.core.scheduling import quotas
--- a/oakmux/core/agents/reachability.py
+++ b/oakmux/core/agents/reachability.py
@@ -8,7 +8,8 @@
 """
 
 from oakmux import constants
-from oakmux.core.context import Context, Machine
+from oakmux.core.context import Context
+from oakmux.core.machine import Machine
 from oakmux.core.model import Heartbeat
 
 
--- a/oakmux/core/agents/reservation_queue.py
+++ b/oakmux/core/agents/reservation_queue.py
@@ -3,17 +3,21 @@
 from typing import NamedTuple
 
 from oakmux import constants
+from oakmux.core import peer_messages
 from oakmux.core.agents.cancellation_log import CancellationLog
 from oakmux.core.agents.capacity import free_resources, gang_hold_s, is_full, is_schedulable
 from oakmux.core.agents.preemption import plan_preemption
 from oakmux.core.agents.tracked_workers import Offer, Reservation, TrackedWorker, WorkerTable
-from oakmux.core.context import Context, Machine, event
+from oakmux.core.context import Context
+from oakmux.core.machine import Machine
 from oakmux.core.model import JobSpec
+from oakmux.core.peer_messages import DeclineOffer, Reserve
 from oakmux.core.resources import Resources, fits_resources, subtract
 from oakmux.core.scheduling import quotas
 from oakmux.core.scheduling.minimum_share import MinimumShare
 from oakmux.core.scheduling.queue_order import QueueRank, queue_rank
 from oakmux.core.state.records import Job
+from oakmux.logs import event
 from oakmux.task_status import EXITED
 
 
@@ -40,8 +44,9 @@
         self.next_offer = 0
         self.minimum_share = MinimumShare(context)
 
-    def reserve(self, name: str, job_id: str, count: int, preempt: bool = False) -> None:
+    def reserve(self, request: Reserve) -> None:
         """Queue a reservation for `count` tasks at a machine, preempting for one if told to."""
+        name, job_id, count = request.machine, request.job_id, request.count
         tracked = self.workers.tracked.get(name)
         machine = self.context.machines.get(name)
         if tracked is None or machine is None or machine.manager != self.context.label:
@@ -51,7 +56,7 @@
             known.count = max(known.count, count)
         elif len(tracked.queue) < constants.MAX_RESERVATIONS_PER_MACHINE:
             tracked.queue[job_id] = Reservation(job_id, count, self.context.now)
-        if preempt:
+        if request.preempt:
             self._preempt(tracked, machine, job_id)
         self.workers.to_reconcile.add(name)
 
@@ -82,11 +87,11 @@
             tracked.stops[task] = context.now
             event("preempt", task=task[0], attempt=task[1], machine=machine.name, by=job_id)
 
-    def decline(self, name: str, offer_id: int) -> None:
+    def decline(self, answer: DeclineOffer) -> None:
         """Withdraw an offer that the job's scheduler has no task for, and offer to the next."""
-        tracked = self.workers.tracked.get(name)
-        if tracked is not None and tracked.offers.pop(offer_id, None) is not None:
-            self.workers.to_reconcile.add(name)
+        tracked = self.workers.tracked.get(answer.machine)
+        if tracked is not None and tracked.offers.pop(answer.offer_id, None) is not None:
+            self.workers.to_reconcile.add(answer.machine)
 
     def _offered(self, tracked: TrackedWorker) -> list[JobSpec]:
         """Return the jobs of a worker's open offers, after dropping offers that are void."""
@@ -221,11 +226,9 @@
         if spec.joint:
             hold_s += gang_hold_s(spec) + constants.PREEMPTION_RETRY_S
         tracked.offers[self.next_offer] = Offer(job.id, context.now + hold_s, role_claim)
-        context.emit(
-            "send",
+        context.send(
             controller_id,
-            (
-                "offer",
+            peer_messages.Offer(
                 machine.name,
                 job.id,
                 self.next_offer,
--- a/oakmux/core/agents/termination.py
+++ b/oakmux/core/agents/termination.py
@@ -3,7 +3,8 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from oakmux.core.context import Context, Machine, Task
+from oakmux.core.context import Context
+from oakmux.core.machine import Machine, Task
 from oakmux.core.state.records import Binding
 from oakmux.task_status import EXITED, LOST, REFUSED
 
--- a/oakmux/core/agents/tracked_workers.py
+++ b/oakmux/core/agents/tracked_workers.py
@@ -3,7 +3,7 @@
 import math
 from typing import NamedTuple
 
-from oakmux.core.context import Task
+from oakmux.core.machine import Task
 
 
 class Reservation:
--- a/oakmux/core/agents/worker_commands.py
+++ b/oakmux/core/agents/worker_commands.py
@@ -5,12 +5,16 @@
 
 from oakmux import constants
 from oakmux.codec.workers import command_body
+from oakmux.core import messages
 from oakmux.core.agents.cancellation_log import CancellationLog
 from oakmux.core.agents.tracked_workers import TrackedWorker, WorkerTable
-from oakmux.core.context import Context, Machine, Task, event
+from oakmux.core.context import Context
 from oakmux.core.leadership.leadership import Leadership
+from oakmux.core.machine import Machine, Task
 from oakmux.core.model import CommandOutcome, Heartbeat
+from oakmux.core.peer_messages import MoveTask
 from oakmux.core.state.records import Binding, Job
+from oakmux.logs import event
 from oakmux.task_status import EXITED, FETCHING, RUNNING, SAVING, STARTING
 
 
@@ -293,7 +297,7 @@
             lambda outcome, heartbeat: self._commands_answered(
                 name, starts, term, outcome, heartbeat
             ),
-            "orders",
+            messages.SendWorkerCommands,
             machine.addr,
             term,
             machine.agent_epoch,
@@ -324,10 +328,12 @@
         if heartbeat is not None and heartbeat.fencing_token > context.term:
             self.leadership.need_term_above(heartbeat.fencing_token)
 
-    def move(self, name: str, task: str, attempt: int) -> None:
-        """Stop a service's task so that its scheduler starts it on another machine."""
+    def move(self, request: MoveTask) -> None:
+        """Stop a service so that its owner starts it on another machine."""
+        name = request.machine
         tracked = self.workers.tracked.get(name)
         machine = self.context.machines.get(name)
-        if tracked is not None and machine is not None and (task, attempt) in machine.tasks:
-            tracked.stops[(task, attempt)] = self.context.now
+        task = (request.task, request.attempt)
+        if tracked is not None and machine is not None and task in machine.tasks:
+            tracked.stops[task] = self.context.now
             self.workers.to_reconcile.add(name)
--- a/oakmux/core/api/answers.py
+++ b/oakmux/core/api/answers.py
@@ -36,7 +36,7 @@
 
     def refuse(self, request_id: RequestId, refusal: Refusal) -> None:
         """Answer that a request is refused."""
-        self.context.emit("answer", request_id, refusal.status, ("error", refusal.reason))
+        self.context.answer(request_id, refusal.status, ("error", refusal.reason))
 
     def unavailable(self, request_id: RequestId, reason: str) -> None:
         """Answer that the request can't be served now; the user is to try again."""
@@ -44,19 +44,19 @@
 
     def accepted(self, request_id: RequestId, job_id: str, state: str) -> None:
         """Answer that a new job was recorded."""
-        self.context.emit("answer", request_id, 201, ("job", job_id, state, 0, 0))
+        self.context.answer(request_id, 201, ("job", job_id, state, 0, 0))
 
     def cancelled(self, request_id: RequestId, job_id: str) -> None:
         """Answer that a cancellation was recorded."""
-        self.context.emit("answer", request_id, 200, ("job", job_id, "cancelled", 0, 0))
+        self.context.answer(request_id, 200, ("job", job_id, "cancelled", 0, 0))
 
     def job(self, request_id: RequestId, job: Job) -> None:
         """Answer with the state of a job, its completed and its running tasks."""
         running = 0 if job.final else self._count_running(job)
         state = RUNNING if running else job.state
         unmet = [sorted(job.unmet_dependencies)] if job.unmet_dependencies else []
-        self.context.emit(
-            "answer", request_id, 200, ("job", job.id, state, job.done_count(), running, *unmet)
+        self.context.answer(
+            request_id, 200, ("job", job.id, state, job.done_count(), running, *unmet)
         )
 
     def _count_running(self, job: Job) -> int:
--- a/oakmux/core/api/cancellation.py
+++ b/oakmux/core/api/cancellation.py
@@ -4,6 +4,7 @@
 from typing import Any
 
 from oakmux import constants
+from oakmux.core import messages
 from oakmux.core.api.answers import (
     UNKNOWN_JOB,
     WRITE_UNCONFIRMED,
@@ -12,10 +13,11 @@
     RequestId,
 )
 from oakmux.core.api.current_reads import CONFLICT, CurrentReads
-from oakmux.core.context import Context, event
+from oakmux.core.context import Context
 from oakmux.core.state.codecs import encode_job
 from oakmux.core.state.keys import job_key
 from oakmux.core.state.records import Job
+from oakmux.logs import event
 
 
 class Cancellation:
@@ -56,7 +58,7 @@
 
         context.call(
             on_answer,
-            "txn",
+            messages.Transaction,
             [(job_key(job_id), job.mod_revision)],
             [(job_key(job_id), value, None)],
             0,
@@ -89,7 +91,7 @@
             writes.append((job_key(job_id), _cancelled_value(job), None))
         context.call(
             lambda status, result: self._on_cascade_written(writes, status, result),
-            "txn",
+            messages.Transaction,
             conditions,
             writes,
             1,
--- a/oakmux/core/api/current_reads.py
+++ b/oakmux/core/api/current_reads.py
@@ -8,6 +8,7 @@
 from typing import Any, NamedTuple
 
 from oakmux import constants
+from oakmux.core import messages
 from oakmux.core.api.answers import (
     RECORDS_NOT_CURRENT,
     RECORDS_NOT_LOADED,
@@ -80,7 +81,7 @@
                 # failed comparison has shown that there is one.
                 self.answers.unavailable(request_id, RECORDS_NOT_CURRENT)
 
-        self.context.call(on_answer, "get", job_key(job_id), 0)
+        self.context.call(on_answer, messages.ReadKey, job_key(job_id), 0)
 
     def resume_waiting(self) -> None:
         """Resume the reads whose revision the replica has reached; refuse those out of time."""
@@ -132,7 +133,7 @@
             job = jobs.get(job_id)
             conditions.append((job_key(job_id), 0 if job is None else job.mod_revision))
         self.in_flight += 1
-        self.context.call(on_answer, "txn", conditions, [], 0)
+        self.context.call(on_answer, messages.Transaction, conditions, [], 0)
 
     def _on_comparison(self, batch: list[_Read], status: int, result: Any) -> None:
         self.in_flight -= 1
--- a/oakmux/core/api/jobs.py
+++ b/oakmux/core/api/jobs.py
@@ -6,7 +6,7 @@
 from oakmux.core.api.job_view import JobView
 from oakmux.core.api.submission import Submission
 from oakmux.core.context import Context
-from oakmux.core.model import JobSpec
+from oakmux.core.messages import CancelJob, QueryJob
 
 
 class JobApi:
@@ -20,22 +20,18 @@
         self.view = JobView(context, self.answers, self.cancellation)
         self.submission = Submission(context, self.answers, self.reads, self.view)
 
-    def submit(
-        self, request_id: RequestId, job_id: str, spec: JobSpec | None, malformed: str
-    ) -> None:
-        """Accept a job once; `malformed` says why there is no `spec`."""
-        self.submission.submit(request_id, job_id, spec, malformed)
-
-    def query(self, request_id: RequestId, job_id: str) -> None:
+    def query(self, command: QueryJob) -> None:
         """Show a job, or answer 404 if current records have none."""
+        request_id, job_id = command.request, command.job_id
         self._with_current_job(
             request_id,
             job_id,
             lambda job: self.view.show_or_refuse(request_id, job, Refusal(404, UNKNOWN_JOB)),
         )
 
-    def cancel(self, request_id: RequestId, job_id: str) -> None:
+    def cancel(self, command: CancelJob) -> None:
         """Cancel a job; the answer follows once the cancellation is recorded."""
+        request_id, job_id = command.request, command.job_id
         self._with_current_job(
             request_id, job_id, lambda job: self.cancellation.cancel(request_id, job_id, job)
         )
--- a/oakmux/core/api/submission.py
+++ b/oakmux/core/api/submission.py
@@ -3,6 +3,7 @@
 from typing import Any
 
 from oakmux import constants
+from oakmux.core import messages
 from oakmux.core.api.answers import (
     DEPENDENCIES_UNSUPPORTED,
     TYPES_UNKNOWN,
@@ -13,13 +14,14 @@
 )
 from oakmux.core.api.current_reads import CONFLICT, CurrentReads
 from oakmux.core.api.job_view import JobView
-from oakmux.core.context import Context, event
+from oakmux.core.context import Context
 from oakmux.core.model import JobSpec
 from oakmux.core.scheduling import quotas
 from oakmux.core.state.codecs import encode_job
 from oakmux.core.state.formats import FORMAT_COMPACT, value_bytes, value_limit
 from oakmux.core.state.keys import job_key
 from oakmux.core.state.records import Job, JobState
+from oakmux.logs import event
 
 
 class Submission:
@@ -34,20 +36,16 @@
         self.view = view
         self.max_value_bytes = value_limit(context.facts.store.strictest)
 
-    def submit(
-        self, request_id: RequestId, job_id: str, spec: JobSpec | None, malformed: str
-    ) -> None:
-        """Accept a job, or show the one that has its id.
-
-        `spec` is None if the submission could not be parsed; `malformed` then says why.
-        """
+    def submit(self, command: messages.SubmitJob) -> None:
+        """Accept a job, or show the one that has its id."""
+        request_id, job_id, spec = command.request, command.job_id, command.spec
         if not self.reads.records_loaded(request_id):
             return
         job = self.context.replica.jobs.get(job_id)
         if job is not None and job.final:
             self.view.show(request_id, job)
         elif job is not None or spec is None:
-            self._show_current_or_refuse(request_id, job_id, Refusal(400, malformed))
+            self._show_current_or_refuse(request_id, job_id, Refusal(400, command.malformed))
         elif not self.context.types:
             self.answers.unavailable(request_id, TYPES_UNKNOWN)
         else:
@@ -163,7 +161,11 @@
                 self.answers.unavailable(request_id, WRITE_UNCONFIRMED)
 
         self.context.call(
-            on_answer, "txn", [(job_key(job_id), 0)], [(job_key(job_id), value, None)], 0
+            on_answer,
+            messages.Transaction,
+            [(job_key(job_id), 0)],
+            [(job_key(job_id), value, None)],
+            0,
         )
 
 
--- a/oakmux/core/autoscaling/autoscaler.py
+++ b/oakmux/core/autoscaling/autoscaler.py
@@ -6,7 +6,7 @@
 from oakmux.core.autoscaling.scale_in import ScaleIn
 from oakmux.core.autoscaling.scale_out import ScaleOut
 from oakmux.core.context import Context
-from oakmux.core.leadership.leadership import FLEET
+from oakmux.core.leadership.roles import FLEET
 
 
 class Autoscaler:
--- a/oakmux/core/autoscaling/consolidation.py
+++ b/oakmux/core/autoscaling/consolidation.py
@@ -4,11 +4,14 @@
 
 from oakmux import constants
 from oakmux.core.autoscaling.slot_pool import Slot
-from oakmux.core.context import Context, Machine, Task, event
+from oakmux.core.context import Context
+from oakmux.core.machine import Machine, Task
 from oakmux.core.model import JobSpec
+from oakmux.core.peer_messages import MoveTask
 from oakmux.core.resources import Resources, fits_resources, subtract
 from oakmux.core.scheduling.placement import zone_allowed
 from oakmux.core.state.records import Binding, Job
+from oakmux.logs import event
 
 
 class _Move(NamedTuple):
@@ -54,7 +57,7 @@
         event("move", machine=move.machine, tasks=len(move.tasks))
         manager = context.machines[move.machine].manager
         for task, attempt in move.tasks:
-            context.emit("send", manager, ("move", move.machine, task, attempt))
+            context.send(manager, MoveTask(move.machine, task, attempt))
 
     def _best_move(self, slots: list[Slot]) -> _Move | None:
         best: _Move | None = None
--- a/oakmux/core/autoscaling/expected_capacity.py
+++ b/oakmux/core/autoscaling/expected_capacity.py
@@ -7,8 +7,9 @@
 from oakmux.core.autoscaling.instance_inventory import InstanceInventory
 from oakmux.core.autoscaling.rental_requests import RentalRequests
 from oakmux.core.autoscaling.slot_pool import UNNAMED, Slot, empty_slot
-from oakmux.core.context import Context, event
+from oakmux.core.context import Context
 from oakmux.core.instances import InstanceKind, InstanceState
+from oakmux.logs import event
 
 
 class ExpectedCapacity:
--- a/oakmux/core/autoscaling/instance_inventory.py
+++ b/oakmux/core/autoscaling/instance_inventory.py
@@ -5,11 +5,14 @@
 import msgspec
 
 from oakmux import constants
+from oakmux.core import messages
 from oakmux.core.agents.capacity import heartbeat_timeout_s
-from oakmux.core.context import Context, event
+from oakmux.core.context import Context
 from oakmux.core.instances import InstanceKind, InstanceState, ListedInstance
+from oakmux.core.peer_messages import MachinesTerminated
 from oakmux.core.state.formats import value_bytes, value_limit
 from oakmux.core.state.keys import TYPES_KEY, termination_key
+from oakmux.logs import event
 
 StoreWrite = tuple[Any, ...]
 """(key, value, lease) to put a record, or (key,) to delete it."""
@@ -85,7 +88,7 @@
         )
         requested_at = context.now
         context.call(
-            lambda status, rows: self._on_list(requested_at, status, rows), "cloud", "list"
+            lambda status, rows: self._on_list(requested_at, status, rows), messages.ListInstances
         )
 
     def _on_list(self, requested_at: float, status: int, rows: list[ListedInstance]) -> None:
@@ -161,9 +164,9 @@
         self.known_since.pop(name, None)
         self.returning.discard(name)
         for controller_id in self.controllers():
-            context.emit("send", controller_id, ("gone", [name]))
+            context.send(controller_id, MachinesTerminated([name]))
         if why == InstanceState.FAILED:
-            context.call(lambda status, result: None, "cloud", "return", [name])
+            context.call(lambda status, result: None, messages.ReturnInstances, [name])
 
     def controllers(self) -> list[str]:
         """Return the ids of all controllers, our own first."""
@@ -177,7 +180,7 @@
             writes = writes[: max(1, self.context.facts.store.strictest.txn_ops // 2)]
             self.context.call(
                 lambda status, result: self._on_written(writes, status, result),
-                "txn",
+                messages.Transaction,
                 [],
                 writes,
                 1,
--- a/oakmux/core/autoscaling/machine_returns.py
+++ b/oakmux/core/autoscaling/machine_returns.py
@@ -2,8 +2,10 @@
 
 from enum import StrEnum
 
+from oakmux.core import messages
 from oakmux.core.autoscaling.instance_inventory import InstanceInventory
-from oakmux.core.context import Context, event
+from oakmux.core.context import Context
+from oakmux.logs import event
 
 
 class ReturnReason(StrEnum):
@@ -38,7 +40,7 @@
         self.inventory.returning.add(name)
         event("return", machines=name, why=reason)
         self.context.call(
-            lambda status, result: self._on_answer(name, status), "cloud", "return", [name]
+            lambda status, result: self._on_answer(name, status), messages.ReturnInstances, [name]
         )
 
     def _on_answer(self, name: str, status: int) -> None:
--- a/oakmux/core/autoscaling/rental_requests.py
+++ b/oakmux/core/autoscaling/rental_requests.py
@@ -3,9 +3,11 @@
 from typing import Any, NamedTuple
 
 from oakmux import constants
+from oakmux.core import messages
 from oakmux.core.autoscaling.instance_inventory import Instance, InstanceInventory
-from oakmux.core.context import Context, event
+from oakmux.core.context import Context
 from oakmux.core.instances import InstanceKind, InstanceState
+from oakmux.logs import event
 
 NO_ANSWER = 0
 """Status of a call to the cloud that got no answer."""
@@ -69,8 +71,7 @@
         kind, size = self.pending[name]
         self.context.call(
             lambda status, result: self._on_answer(name, attempt, status, result),
-            "cloud",
-            "rent",
+            messages.RentInstances,
             name,
             *kind,
             size,
--- a/oakmux/core/autoscaling/scale_in.py
+++ b/oakmux/core/autoscaling/scale_in.py
@@ -9,7 +9,9 @@
 from oakmux.core.autoscaling.machine_returns import MachineReturns, ReturnReason
 from oakmux.core.autoscaling.slot_pool import Slot
 from oakmux.core.autoscaling.unhealthy_machines import UnhealthyMachines
-from oakmux.core.context import Context, Machine
+from oakmux.core.context import Context
+from oakmux.core.machine import Machine
+from oakmux.core.peer_messages import DrainMachines
 
 
 class ScaleIn:
@@ -39,7 +41,7 @@
         names = [name for name in context.draining if name in context.machines]
         if names:
             for peer in inventory.controllers()[1:]:
-                context.emit("send", peer, ("drain", names))
+                context.send(peer, DrainMachines(names))
 
     def _check_drained(self, machine: Machine, drained_at: float) -> None:
         context, name = self.context, machine.name
--- a/oakmux/core/autoscaling/unhealthy_machines.py
+++ b/oakmux/core/autoscaling/unhealthy_machines.py
@@ -12,8 +12,9 @@
     InstanceInventory,
 )
 from oakmux.core.autoscaling.machine_returns import MachineReturns, ReturnReason
-from oakmux.core.context import Context, Machine
+from oakmux.core.context import Context
 from oakmux.core.instances import InstanceState
+from oakmux.core.machine import Machine
 
 
 class UnhealthyMachines:
--- /dev/null
+++ b/oakmux/core/leadership/format_negotiation.py
@@ -0,0 +1,61 @@
+"""Agreement of all controllers on the format of records during an upgrade."""
+
+from typing import Any
+
+from oakmux.core.context import Context
+from oakmux.core.leadership.retry import RetryTimer
+from oakmux.core.messages import Transaction, Write
+from oakmux.core.state.formats import tasks_per_block
+from oakmux.core.state.keys import FORMAT_KEY, version_key
+from oakmux.logs import event
+
+
+class FormatNegotiation:
+    """Records which format this controller can read; switches to the latest that all can.
+
+    The key of a controller has no lease: a process that is started replaces the one before for
+    good. So once each controller's key says that it can read a format, no process is left that
+    can't, or that writes an earlier one.
+    """
+
+    def __init__(self, context: Context, retry: RetryTimer) -> None:
+        self.context = context
+        self.retry = retry
+        self.in_flight = False
+
+    def tick(self) -> None:
+        """Write what is due."""
+        replica, label = self.context.replica, self.context.label
+        if self.in_flight or replica.format >= replica.known_format:
+            return
+        if replica.versions.get(label, 0) < replica.known_format:
+            self._write((version_key(label), replica.known_format, None), [])
+            return
+        labels = [label, *(member.controller_id for member in self.context.settings.peers)]
+        common = min(replica.versions.get(name, 0) for name in labels)
+        if common > replica.format and label == min([label, *replica.live_controllers]):
+            # The number of tasks in a block stays as it was first recorded.
+            tasks_per_record = replica.tasks_per_record or tasks_per_block(
+                self.context.facts.store.value_kb
+            )
+            condition = (FORMAT_KEY, replica.format_revision)
+            self._write((FORMAT_KEY, [common, tasks_per_record], None), [condition])
+
+    def _write(self, write: Write, conditions: list[tuple[str, int]]) -> None:
+        self.in_flight = True
+        self.context.call(
+            lambda status, result: self._on_written(write, status, result),
+            Transaction,
+            conditions,
+            [write],
+            0,
+        )
+
+    def _on_written(self, write: Write, status: int, result: Any) -> None:
+        self.in_flight = False
+        if status == 200:
+            key, value, _ = write
+            self.context.replica.apply(key, value, result[0])
+            event("version", key=key, value=value)
+        else:  # if another controller was first, the watch brings what it wrote
+            self.retry.back_off()
--- /dev/null
+++ b/oakmux/core/messages.py
@@ -0,0 +1,258 @@
+"""The controller's inputs and outputs: commands that it is given, and effects that it asks for.
+
+`Controller.step` takes a batch of commands and returns effects; the transport carries them out.
+An effect with an `operation` number is answered by the `OperationDone` of that number.
+"""
+
+from typing import Any
+
+import msgspec
+
+from oakmux.core.model import Heartbeat, JobSpec, MachineType
+from oakmux.core.peer_messages import PeerMessage
+
+# What a transaction compares, as (key, mod revision), and what it writes, as (key, value, lease),
+# or (key,) to delete.
+Condition = tuple[str, int]
+Write = tuple[Any, ...]
+
+
+class Command(msgspec.Struct, frozen=True):
+    """An input of the controller."""
+
+
+class Effect(msgspec.Struct, frozen=True):
+    """An output of the controller, for the transport to carry out."""
+
+
+# --- commands: requests of users, workers and peers, each answered by an `Answer` ---------------
+
+
+class SubmitJob(Command, frozen=True):
+    """A user submits a job; without `spec`, `malformed` says why there is none."""
+
+    request: Any
+    job_id: str
+    spec: JobSpec | None
+    malformed: str
+
+
+class QueryJob(Command, frozen=True):
+    """A user asks for a job's state."""
+
+    request: Any
+    job_id: str
+
+
+class CancelJob(Command, frozen=True):
+    """A user cancels a job."""
+
+    request: Any
+    job_id: str
+
+
+class CheckHealth(Command, frozen=True):
+    """The load balancer asks whether this controller should be sent users."""
+
+    request: Any
+
+
+class GetStatus(Command, frozen=True):
+    """An operator asks for this controller's status."""
+
+    request: Any
+
+
+class ReceiveHeartbeat(Command, frozen=True):
+    """A worker sent a heartbeat."""
+
+    request: Any
+    heartbeat: Heartbeat
+
+
+class ReceivePeerMessages(Command, frozen=True):
+    """A peer sent messages.
+
+    `since` is the revision up to which it knows all cancellations; -1 if it does not say.
+    """
+
+    request: Any
+    sender: str
+    messages: list[PeerMessage]
+    since: int = -1
+
+
+# --- commands: news of the store, the cloud and the peers ---------------------------------------
+
+
+class OperationDone(Command, frozen=True):
+    """An operation ended: `status` is an HTTP status, or the outcome of worker commands.
+
+    Status 0 means that it isn't known whether the operation was carried out.
+    """
+
+    operation: int
+    status: int | str
+    result: Any
+
+
+class LoadSnapshot(Command, frozen=True):
+    """All records of the store, as (key, value, mod revision), read from `asked_at` on."""
+
+    rows: list[tuple[str, Any, int]]
+    revision: int
+    asked_at: float
+
+
+class ApplyWatchEvents(Command, frozen=True):
+    """Changes in the store, as (key, value or None, mod revision), asked for at `asked_at`."""
+
+    events: list[tuple[str, Any, int]]
+    revision: int
+    asked_at: float
+
+
+class UpdateMachineTypes(Command, frozen=True):
+    """The cloud's current catalogue."""
+
+    types: list[MachineType]
+
+
+class PeerAnswered(Command, frozen=True):
+    """A peer answered a request sent at `asked_at`.
+
+    It names the jobs cancelled since the revision that the request named, up to `until`; -1 if it
+    can't say up to where its list is complete. `store_age_s` is how old its records are.
+    """
+
+    controller_id: str
+    incarnation: int
+    store_age_s: float
+    cancelled: list[str]
+    asked_at: float
+    until: int = -1
+
+
+class PeerRestarted(Command, frozen=True):
+    """A peer answered as another incarnation than before."""
+
+    controller_id: str
+
+
+class ResendViews(Command, frozen=True):
+    """Views of these machines may not have reached a peer."""
+
+    controller_id: str
+    machines: list[str]
+
+
+class BorrowQuota(Command, frozen=True):
+    """This controller lacks so many store changes of its share of the rate."""
+
+    changes: float
+
+
+# --- effects: answers and messages --------------------------------------------------------------
+
+
+class Answer(Effect, frozen=True):
+    """Answer a request; `body` is a tagged tuple."""
+
+    request: Any
+    status: int
+    body: tuple[Any, ...]
+
+
+class SendToPeer(Effect, frozen=True):
+    """Send a message to a peer."""
+
+    controller_id: str
+    message: PeerMessage
+
+
+class LendQuota(Effect, frozen=True):
+    """Give a peer up to so many store changes of our share of the rate, if they can be spared."""
+
+    controller_id: str
+    changes: float
+
+
+class CreditQuota(Effect, frozen=True):
+    """Add store changes that a peer lent to our share of the rate."""
+
+    changes: float
+
+
+class SendWorkerCommands(Effect, frozen=True):
+    """Send commands to a worker directly; the outcome is ok, refused, unsent or lost."""
+
+    operation: int
+    addr: str
+    fencing_token: int
+    agent_epoch: int
+    commands: list[dict[str, Any]]
+
+
+# --- effects: operations on the store -----------------------------------------------------------
+
+
+class StoreOperation(Effect, frozen=True):
+    """An operation on the store."""
+
+    operation: int
+
+
+class Transaction(StoreOperation, frozen=True):
+    """Compare and write; a smaller `priority` goes first."""
+
+    conditions: list[Condition]
+    writes: list[Write]
+    priority: int
+
+
+class ReadKey(StoreOperation, frozen=True):
+    """Read a key."""
+
+    key: str
+    priority: int
+
+
+class GrantLease(StoreOperation, frozen=True):
+    """Create a lease."""
+
+    ttl_s: float
+
+
+class RenewLease(StoreOperation, frozen=True):
+    """Keep a lease alive."""
+
+    lease: int
+
+
+# --- effects: operations on the cloud -----------------------------------------------------------
+
+
+class CloudOperation(Effect, frozen=True):
+    """An operation on the cloud."""
+
+    operation: int
+
+
+class ListInstances(CloudOperation, frozen=True):
+    """Read the list of all instances."""
+
+
+class RentInstances(CloudOperation, frozen=True):
+    """Rent instances; repeating `name` never rents twice."""
+
+    name: str
+    type_name: str
+    zone: str
+    spot: bool
+    count: int
+
+
+class ReturnInstances(CloudOperation, frozen=True):
+    """Return instances."""
+
+    names: list[str]
--- /dev/null
+++ b/oakmux/core/peers/__init__.py
@@ -0,0 +1,1 @@
+"""The link to the other controllers: messages, and the replication of machines' state."""
--- /dev/null
+++ b/oakmux/core/peers/machine_views.py
@@ -0,0 +1,139 @@
+"""Replication of machines' state to the peers: each machine's manager sends what it was told.
+
+Owners of teams and of the fleet plan with the views of all managers, so a machine that a peer does
+not know of is capacity that it can't use.
+"""
+
+import bisect
+import math
+from collections.abc import Sequence
+
+from oakmux import constants
+from oakmux.core.agents.heartbeats import HeartbeatHandler, apply_heartbeat, hold_image
+from oakmux.core.context import Context
+from oakmux.core.machine import Machine
+from oakmux.core.messages import PeerRestarted, ResendViews
+from oakmux.core.model import Heartbeat
+from oakmux.core.peer_messages import MachinesAlive, MachineView
+
+
+class MachineViews:
+    """Sends the views of machines that report to us, and takes those of peers."""
+
+    def __init__(self, context: Context, heartbeats: HeartbeatHandler) -> None:
+        self.context = context
+        self.heartbeats = heartbeats
+        self.peers = [member.controller_id for member in context.settings.peers]
+        # The machine whose view was repeated last; the next ones by name are next.
+        self.last_repeated = ""
+
+    def send(self, name: str, peers: Sequence[str], with_images: bool = False) -> None:
+        """Send the view of a machine, if it reports to us."""
+        context = self.context
+        machine = context.machines.get(name)
+        if machine is None or machine.manager != context.label:
+            return
+        view = self._view(machine, with_images)
+        for peer in peers:
+            context.send(peer, view)
+
+    def _view(self, machine: Machine, with_images: bool) -> MachineView:
+        notice_s = None
+        if machine.notice_at is not None:
+            notice_s = max(0.0, machine.notice_at - self.context.now)
+        tasks = self.heartbeats.visible_tasks(machine)
+        return MachineView(
+            machine.manager_term,
+            machine.name,
+            machine.addr,
+            machine.type,
+            machine.zone,
+            machine.spot,
+            machine.agent_epoch,
+            machine.sequence,
+            machine.fencing_token,
+            notice_s,
+            [[*task, *state] for task, state in tasks.items()],
+            list(machine.images.items()) if with_images else [],
+        )
+
+    def send_to_all(self, name: str) -> None:
+        """Send the view of a machine to all peers, if it reports to us."""
+        self.send(name, self.peers)
+
+    def send_all(self, command: PeerRestarted) -> None:
+        """Send a peer that has just started the views of all machines that report to us."""
+        for machine in self.context.machines.values():
+            if machine.manager == self.context.label:
+                self.send(machine.name, [command.controller_id], with_images=True)
+
+    def resend(self, command: ResendViews) -> None:
+        """Send a peer again what was lost on the way."""
+        for name in command.machines:
+            self.send(name, [command.controller_id])
+
+    def announce_alive(self) -> None:
+        """Tell the peers of which machines we had recent heartbeats; repeat some of the views."""
+        context = self.context
+        recent_s = 2 * constants.PEER_HEARTBEAT_S + context.facts.workers.heartbeat_interval_s
+        alive = [
+            machine.name
+            for machine in context.machines.values()
+            if machine.manager == context.label
+            and context.now - machine.last_heartbeat_at < recent_s
+        ]
+        message = MachinesAlive(alive)
+        for peer in self.peers:
+            context.send(peer, message)
+        self._repeat(sorted(alive))
+
+    def _repeat(self, names: list[str]) -> None:
+        """Send some views again, in turn, also where nothing changed.
+
+        A peer that heard a machine for a moment, of which we knew nothing then, would take it for
+        one that does not receive our answers, and leave its capacity unused for ever.
+        """
+        count = math.ceil(len(names) * constants.PEER_HEARTBEAT_S / constants.VIEW_RESEND_S)
+        first = bisect.bisect_right(names, self.last_repeated)
+        chosen = names[first : first + count]
+        for name in chosen:
+            self.send_to_all(name)
+        self.last_repeated = chosen[-1] if len(chosen) == count and chosen else ""
+
+    def take_alive(self, sender: str, message: MachinesAlive) -> None:
+        """Note that machines reported to a peer of late."""
+        for name in message.machines:
+            machine = self.context.machines.get(name)
+            if machine is not None and machine.manager == sender:
+                self.context.note_heartbeat(machine)
+
+    def take(self, sender: str, view: MachineView) -> None:
+        """Take over a peer's view of a machine unless it is older than what we know."""
+        context = self.context
+        machine = context.machines.get(view.machine)
+        if machine is not None:
+            version = (view.agent_epoch, view.sequence)
+            newer = version > machine.version
+            same = version == machine.version and machine.manager == sender
+            if not newer and not same:
+                return
+        elif (
+            view.machine in context.replica.terminated_machines
+            or view.machine in context.terminated
+        ):
+            return
+        heartbeat = Heartbeat(
+            view.machine,
+            view.addr,
+            view.type,
+            view.zone,
+            view.spot,
+            view.agent_epoch,
+            view.sequence,
+            view.fencing_token,
+            view.notice_s,
+            {(row[0], row[1]): (row[2], row[3], row[4]) for row in view.tasks},
+        )
+        apply_heartbeat(context, heartbeat, sender, view.term)
+        for image, size_gb in view.images:
+            hold_image(context, context.machines[view.machine], image, size_gb)
--- a/oakmux/core/scheduling/backfill_planner.py
+++ b/oakmux/core/scheduling/backfill_planner.py
@@ -3,8 +3,9 @@
 import math
 
 from oakmux import constants
-from oakmux.core.context import Context, event
+from oakmux.core.context import Context
 from oakmux.core.model import JobSpec
+from oakmux.core.peer_messages import AnnounceBackfill
 from oakmux.core.resources import Resources
 from oakmux.core.scheduling.backfill_candidates import candidates_for
 from oakmux.core.scheduling.backfill_plan import BackfillPlan, choose_plan
@@ -14,6 +15,7 @@
 from oakmux.core.scheduling.queue_order import is_starving
 from oakmux.core.state.formats import FORMAT_COMPACT
 from oakmux.core.state.records import Job
+from oakmux.logs import event
 
 
 class BackfillPlanner:
@@ -129,6 +131,6 @@
             self.context.label,
             *(peer.controller_id for peer in self.context.settings.peers),
         ):
-            self.context.emit(
-                "send", label, ("opening", job.id, job.priority, job.since, machines, ready_s)
+            self.context.send(
+                label, AnnounceBackfill(job.id, job.priority, job.since, machines, ready_s)
             )
--- a/oakmux/core/scheduling/backfill_reservations.py
+++ b/oakmux/core/scheduling/backfill_reservations.py
@@ -5,6 +5,7 @@
 from oakmux import constants
 from oakmux.core.context import Context
 from oakmux.core.model import JobSpec
+from oakmux.core.peer_messages import AnnounceBackfill
 from oakmux.core.scheduling.queue_order import is_starving
 from oakmux.core.state.records import Job
 
@@ -30,20 +31,19 @@
         self.by_job: dict[str, BackfillReservation] = {}
         self.by_machine: dict[str, str] = {}
 
-    def announced(
-        self, job_id: str, priority: int, submitted_ms: float, machines: list[str], ready_s: float
-    ) -> None:
+    def announced(self, message: AnnounceBackfill) -> None:
         """Replace a gang's reservation by what its controller announced; no machines end it."""
         now = self.context.now
+        job_id, machines = message.job_id, message.machines
         self.by_job.pop(job_id, None)
         for other in [other for other, row in self.by_job.items() if row.until <= now]:
             del self.by_job[other]
         if machines and len(self.by_job) < constants.BACKFILL_MAX_RESERVATIONS:
             self.by_job[job_id] = BackfillReservation(
-                priority,
-                submitted_ms,
+                message.priority,
+                message.submitted_ms,
                 now + constants.BACKFILL_RESERVATION_TTL_S,
-                now + ready_s,
+                now + message.ready_s,
                 frozenset(machines),
             )
         self.by_machine = {}
--- a/oakmux/core/scheduling/binding.py
+++ b/oakmux/core/scheduling/binding.py
@@ -10,8 +10,10 @@
 from oakmux.core.agents.capacity import free_resources, is_schedulable
 from oakmux.core.agents.manager import AgentManager
 from oakmux.core.agents.termination import Termination, prove_termination
-from oakmux.core.context import Context, Machine, Task, event
+from oakmux.core.context import Context
+from oakmux.core.machine import Machine, Task
 from oakmux.core.model import JobSpec
+from oakmux.core.peer_messages import DeclineOffer, Offer
 from oakmux.core.scheduling.gangs import stop_attempt
 from oakmux.core.scheduling.pending_job import CapacityOffer, PendingJob
 from oakmux.core.scheduling.placement import choose_gang_offers, preference, zone_allowed
@@ -20,6 +22,7 @@
 from oakmux.core.state.formats import FORMAT_COMPACT
 from oakmux.core.state.records import Binding, Job
 from oakmux.core.state.write_buffer import WriteBuffer
+from oakmux.logs import event
 from oakmux.task_status import DONE, ERROR, RUNNING
 
 NOT_ACCEPTED = frozenset(("unknown", "busy", "no_room"))
@@ -100,18 +103,24 @@
 
     # --- offers ---
 
-    def offer(
-        self, name: str, job_id: str, offer_id: int, agent_epoch: int, term: int, manager: str
-    ) -> None:
+    def offer(self, offer: Offer) -> None:
         """Accept an agent manager's offer of capacity on a machine, or decline it."""
         context = self.context
-        machine = context.machines.get(name)
+        machine = context.machines.get(offer.machine)
         if machine is None or not self._accept_offer(
-            job_id,
+            offer.job_id,
             machine,
-            CapacityOffer(context.now, name, offer_id, agent_epoch, term, manager, machine.zone),
+            CapacityOffer(
+                context.now,
+                offer.machine,
+                offer.offer_id,
+                offer.agent_epoch,
+                offer.term,
+                offer.manager,
+                machine.zone,
+            ),
         ):
-            context.emit("send", manager, ("decline", name, offer_id))
+            context.send(offer.manager, DeclineOffer(offer.machine, offer.offer_id))
 
     def _accept_offer(self, job_id: str, machine: Machine, offer: CapacityOffer) -> bool:
         """Accept an offer unless the job or the machine can't use it any more."""
@@ -202,7 +211,7 @@
     def release(self, state: PendingJob) -> None:
         """Decline all offers that a job holds."""
         for offer in state.offers:
-            self.context.emit("send", offer.manager, ("decline", offer.machine, offer.offer_id))
+            self.context.send(offer.manager, DeclineOffer(offer.machine, offer.offer_id))
         state.offers = []
 
     def _bind(self, job: Job, indexes: list[int], offers: list[CapacityOffer]) -> None:
--- a/oakmux/core/scheduling/capacity_claims.py
+++ b/oakmux/core/scheduling/capacity_claims.py
@@ -3,7 +3,8 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from oakmux.core.context import Context, Machine
+from oakmux.core.context import Context
+from oakmux.core.machine import Machine
 from oakmux.core.model import JobSpec
 from oakmux.core.resources import NO_RESOURCES, Resources, subtract
 from oakmux.core.state.records import Job
--- a/oakmux/core/scheduling/machine_index.py
+++ b/oakmux/core/scheduling/machine_index.py
@@ -14,8 +14,9 @@
 
 from oakmux import constants
 from oakmux.core.agents.capacity import free_resources, is_schedulable
-from oakmux.core.context import Context, Machine
+from oakmux.core.context import Context
 from oakmux.core.instances import InstanceKind
+from oakmux.core.machine import Machine
 from oakmux.core.model import JobSpec, MachineType
 from oakmux.core.resources import Resources, task_capacity
 from oakmux.core.state.records import Job
--- a/oakmux/core/scheduling/placement.py
+++ b/oakmux/core/scheduling/placement.py
@@ -8,8 +8,10 @@
 
 from oakmux import constants
 from oakmux.core.agents.preemption import checkpoint_cost_s, plan_preemption
-from oakmux.core.context import Context, Machine
+from oakmux.core.context import Context
+from oakmux.core.machine import Machine
 from oakmux.core.model import JobSpec, MachineType, Priority
+from oakmux.core.peer_messages import Reserve
 from oakmux.core.resources import Resources, task_capacity
 from oakmux.core.scheduling import quotas
 from oakmux.core.scheduling.machine_index import MachineIndex, SampledMachine
@@ -158,7 +160,7 @@
 def reserve(context: Context, job: Job, tasks_by_machine: dict[str, int]) -> None:
     """Send a reservation for each machine to the machine's agent manager."""
     for name, number in tasks_by_machine.items():
-        context.emit("send", context.machines[name].manager, ("reserve", name, job.id, number))
+        context.send(context.machines[name].manager, Reserve(name, job.id, number))
 
 
 def preemption_budget_s(context: Context, spec: JobSpec, machine: Machine) -> float:
@@ -169,7 +171,7 @@
     """
     fetch = fetch_s(context, spec, machine)
     slow = fetch * constants.FETCH_TIME_FACTOR
-    if any(within < slow for within in context.start_objectives.get(spec.job_class, ())):
+    if any(within < slow for within in context.objectives.start_s.get(spec.job_class, ())):
         return fetch + constants.OBJECTIVE_WORTH_S
     return fetch
 
@@ -193,7 +195,7 @@
         state.preempt_at = max(
             state.preempt_at, context.now + constants.PREEMPTION_RETRY_S + saving
         )
-        context.emit("send", machine.manager, ("reserve", machine.name, job.id, 1, True))
+        context.send(machine.manager, Reserve(machine.name, job.id, 1, True))
     return [option.machine.name for option in options[:wanted]]
 
 
--- a/oakmux/core/scheduling/queue_order.py
+++ b/oakmux/core/scheduling/queue_order.py
@@ -53,7 +53,7 @@
 
 def misses_objective(context: Context, job: Job, spec: JobSpec) -> bool:
     """Whether by its estimate an array can't meet its class's finish objective any more."""
-    within_s = context.finish_objectives.get(spec.job_class)
+    within_s = context.objectives.finish_s.get(spec.job_class)
     return (
         spec.kind == "array"
         and within_s is not None
@@ -64,7 +64,7 @@
 
 def is_aged(context: Context, job: Job, spec: JobSpec) -> bool:
     """Whether a job has waited for so long that it is granted a minimum share of capacity."""
-    objectives_s = context.start_objectives.get(spec.job_class)
+    objectives_s = context.objectives.start_s.get(spec.job_class)
     patience_s = (
         constants.AGED_OBJECTIVES * max(objectives_s) if objectives_s else constants.AGED_S
     )
--- a/oakmux/core/scheduling/sampling.py
+++ b/oakmux/core/scheduling/sampling.py
@@ -6,7 +6,8 @@
 from typing import NamedTuple
 
 from oakmux import constants
-from oakmux.core.context import Context, Machine
+from oakmux.core.context import Context
+from oakmux.core.machine import Machine
 from oakmux.core.model import JobSpec
 from oakmux.core.resources import Usage, task_capacity
 from oakmux.core.scheduling.binding import Binder
@@ -347,11 +348,11 @@
         fetch_s = self.context.fetch_s(spec, machine.type)
         slow_fetch_s = fetch_s * constants.FETCH_TIME_FACTOR
         wait_s = fetch_s * constants.IMAGE_WAIT_SHARE
-        for within_s in self.context.start_objectives.get(spec.job_class, ()):
+        for within_s in self.context.objectives.start_s.get(spec.job_class, ()):
             if (
                 fetch_s / constants.FETCH_TIME_FACTOR < within_s
             ):  # a fetch now may meet the objective
                 wait_s = min(wait_s, max(0.0, within_s - slow_fetch_s))
-        if self.context.guarantee_objective_s is not None:
-            wait_s = min(wait_s, self.context.guarantee_objective_s / 2)
+        if self.context.objectives.guarantee_s is not None:
+            wait_s = min(wait_s, self.context.objectives.guarantee_s / 2)
         return wait_s
--- a/oakmux/core/state/record_writer.py
+++ b/oakmux/core/state/record_writer.py
@@ -8,10 +8,12 @@
 from typing import Any
 
 from oakmux import constants
-from oakmux.core.context import Context, event
+from oakmux.core import messages
+from oakmux.core.context import Context
 from oakmux.core.state.transaction_builder import TransactionBuilder
 from oakmux.core.state.transactions import Put, Transaction
 from oakmux.core.state.write_buffer import WriteBuffer
+from oakmux.logs import event
 
 
 class RecordWriter:
@@ -53,7 +55,7 @@
         self.in_flight += 1
         self.context.call(
             lambda status, result: self._on_outcome(transaction, status, result),
-            "txn",
+            messages.Transaction,
             list(transaction.conditions.items()),
             transaction.writes,
             1,
@@ -97,7 +99,9 @@
     def _read_again(self, keys: Iterable[str]) -> None:
         """Read records whose state in the store is not known."""
         for key in keys:
-            self.context.call(lambda s, r, key=key: self._on_record(key, s, r), "get", key, 1)
+            self.context.call(
+                lambda s, r, key=key: self._on_record(key, s, r), messages.ReadKey, key, 1
+            )
 
     def _on_record(self, key: str, status: int, result: Any) -> None:
         if status == 200:
--- a/oakmux/schedules/api.py
+++ b/oakmux/schedules/api.py
@@ -12,10 +12,13 @@
 import msgspec
 
 from oakmux import constants
-from oakmux.core.context import Context, event
+from oakmux.core import messages
+from oakmux.core.context import Context
 from oakmux.core.state.formats import value_bytes, value_limit
+from oakmux.logs import event
 from oakmux.schedules import templates, zones
 from oakmux.schedules.firings import Rule, RuleError, cron_rule, mark_at
+from oakmux.schedules.messages import ServeScheduleRequest
 from oakmux.schedules.queries import RefusedError, ScheduleQueries
 from oakmux.schedules.records import (
     CATCH_UPS,
@@ -76,8 +79,9 @@
 
     # --- requests ---
 
-    def request(self, rid: Any, operation: str, args: dict) -> None:
+    def request(self, command: ServeScheduleRequest) -> None:
         """Serve a request; answers at once, or when what it writes is written."""
+        rid, operation, args = command.request, command.operation, command.args
         context = self.context
         serve = self.operations.get(operation)
         if serve is None or not isinstance(args, dict):
@@ -101,7 +105,7 @@
             self._error(rid, RefusedError(400, f"bad request: {error!r}"[: constants.NOTE_CHARS]))
 
     def _error(self, rid: Any, error: RefusedError) -> None:
-        self.context.emit("answer", rid, error.status, ("error", str(error)))
+        self.context.answer(rid, error.status, ("error", str(error)))
 
     def tick(self) -> None:
         """Go on with what waits for newer records."""
@@ -169,7 +173,7 @@
             else:
                 self._error(rid, RefusedError(503, "not known to be written"))
 
-        self.context.call(done, "txn", list(guards.items()), writes, 0)
+        self.context.call(done, messages.Transaction, list(guards.items()), writes, 0)
 
     # --- templates ---
 
--- a/oakmux/schedules/dav/serve.py
+++ b/oakmux/schedules/dav/serve.py
@@ -17,11 +17,13 @@
 
 from oakmux import constants, settings
 from oakmux.codec.cbor import decode
+from oakmux.core.messages import Command
 from oakmux.schedules import calendars
 from oakmux.schedules.dav import xml
 from oakmux.schedules.dav.protocol import DavProtocol, DavRequest
 from oakmux.schedules.dav.tokens import Tokens, credentials
 from oakmux.schedules.dav.xml import CAL, CS, DAV, Multistatus, Prop, element, href
+from oakmux.schedules.messages import ServeScheduleRequest
 from oakmux.transport.http_server import Request, ServerProtocol
 
 log = logging.getLogger("oakmux.dav")
@@ -71,7 +73,7 @@
 class Dav:
     """Serves calendars' clients."""
 
-    def __init__(self, offer: Callable[[tuple], bool], tokens: Tokens) -> None:
+    def __init__(self, offer: Callable[[Command], bool], tokens: Tokens) -> None:
         self.offer = offer
         self.tokens = tokens
         self.tasks: set[asyncio.Task] = set()
@@ -152,7 +154,7 @@
     async def _ask(self, operation: str, **args: Any) -> dict:
         """Ask the core; raises Failed unless it says yes."""
         future = asyncio.get_running_loop().create_future()
-        if not self.offer(("schedules", Reply(future), operation, args)):
+        if not self.offer(ServeScheduleRequest(Reply(future), operation, args)):
             raise Failed(503, Retry_After=str(constants.RETRY_AFTER_S))
         status, body = await future
         if status in (200, 201):
--- a/oakmux/schedules/dispatcher.py
+++ b/oakmux/schedules/dispatcher.py
@@ -14,9 +14,11 @@
 from typing import Any, NamedTuple
 
 from oakmux import constants
-from oakmux.core.context import Context, event
+from oakmux.core import messages
+from oakmux.core.context import Context
 from oakmux.core.state.codecs import encode_job
 from oakmux.core.state.keys import job_key, role_key
+from oakmux.logs import event
 from oakmux.schedules import policy, records, templates
 from oakmux.schedules.firing_plan import DueFirings, FiringBatch, FiringPlan, Urgency
 from oakmux.schedules.firings import Firing, mark_at
@@ -352,7 +354,7 @@
         held = self.held
         self.context.call(
             lambda s, r: self._sent(batch, write[1], held, s, r),
-            "txn",
+            messages.Transaction,
             list(guards.items()),
             [write, *batch.writes],
             constants.FIRING_WRITE_PRIORITY,
--- a/oakmux/schedules/plugin.py
+++ b/oakmux/schedules/plugin.py
@@ -12,8 +12,10 @@
 from oakmux.codec.cbor import Malformed, decode, encode
 from oakmux.core.context import Context
 from oakmux.core.controller import Subsystem
+from oakmux.core.messages import Command
 from oakmux.schedules import zones
 from oakmux.schedules.dav import tokens
+from oakmux.schedules.messages import ServeScheduleRequest, SetTimeOfDay
 from oakmux.schedules.subsystem import SchedulesSubsystem
 from oakmux.transport.http_server import Request
 
@@ -35,12 +37,12 @@
 class Plugin:
     """Schedules, outside the core."""
 
-    parts: Sequence[Callable[[Context], Subsystem]] = (SchedulesSubsystem,)
+    subsystems: Sequence[Callable[[Context], Subsystem]] = (SchedulesSubsystem,)
 
     def __init__(self, caldav: CalDav | None) -> None:
         self.caldav = caldav
 
-    def paths(self, offer: Callable[[tuple], bool]) -> dict[str, Callable[[Request, str], None]]:
+    def paths(self, offer: Callable[[Command], bool]) -> dict[str, Callable[[Request, str], None]]:
         """Serve requests of the command line at the public address."""
 
         def serve(request: Request, operation: str) -> None:
@@ -49,12 +51,12 @@
             except Malformed as error:
                 request.respond(400, encode({"error": str(error)}))
                 return
-            if not offer(("schedules", request, operation, args)):
+            if not offer(ServeScheduleRequest(request, operation, args)):
                 request.respond(503, encode({"error": "busy"}), constants.RETRY_AFTER_S)
 
         return {PATH: serve}
 
-    async def start(self, offer: Callable[[tuple], bool], most: int) -> None:
+    async def start(self, offer: Callable[[Command], bool], most: int) -> None:
         """Open the listener for calendars' clients, if there is to be one."""
         if self.caldav is not None:
             from oakmux.schedules.dav.serve import Dav  # brings what reads calendars and XML
@@ -63,9 +65,9 @@
                 self.caldav.listen, self.caldav.context, max(1, most // 4)
             )
 
-    def tick(self) -> list[tuple]:
+    def tick(self) -> list[Command]:
         """Tell the core the time of day."""
-        return [("time", int(time.time() * 1000))]
+        return [SetTimeOfDay(int(time.time() * 1000))]
 
 
 def load(path: str) -> Plugin:
--- a/oakmux/schedules/queries.py
+++ b/oakmux/schedules/queries.py
@@ -30,7 +30,7 @@
 
     def say(self, rid: Any, body: dict, status: int = 200) -> None:
         """Answer a request."""
-        self.context.emit("answer", rid, status, ("schedules", body))
+        self.context.answer(rid, status, ("schedules", body))
 
     # --- names ---
 
--- a/oakmux/schedules/replay/model.py
+++ b/oakmux/schedules/replay/model.py
@@ -16,6 +16,7 @@
 
 from oakmux import constants
 from oakmux.core.context import Context
+from oakmux.core.messages import Transaction
 from oakmux.core.model import MachineType
 from oakmux.core.state.codecs import encode_job
 from oakmux.core.state.keys import PREFIX, role_key
@@ -116,6 +117,7 @@
         model.tick_s.append(time.perf_counter() - begin)
         effects, context.effects = context.effects, []
         for effect in effects:
+            assert isinstance(effect, Transaction)  # schedules ask for nothing else
             self.send(effect, incarnation)
         self.awake_at = 0.0
         if dispatcher.due or dispatcher.to_plan or dispatcher.shards_in_flight:
@@ -126,11 +128,11 @@
             rest = min(rest, dispatcher.heap[0][0] / 1000 - model.start - model.now - self.ahead)
         self.wake(max(constants.TICK_S, rest))
 
-    def send(self, effect: tuple, incarnation: int) -> None:
+    def send(self, transaction: Transaction, incarnation: int) -> None:
         """Carry a transaction to the state service, and its outcome back if there is one."""
-        _, number, guards, writes, _ = effect
+        conditions, writes = transaction.conditions, transaction.writes
         model = self.model
-        then = self.context.ops.pop(number)
+        then = self.context.operations.pop(transaction.operation)
 
         def answer(status: int, result: Any) -> None:
             if incarnation == self.incarnation:
@@ -139,7 +141,7 @@
                 self.wake(0.0)
 
         def arrive() -> None:
-            outcome = model.write(guards, writes)
+            outcome = model.write(conditions, writes)
             if not lost:
                 model.after(model.rng.uniform(*WAY), lambda: answer(*outcome))
 
--- a/oakmux/schedules/subsystem.py
+++ b/oakmux/schedules/subsystem.py
@@ -1,10 +1,11 @@
 """The part of a controller that keeps schedules; made only where they are switched on."""
 
-from collections.abc import Callable
-
 from oakmux.core.context import Context
+from oakmux.core.controller import CommandHandler
+from oakmux.core.messages import Command
 from oakmux.schedules.api import ScheduleApi
 from oakmux.schedules.dispatcher import CLOCK_ROLE, FiringDispatcher
+from oakmux.schedules.messages import ServeScheduleRequest, SetTimeOfDay
 from oakmux.schedules.records import KIND, RESERVED, Store
 from oakmux.schedules.wall_clock import WallClock
 
@@ -21,9 +22,9 @@
         context.replica.namespaces[KIND] = self.store
         context.extra_roles.append(CLOCK_ROLE)
         context.reserved = RESERVED
-        self.commands: dict[str, Callable[..., None]] = {
-            "time": self.wall_clock.synchronize,
-            "schedules": self.api.request,
+        self.commands: dict[type[Command], CommandHandler] = {
+            SetTimeOfDay: lambda command: self.wall_clock.synchronize(command.time_ms),
+            ServeScheduleRequest: self.api.request,
         }
 
     def tick(self) -> None:
--- a/oakmux/schedules/wall_clock.py
+++ b/oakmux/schedules/wall_clock.py
@@ -1,7 +1,8 @@
 """The time of day, which schedules are written in."""
 
 from oakmux import constants
-from oakmux.core.context import Context, event
+from oakmux.core.context import Context
+from oakmux.logs import event
 
 
 class WallClock:
--- a/oakmux/service.py
+++ b/oakmux/service.py
@@ -13,8 +13,11 @@
 import msgspec
 
 from oakmux import constants, settings
+from oakmux.core import messages
 from oakmux.core.context import Context
 from oakmux.core.controller import Controller, Subsystem
+from oakmux.core.messages import Command, Effect
+from oakmux.core.peer_messages import LendChanges
 from oakmux.transport.cloud_client import CloudClient
 from oakmux.transport.http_server import Request, ServerProtocol
 from oakmux.transport.peer_client import PeerClient
@@ -30,15 +33,15 @@
 class Plugin(Protocol):
     """A subsystem that is switched on, outside the core."""
 
-    parts: Sequence[Callable[[Context], Subsystem]]
+    subsystems: Sequence[Callable[[Context], Subsystem]]
 
-    def paths(self, offer: Callable[[tuple], bool]) -> dict[str, Callable[[Request, str], None]]:
+    def paths(self, offer: Callable[[Command], bool]) -> dict[str, Callable[[Request, str], None]]:
         """Return who serves further paths of the public address, by how they begin."""
 
-    async def start(self, offer: Callable[[tuple], bool], most: int) -> None:
+    async def start(self, offer: Callable[[Command], bool], most: int) -> None:
         """Open what it listens on, for at most so many connections."""
 
-    def tick(self) -> list[tuple]:
+    def tick(self) -> list[Command]:
         """Return commands for the core, ten times a second."""
 
 
@@ -51,9 +54,9 @@
         self.loop = asyncio.get_running_loop()
         wall = int(time.time() * 1000) - int(self.loop.time() * 1000)
         self.core = Controller(
-            conf, random.Random(), wall, [part for plugin in plugins for part in plugin.parts]
+            conf, random.Random(), wall, [make for plugin in plugins for make in plugin.subsystems]
         )
-        self.commands: list[tuple] = []
+        self.commands: list[Command] = []
         self.scheduled = False
         self.tasks: set[asyncio.Task] = set()
         self.front = RequestRouter(self.offer)
@@ -74,14 +77,14 @@
             for m in conf.peers
         }
 
-    def offer(self, command: tuple) -> bool:
+    def offer(self, command: Command) -> bool:
         """Queue a command from outside unless too many wait."""
         if len(self.commands) >= constants.MAX_QUEUED_COMMANDS:
             return False
         self.put(command)
         return True
 
-    def put(self, command: tuple) -> None:
+    def put(self, command: Command) -> None:
         """Queue a command; all that come within a moment are worked through together."""
         self.commands.append(command)
         if not self.scheduled:
@@ -96,29 +99,33 @@
             try:
                 self.carry_out(effect)
             except Exception:  # one effect must not end the process
-                log.exception("event=effect_failed kind=%s", effect[0])
-
-    def carry_out(self, effect: tuple) -> None:
-        """Hand one effect to the part that it is for."""
-        kind = effect[0]
-        if kind == "answer":
-            self.front.answer(*effect[1:])
-        elif kind == "send":
-            peer = self.peers.get(effect[1])
-            if peer is not None:
-                peer.send(effect[2])
-        elif kind == "lend":
-            given = self.state.lend(effect[2])
-            if given and effect[1] in self.peers:
-                self.peers[effect[1]].send(("lent", given))
-        elif kind == "credit":
-            self.state.credit(effect[1])
-        elif kind == "orders":
-            self.spawn(self.workers.send_commands(*effect[1:]))
-        elif kind == "cloud":
-            self.spawn(self.cloud.carry_out(*effect[1:]))
-        else:
-            self.state.submit(*effect)
+                log.exception("event=effect_failed kind=%s", type(effect).__name__)
+
+    def carry_out(self, effect: Effect) -> None:
+        """Hand one effect to the client of its counterpart."""
+        match effect:
+            case messages.Answer(request, status, body):
+                self.front.answer(request, status, body)
+            case messages.SendToPeer(controller_id, message):
+                if controller_id in self.peers:
+                    self.peers[controller_id].send(message)
+            case messages.LendQuota():
+                self._lend_quota(effect)
+            case messages.CreditQuota(changes):
+                self.state.credit(changes)
+            case messages.SendWorkerCommands():
+                self.spawn(self.workers.send_commands(effect))
+            case messages.CloudOperation():
+                self.spawn(self.cloud.carry_out(effect))
+            case messages.StoreOperation():
+                self.state.submit(effect)
+            case _:
+                raise TypeError(f"unknown effect {effect!r}")
+
+    def _lend_quota(self, effect: messages.LendQuota) -> None:
+        lent = self.state.lend(effect.changes)
+        if lent and effect.controller_id in self.peers:
+            self.peers[effect.controller_id].send(LendChanges(lent))
 
     def spawn(self, work: Coroutine) -> None:
         """Run something in the background and keep it from being collected."""
--- a/oakmux/transport/cloud_client.py
+++ b/oakmux/transport/cloud_client.py
@@ -3,7 +3,6 @@
 import asyncio
 import logging
 from collections.abc import Awaitable, Callable
-from enum import StrEnum
 from typing import Any
 from urllib.parse import quote
 
@@ -20,6 +19,7 @@
     rental_body,
     return_body,
 )
+from oakmux.core import messages
 from oakmux.core.instances import ListedInstance
 from oakmux.settings import Settings
 from oakmux.transport.http_client import Client, NoResponse, RequestNotSent
@@ -28,18 +28,10 @@
 log = logging.getLogger("oakmux.cloud")
 
 
-class CloudCall(StrEnum):
-    """What a call asks of the cloud."""
-
-    LIST = "list"
-    RENT = "rent"
-    RETURN = "return"
-
-
 class CloudClient:
     """Carries out the core's calls one after another as the rate allows."""
 
-    def __init__(self, settings: Settings, put: Callable[[tuple], None]) -> None:
+    def __init__(self, settings: Settings, put: Callable[[messages.Command], None]) -> None:
         self.addr = settings.services.cloud
         self.put = put
         # One controller holds the fleet role; the others only read the catalogue now and then.
@@ -48,10 +40,12 @@
         )
         self.turn = asyncio.Lock()
         self.client = Client(constants.CLOUD_CONNECTIONS)
-        self._handlers: dict[str, Callable[..., Awaitable[tuple[int, Any]]]] = {
-            CloudCall.LIST: self._list,
-            CloudCall.RENT: self._rent,
-            CloudCall.RETURN: self._return,
+        self._handlers: dict[
+            type[messages.CloudOperation], Callable[[Any], Awaitable[tuple[int, Any]]]
+        ] = {
+            messages.ListInstances: self._list,
+            messages.RentInstances: self._rent,
+            messages.ReturnInstances: self._return,
         }
 
     async def _call(self, method: str, path: str, body: Any = None) -> tuple[int, Any]:
@@ -71,10 +65,11 @@
         )
         return status, decode(answer) if answer else None
 
-    async def carry_out(self, number: int, kind: str, *arguments: Any) -> None:
-        """Make one call and report its outcome to the core under a number."""
+    async def carry_out(self, operation: messages.CloudOperation) -> None:
+        """Make one call and report its outcome to the core."""
+        kind = type(operation).__name__
         try:
-            status, result = await self._handlers[kind](*arguments)
+            status, result = await self._handlers[type(operation)](operation)
         except RequestNotSent:
             status, result = 503, None
         except (NoResponse, Malformed) as error:
@@ -83,9 +78,9 @@
         except Exception:
             log.exception("event=cloud_failed kind=%s", kind)
             status, result = 0, None
-        self.put(("done", number, status, result))
+        self.put(messages.OperationDone(operation.operation, status, result))
 
-    async def _list(self) -> tuple[int, Any]:
+    async def _list(self, _: messages.ListInstances) -> tuple[int, Any]:
         rows: list[ListedInstance] = []
         since = ""
         while True:
@@ -101,17 +96,22 @@
                 return 200, rows
             since = items[-1].name
 
-    async def _rent(
-        self, name: str, type_name: str, zone: str, spot: bool, count: int
-    ) -> tuple[int, Any]:
-        body = rental_body(name, type_name, zone, spot, count)
+    async def _rent(self, operation: messages.RentInstances) -> tuple[int, Any]:
+        body = rental_body(
+            operation.name,
+            operation.type_name,
+            operation.zone,
+            operation.spot,
+            operation.count,
+        )
         status, answer = await self._call("POST", PATH_INSTANCES, body)
         if status == 200:
             return 200, parse_rental(answer)
         return status, "no capacity" if is_no_capacity(answer) else None
 
-    async def _return(self, names: list[str]) -> tuple[int, Any]:
-        status, _ = await self._call("POST", PATH_RETURN, return_body(names))
+    async def _return(self, operation: messages.ReturnInstances) -> tuple[int, Any]:
+        body = return_body(operation.names)
+        status, _ = await self._call("POST", PATH_RETURN, body)
         return status, None
 
     async def catalogue(self) -> None:
@@ -121,7 +121,7 @@
             try:
                 status, answer = await self._call("GET", PATH_CATALOGUE)
                 if status == 200:
-                    self.put(("catalogue", parse_catalogue(answer)))
+                    self.put(messages.UpdateMachineTypes(parse_catalogue(answer)))
                     tries = 0
                     await asyncio.sleep(constants.CATALOGUE_INTERVAL_S)
                     continue
--- a/oakmux/transport/operation_queue.py
+++ b/oakmux/transport/operation_queue.py
@@ -2,43 +2,27 @@
 
 import asyncio
 import heapq
-from enum import StrEnum
-from typing import Any, NamedTuple
-
-
-class OperationKind(StrEnum):
-    """What an operation asks of the store."""
-
-    TRANSACTION = "txn"
-    READ = "get"
-    GRANT_LEASE = "grant"
-    RENEW_LEASE = "renew"
+from typing import NamedTuple
 
+from oakmux.core.messages import ReadKey, StoreOperation, Transaction
 
 LEASE_PRIORITY = -1
 """Priority of leases: before what users wait for (0) and all else."""
 
 
-class Operation(NamedTuple):
-    """An operation of the core; its outcome is reported under its number."""
+def priority_of(operation: StoreOperation) -> int:
+    """Return an operation's priority.
 
-    kind: str
-    number: int
-    arguments: tuple[Any, ...]
+    The lowest goes first; up to 0, users or other controllers wait for it.
+    """
+    if isinstance(operation, Transaction | ReadKey):
+        return operation.priority
+    return LEASE_PRIORITY
 
-    @property
-    def priority(self) -> int:
-        """The lowest goes first; up to 0, users or other controllers wait for it."""
-        if self.kind == OperationKind.TRANSACTION:
-            return self.arguments[2]
-        if self.kind == OperationKind.READ:
-            return self.arguments[1]
-        return LEASE_PRIORITY
 
-    @property
-    def writes(self) -> int:
-        """Number of the writes, which count against the store's limit of writes."""
-        return len(self.arguments[1]) if self.kind == OperationKind.TRANSACTION else 0
+def count_writes_of(operation: StoreOperation) -> int:
+    """Count an operation's writes, which count against the store's limit of writes."""
+    return len(operation.writes) if isinstance(operation, Transaction) else 0
 
 
 class QueuedOperation(NamedTuple):
@@ -48,7 +32,7 @@
     sequence: int
     queued_at: float
     writes: int
-    operation: Operation
+    operation: StoreOperation
 
 
 class OperationQueue:
--- a/oakmux/transport/peer_client.py
+++ b/oakmux/transport/peer_client.py
@@ -5,15 +5,22 @@
 from collections.abc import Callable
 
 from oakmux import constants
-from oakmux.codec.cbor import Malformed, encode
-from oakmux.codec.peers import PATH_PEERS, batch_body, parse_peer_answer
+from oakmux.codec.cbor import Malformed
+from oakmux.codec.peers import PATH_PEERS, decode_answer, encode_batch
+from oakmux.core import messages, peer_messages
+from oakmux.core.peer_messages import PeerMessage
 from oakmux.transport.http_client import Client, NoResponse, RequestNotSent
 from oakmux.transport.rate_limit import pause
 
 log = logging.getLogger("oakmux.peers")
 
 # Messages that nothing waits for, so that they may be gathered for longer.
-DEFERRABLE = frozenset(("view", "heard", "drain", "opening"))
+DEFERRABLE = (
+    peer_messages.MachineView,
+    peer_messages.MachinesAlive,
+    peer_messages.DrainMachines,
+    peer_messages.AnnounceBackfill,
+)
 
 
 class PeerClient:
@@ -24,7 +31,7 @@
         controller_id: str,
         peer: str,
         addr: str,
-        put: Callable[[tuple], None],
+        put: Callable[[messages.Command], None],
         cancellations_until: Callable[[], int],
     ) -> None:
         self.controller_id = controller_id
@@ -34,18 +41,18 @@
         # Returns the revision up to which this controller knows all cancellations.
         self.cancellations_until = cancellations_until
         self.client = Client(constants.PEER_CONNECTIONS)
-        self.outbox: list[tuple] = []
+        self.outbox: list[PeerMessage] = []
         self.woken = asyncio.Event()
         self.urgent = asyncio.Event()
         self.incarnation = -1
 
-    def send(self, message: tuple) -> None:
+    def send(self, message: PeerMessage) -> None:
         """Queue a message."""
         self.outbox.append(message)
         if len(self.outbox) > constants.PEER_OUTBOX:
             del self.outbox[: constants.PEER_OUTBOX // 2]
         self.woken.set()
-        if message[0] not in DEFERRABLE:
+        if not isinstance(message, DEFERRABLE):
             self.urgent.set()
 
     async def pump(self) -> None:
@@ -65,11 +72,17 @@
                 tries = 0
             except (RequestNotSent, NoResponse, Malformed) as error:
                 log.debug("event=peer_failed peer=%s why=%s", self.peer, error)
-                names = sorted({m[2] for m in batch + self.outbox if m[0] == "view"})
+                names = sorted(
+                    {
+                        message.machine
+                        for message in batch + self.outbox
+                        if isinstance(message, peer_messages.MachineView)
+                    }
+                )
                 self.outbox = []
                 await pause(tries)
                 tries = min(tries + 1, 3)
-                self.put(("resend", self.peer, names))
+                self.put(messages.ResendViews(self.peer, names))
             except Exception:
                 log.exception("event=peer_failed peer=%s", self.peer)
                 await pause(tries)
@@ -86,9 +99,9 @@
             await asyncio.sleep(constants.PEER_BATCH_WINDOW_S)
         self.urgent.clear()
 
-    async def _send(self, batch: list[tuple]) -> None:
+    async def _send(self, batch: list[PeerMessage]) -> None:
         requested_at = asyncio.get_running_loop().time()
-        body = encode(batch_body(self.controller_id, batch, self.cancellations_until()))
+        body = encode_batch(self.controller_id, batch, self.cancellations_until())
         status, answer = await self.client.request(
             self.addr,
             "POST",
@@ -99,18 +112,17 @@
         )
         if status != 200:
             raise NoResponse(f"status {status}")
-        reply = parse_peer_answer(answer)
+        reply = decode_answer(answer)
         if reply.incarnation != self.incarnation:
             self.incarnation = reply.incarnation
-            self.put(("peer_new", self.peer))
+            self.put(messages.PeerRestarted(self.peer))
         self.put(
-            (
-                "peer_alive",
+            messages.PeerAnswered(
                 self.peer,
                 reply.incarnation,
-                reply.records_age_s,
+                reply.store_age_s,
                 reply.cancelled,
                 requested_at,
-                reply.complete_until,
+                reply.until,
             )
         )
--- a/oakmux/transport/request_router.py
+++ b/oakmux/transport/request_router.py
@@ -7,7 +7,7 @@
 from oakmux import constants
 from oakmux.codec.answers import answer_body
 from oakmux.codec.cbor import Malformed, decode, encode
-from oakmux.codec.peers import PATH_PEERS, parse_batch
+from oakmux.codec.peers import PATH_PEERS, decode_batch
 from oakmux.codec.users import (
     CANCEL_SUFFIX,
     PATH_HEALTH,
@@ -17,6 +17,7 @@
     parse_job_id,
 )
 from oakmux.codec.workers import PATH_HEARTBEAT, parse_heartbeat
+from oakmux.core import messages
 from oakmux.core.model import JOB_ID
 from oakmux.transport.http_server import Request
 
@@ -35,11 +36,15 @@
 class RequestRouter:
     """Turns requests into commands of the core and its answers into responses."""
 
-    def __init__(self, put: Callable[[tuple], bool]) -> None:
+    def __init__(self, put: Callable[[messages.Command], bool]) -> None:
         self.put = put
         self._routes = {
-            PATH_HEALTH: Route("GET", lambda request: self._queue(request, "health", request)),
-            PATH_STATUS: Route("GET", lambda request: self._queue(request, "status", request)),
+            PATH_HEALTH: Route(
+                "GET", lambda request: self._queue(request, messages.CheckHealth(request))
+            ),
+            PATH_STATUS: Route(
+                "GET", lambda request: self._queue(request, messages.GetStatus(request))
+            ),
             PATH_HEARTBEAT: Route("POST", self._heartbeat),
             PATH_JOBS: Route("POST", self._submit),
         }
@@ -62,7 +67,7 @@
             constants.RETRY_AFTER_S if status == 503 else None,
         )
 
-    def _queue(self, request: Request, *command: object) -> None:
+    def _queue(self, request: Request, command: messages.Command) -> None:
         if not self.put(command):
             self.refuse(request, 503, "busy")
 
@@ -98,17 +103,27 @@
         """Return the route of a job, to query or to cancel it."""
         if rest.endswith(CANCEL_SUFFIX):
             job_id = rest.removesuffix(CANCEL_SUFFIX)
-            return Route("POST", lambda request: self._job(request, "cancel", job_id))
-        return Route("GET", lambda request: self._job(request, "query", rest))
+            return Route("POST", lambda request: self._cancel(request, job_id))
+        return Route("GET", lambda request: self._query(request, rest))
 
-    def _job(self, request: Request, kind: str, job_id: str) -> None:
+    def _query(self, request: Request, job_id: str) -> None:
+        if self._is_job_id(request, job_id, 404):
+            self._queue(request, messages.QueryJob(request, job_id))
+
+    def _cancel(self, request: Request, job_id: str) -> None:
+        if self._is_job_id(request, job_id, 400):
+            self._queue(request, messages.CancelJob(request, job_id))
+
+    def _is_job_id(self, request: Request, job_id: str, refusal: int) -> bool:
+        """Whether a path ends in a job id; answers with the status `refusal` if not."""
         if "/" in job_id:
             self.refuse(request, 404, "unknown path")
         elif not JOB_ID.match(job_id):
             # Nobody can have submitted such a job.
-            self.refuse(request, 400 if kind == "cancel" else 404, "not a job id")
+            self.refuse(request, refusal, "not a job id")
         else:
-            self._queue(request, kind, request, job_id)
+            return True
+        return False
 
     def _submit(self, request: Request) -> None:
         try:
@@ -122,7 +137,7 @@
             spec = parse_job(value)
         except Malformed as error:
             reason = str(error)
-        self._queue(request, "submit", request, job_id, spec, reason)
+        self._queue(request, messages.SubmitJob(request, job_id, spec, reason))
 
     def _heartbeat(self, request: Request) -> None:
         try:
@@ -130,7 +145,7 @@
         except Malformed as error:
             self.refuse(request, 400, str(error))
             return
-        self._queue(request, "report", request, heartbeat)
+        self._queue(request, messages.ReceiveHeartbeat(request, heartbeat))
 
     def internal(self, request: Request) -> None:
         """Serve the address for peers."""
@@ -141,15 +156,11 @@
             self.refuse(request, 405, "wrong method")
             return
         try:
-            batch = parse_batch(request.body)
+            batch = decode_batch(request.body)
         except Malformed as error:
             self.refuse(request, 400, str(error))
             return
         self._queue(
             request,
-            "peer",
-            request,
-            batch.controller_id,
-            batch.messages,
-            batch.cancellations_until,
+            messages.ReceivePeerMessages(request, batch.sender, batch.messages, batch.since),
         )
--- a/oakmux/transport/store_client.py
+++ b/oakmux/transport/store_client.py
@@ -24,15 +24,16 @@
     parse_watch_events,
     transaction_body,
 )
+from oakmux.core import messages
 from oakmux.core.state.formats import value_bytes
 from oakmux.core.state.keys import PREFIX
 from oakmux.settings import Settings
 from oakmux.transport.http_client import Client, NoResponse, RequestNotSent
 from oakmux.transport.operation_queue import (
-    Operation,
-    OperationKind,
     OperationQueue,
     QueuedOperation,
+    count_writes_of,
+    priority_of,
 )
 from oakmux.transport.rate_limit import BurstAllowance, TokenBucket, pause
 
@@ -48,7 +49,7 @@
 class StoreClient:
     """Carries out the core's operations within this controller's share of the rate limits."""
 
-    def __init__(self, settings: Settings, put: Callable[[tuple], None]) -> None:
+    def __init__(self, settings: Settings, put: Callable[[messages.Command], None]) -> None:
         self.addr = settings.services.store
         self.put = put
         limits = settings.facts.store.strictest
@@ -66,17 +67,18 @@
         )
         self.tasks: set[asyncio.Task] = set()
         self.refused: set[tuple[int, str]] = set()
-        self._handlers: dict[str, Callable[..., Awaitable[tuple[int, Any]]]] = {
-            OperationKind.TRANSACTION: self._transaction,
-            OperationKind.READ: self._read,
-            OperationKind.GRANT_LEASE: self._grant_lease,
-            OperationKind.RENEW_LEASE: self._renew_lease,
+        self._handlers: dict[
+            type[messages.StoreOperation], Callable[[Any], Awaitable[tuple[int, Any]]]
+        ] = {
+            messages.Transaction: self._transact,
+            messages.ReadKey: self._read_key,
+            messages.GrantLease: self._grant_lease,
+            messages.RenewLease: self._renew_lease,
         }
 
-    def submit(self, kind: str, number: int, *arguments: Any) -> None:
+    def submit(self, operation: messages.StoreOperation) -> None:
         """Queue an operation: leases first, then what users wait for, then the rest."""
-        operation = Operation(kind, number, arguments)
-        priority, writes = operation.priority, operation.writes
+        priority, writes = priority_of(operation), count_writes_of(operation)
         queue = self.writes if writes else self.reads
         if len(queue.heap) >= constants.MAX_QUEUED_COMMANDS:
             self._unavailable(operation)
@@ -88,9 +90,9 @@
         self.count += 1
         queue.push(QueuedOperation(priority, self.count, now, writes, operation))
 
-    def _unavailable(self, operation: Operation) -> None:
+    def _unavailable(self, operation: messages.StoreOperation) -> None:
         """Report that an operation was given up before it was sent."""
-        self.put(("done", operation.number, 503, None))
+        self.put(messages.OperationDone(operation.operation, 503, None))
 
     def _would_expire(self, now: float, writes: int) -> bool:
         """Whether a user's writes would wait for their turn for longer than they may."""
@@ -153,7 +155,7 @@
         missing = self.writes.writes - self.changes.level
         if missing > 0 and now >= self.next_borrow:
             self.next_borrow = now + constants.BORROW_INTERVAL_S
-            self.put(("short", missing))
+            self.put(messages.BorrowQuota(missing))
 
     def lend(self, wanted: float) -> float:
         """Give up write tokens that are not needed now; return how many."""
@@ -171,11 +173,11 @@
         self.changes.take(-given)
         self.writes.woken.set()
 
-    async def _carry_out(self, operation: Operation) -> None:
+    async def _carry_out(self, operation: messages.StoreOperation) -> None:
         """Make the request of an operation and report its outcome to the core."""
-        kind = operation.kind
+        kind = type(operation).__name__
         try:
-            status, result = await self._handlers[kind](*operation.arguments)
+            status, result = await self._handlers[type(operation)](operation)
         except RequestNotSent:
             status, result = 503, None
         except (NoResponse, Malformed) as error:
@@ -186,7 +188,7 @@
             status, result = 0, None
         if status in (0, 503):
             self.ahead.reset(asyncio.get_running_loop().time())
-        self.put(("done", operation.number, status, result))
+        self.put(messages.OperationDone(operation.operation, status, result))
 
     async def _call(
         self, method: str, path: str, body: Any = None, timeout: float = constants.STORE_TIMEOUT_S
@@ -199,7 +201,8 @@
             return 503, None
         return status, decode(answer) if answer else None
 
-    async def _transaction(self, guards: list, writes: list, _: int) -> tuple[int, Any]:
+    async def _transact(self, operation: messages.Transaction) -> tuple[int, Any]:
+        guards, writes = operation.conditions, operation.writes
         body = transaction_body(guards, writes)
         status, answer = await self._call("POST", PATH_TRANSACTIONS, body)
         if writes and log.isEnabledFor(logging.DEBUG):
@@ -231,20 +234,22 @@
             str(answer)[: constants.LOG_TEXT_CHARS],
         )
 
-    async def _read(self, key: str, _: int) -> tuple[int, Any]:
-        status, answer = await self._call("GET", f"{PATH_ITEMS}/{quote(key)}")
+    async def _read_key(self, operation: messages.ReadKey) -> tuple[int, Any]:
+        status, answer = await self._call("GET", f"{PATH_ITEMS}/{quote(operation.key)}")
         if status == 200:
             return 200, parse_value(answer)
         if status == 404:
             return 404, (None, parse_missing_key(answer))
         return (503 if status in (429, 503) else 0), None
 
-    async def _grant_lease(self, duration_s: float) -> tuple[int, Any]:
-        status, answer = await self._call("POST", PATH_LEASES, lease_body(duration_s))
+    async def _grant_lease(self, operation: messages.GrantLease) -> tuple[int, Any]:
+        body = lease_body(operation.ttl_s)
+        status, answer = await self._call("POST", PATH_LEASES, body)
         return (200, parse_lease(answer)) if status == 200 else (503, None)
 
-    async def _renew_lease(self, lease: int) -> tuple[int, Any]:
-        status, _ = await self._call("POST", f"{PATH_LEASES}/{lease}/renew", {})
+    async def _renew_lease(self, operation: messages.RenewLease) -> tuple[int, Any]:
+        path = f"{PATH_LEASES}/{operation.lease}/renew"
+        status, _ = await self._call("POST", path, {})
         return status, None
 
     async def _rate_limited_get(self, path: str, timeout: float) -> tuple[int, Any]:
@@ -296,7 +301,7 @@
         if status != 200:
             return status, None
         events = parse_watch_events(answer)
-        self.put(("watch", events.events, events.revision, requested_at))
+        self.put(messages.ApplyWatchEvents(events.events, events.revision, requested_at))
         await asyncio.sleep(max(0.0, requested_at + self.watch_gap - loop.time()))
         return status, events
 
@@ -323,5 +328,5 @@
             if not page.has_more or not page.items:
                 break
             since = page.items[-1][0]
-        self.put(("snapshot", items, first_revision, requested_at))
+        self.put(messages.LoadSnapshot(items, first_revision, requested_at))
         return first_revision
--- a/oakmux/transport/worker_client.py
+++ b/oakmux/transport/worker_client.py
@@ -2,11 +2,11 @@
 
 import logging
 from collections.abc import Callable
-from typing import Any
 
 from oakmux import constants
 from oakmux.codec.cbor import Malformed, decode, encode
 from oakmux.codec.workers import PATH_COMMANDS, commands_body, parse_heartbeat
+from oakmux.core import messages
 from oakmux.core.model import CommandOutcome, Heartbeat
 from oakmux.transport.http_client import Client, NoResponse, RequestNotSent
 
@@ -19,31 +19,23 @@
 class WorkerClient:
     """Sends commands and hands the workers' answers to the core."""
 
-    def __init__(self, put: Callable[[tuple], None]) -> None:
+    def __init__(self, put: Callable[[messages.Command], None]) -> None:
         self.put = put
         self.client = Client(constants.WORKER_CONNECTIONS)
 
-    async def send_commands(
-        self,
-        number: int,
-        addr: str,
-        fencing_token: int,
-        agent_epoch: int,
-        commands: list[dict[str, Any]],
-    ) -> None:
-        """Send commands and report the outcome and the worker's heartbeat under a number."""
-        outcome, heartbeat = CommandOutcome.LOST, None
+    async def send_commands(self, effect: messages.SendWorkerCommands) -> None:
+        """Send commands; report the outcome and the worker's heartbeat."""
+        addr, outcome, heartbeat = effect.addr, CommandOutcome.LOST, None
         try:
-            outcome, heartbeat = await self._request(
-                addr, encode(commands_body(fencing_token, agent_epoch, commands))
-            )
+            body = commands_body(effect.fencing_token, effect.agent_epoch, effect.commands)
+            outcome, heartbeat = await self._request(addr, encode(body))
         except (RequestNotSent, ValueError):  # ValueError: the worker gave no usable address
             outcome = CommandOutcome.UNSENT
         except (NoResponse, Malformed) as error:
             log.info("event=commands_lost addr=%s why=%s", addr, error)
         except Exception:
             log.exception("event=commands_failed addr=%s", addr)
-        self.put(("done", number, outcome, heartbeat))
+        self.put(messages.OperationDone(effect.operation, outcome, heartbeat))
 
     async def _request(self, addr: str, body: bytes) -> tuple[CommandOutcome, Heartbeat | None]:
         status, answer = await self.client.request(
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -3,6 +3,7 @@
 from collections.abc import Callable
 from typing import Any
 
+from oakmux.core import messages
 from oakmux.core.instances import ListedInstance
 from tests.fakes.network import FakeNetwork
 from tests.fakes.worker import FakeWorker
@@ -32,23 +33,24 @@
         self.history.append((self.now, rows))
         self.history = self.history[-40:]
 
-    def cloud(self, kind: str, *args: Any) -> tuple[int, Any]:
+    def cloud(self, operation: messages.CloudOperation) -> tuple[int, Any]:
         if self.cloud_down:
             return 503, None
-        if kind == "list":
+        if isinstance(operation, messages.ListInstances):
             seen = [rows for at, rows in self.history if at <= self.now - 2.0]
             return 200, seen[-1] if seen else []
-        if kind == "return":
-            for name in args[0]:
+        if isinstance(operation, messages.ReturnInstances):
+            for name in operation.names:
                 if name in self.workers:
                     self.kill(name)
             return 200, None
-        request, _, zone, spot, count = args
+        assert isinstance(operation, messages.RentInstances)
+        request, zone, spot = operation.name, operation.zone, operation.spot
         if request not in self.requests:
             left = self.capacity - sum(1 for w in self.workers.values() if not w.dead)
             if left <= 0:
                 return 503, "no capacity"
-            names = [f"m{len(self.workers) + i}" for i in range(min(count, left))]
+            names = [f"m{len(self.workers) + i}" for i in range(min(operation.count, left))]
             self.requests[request] = names
             for name in names:
                 self.workers[name] = FakeWorker(self, name, zone, spot)
--- a/tests/fakes/simulation.py
+++ b/tests/fakes/simulation.py
@@ -10,8 +10,11 @@
 import msgspec
 
 from oakmux import constants
+from oakmux.codec.peers import decode_message, encode_message
+from oakmux.core import messages
 from oakmux.core.controller import Controller
 from oakmux.core.model import Heartbeat
+from oakmux.core.peer_messages import MachineView, PeerMessage
 from oakmux.core.state.formats import value_limit
 from oakmux.settings import SchedulingOptions, Settings, Team, UpcomingLimits
 from tests.fakes import deployment
@@ -23,7 +26,7 @@
 def make_old(core: Controller) -> None:
     """Let a controller behave as the first version does where records are concerned: it neither
     says what it can read nor takes note of the format."""
-    core.leadership._negotiate_format = lambda: None  # type: ignore[method-assign]
+    core.leadership.format.tick = lambda: None  # type: ignore[method-assign]
     core.scheduler.buffer.strictest_value_bytes = value_limit(core.context.facts.store)
     replica, apply = core.context.replica, core.context.replica.apply
 
@@ -88,7 +91,7 @@
             core.context.replica.known_format = self.formats[label]
         self.cores[label] = core
         if not self.cloud_down:
-            self.command(label, ("catalogue", [deployment.TYPE]))
+            self.command(label, messages.UpdateMachineTypes([deployment.TYPE]))
         self.follow(label, incarnation, None)
         self.tick(label, incarnation)
 
@@ -115,7 +118,7 @@
             self.step(label, self.clock_commands(label))
             self.after(constants.TICK_S, lambda: self.tick(label, incarnation))
 
-    def clock_commands(self, label: str) -> list[tuple]:
+    def clock_commands(self, label: str) -> list[messages.Command]:
         """Return what a controller hears of the time of day at a tick."""
         return []
 
@@ -130,21 +133,21 @@
             state.expire()
             if since is None:
                 rows = [(k, v[0], v[1]) for k, v in state.rows.items()]
-                self.command(label, ("snapshot", rows, state.revision, asked))
+                self.command(label, messages.LoadSnapshot(rows, state.revision, asked))
             else:
                 start = len(state.log)
                 while start and state.log[start - 1][2] > since:
                     start -= 1
                 events = state.log[start:]
-                self.command(label, ("watch", events, state.revision, asked))
+                self.command(label, messages.ApplyWatchEvents(events, state.revision, asked))
             since = state.revision
         late = self.rng.uniform(0.0, self.state_slow) if self.state_slow else 0.0
         self.after(0.02 + late, lambda: self.follow(label, incarnation, since))
 
-    def command(self, label: str, command: tuple) -> None:
+    def command(self, label: str, command: messages.Command) -> None:
         self.step(label, [command])
 
-    def step(self, label: str, commands: list[tuple]) -> None:
+    def step(self, label: str, commands: list[messages.Command]) -> None:
         core, incarnation = self.cores[label], self.incarnations[label]
         if core is None:
             return
@@ -156,32 +159,30 @@
         if self.recount:
             check_counts(core)
 
-    def carry_out(self, label: str, incarnation: int, effect: tuple) -> None:
-        kind = effect[0]
-        if kind == "orders" or (
-            kind == "answer" and effect[2] == 200 and effect[3][0] == "orders"
-        ):
-            self.check_start_commands(label, effect[5] if kind == "orders" else effect[3][2])
-        if kind == "answer":
-            effect[1](*effect[2:])
+    def carry_out(self, label: str, incarnation: int, effect: messages.Effect) -> None:
+        if isinstance(effect, messages.Answer):
+            if effect.status == 200 and effect.body[0] == "orders":
+                self.check_start_commands(label, effect.body[2])
+            effect.request(effect.status, effect.body)
             return
-        if kind == "send":
-            self.send(label, incarnation, effect[1], effect[2])
+        if isinstance(effect, messages.SendToPeer):
+            self.send(label, incarnation, effect.controller_id, effect.message)
             return
 
         def done(value: tuple) -> None:
             if self.incarnations[label] == incarnation:
-                self.command(label, ("done", effect[1], *value))
+                self.command(label, messages.OperationDone(effect.operation, *value))
 
-        if kind == "orders":
-            _, _, addr, fencing_token, agent_epoch, orders = effect
+        if isinstance(effect, messages.SendWorkerCommands):
+            addr, commands = effect.addr, effect.commands
+            self.check_start_commands(label, commands)
             worker = self.workers.get(addr)
             if worker is not None:
                 self.ask(
                     label,
                     addr,
                     lambda: (
-                        worker.orders(fencing_token, agent_epoch, orders)
+                        worker.orders(effect.fencing_token, effect.agent_epoch, commands)
                         if not worker.dead
                         else ("lost", None)
                     ),
@@ -190,27 +191,30 @@
                     2.0,
                     worker.run_when_awake,
                 )
-        elif kind == "cloud":
-            self.ask(label, "cloud", lambda: self.cloud(*effect[2:]), done, (0, None), 5.0)
+        elif isinstance(effect, messages.CloudOperation):
+            self.ask(label, "cloud", lambda: self.cloud(effect), done, (0, None), 5.0)
         else:
             self.to_state(label, effect, done)
 
-    def to_state(self, label: str, effect: tuple, done: Callable[[tuple], None]) -> None:
+    def to_state(
+        self, label: str, effect: messages.StoreOperation, done: Callable[[tuple], None]
+    ) -> None:
         """Carry an operation to the state service; some are carried out late and unanswered."""
 
         def serve() -> tuple[int, Any]:
-            return self.state.serve(label, effect[0], *effect[2:])
+            return self.state.serve(label, effect)
 
-        if effect[0] == "txn" and self.late_writes and self.rng.random() < self.late_writes:
+        transaction = isinstance(effect, messages.Transaction)
+        if transaction and self.late_writes and self.rng.random() < self.late_writes:
             self.after(self.rng.uniform(2.0, 12.0), serve)
             self.after(constants.STORE_TIMEOUT_S, lambda: done((0, None)))
-        elif effect[0] == "txn" and self.lost_answers and self.rng.random() < self.lost_answers:
+        elif transaction and self.lost_answers and self.rng.random() < self.lost_answers:
             self.after(self.delay(), serve)
             self.after(constants.STORE_TIMEOUT_S, lambda: done((0, None)))
         else:
             self.ask(label, "state", serve, done, (0, None), constants.STORE_TIMEOUT_S)
 
-    def send(self, label: str, incarnation: int, peer: str, message: tuple) -> None:
+    def send(self, label: str, incarnation: int, peer: str, message: PeerMessage) -> None:
         asked, mine = self.now, self.cores[label]
         since = mine.agents.cancellations.revision if mine is not None else -1
 
@@ -218,27 +222,37 @@
             if self.cores.get(peer) is None:
                 return None
             box: list[tuple] = []
-            self.command(peer, ("peer", lambda *a: box.append(a), label, [list(message)], since))
+            self.command(
+                peer,
+                messages.ReceivePeerMessages(
+                    lambda *a: box.append(a),
+                    label,
+                    [decode_message(encode_message(message))],
+                    since,
+                ),
+            )
             return box[0][1] if box else None
 
         def done(word: Any) -> None:
             if self.incarnations[label] != incarnation:
                 return
             if word is None:
-                if message[0] == "view":
+                if isinstance(message, MachineView):
                     self.after(
                         0.5,
                         lambda: (
                             self.incarnations[label] == incarnation
-                            and self.command(label, ("resend", peer, [message[2]]))
+                            and self.command(label, messages.ResendViews(peer, [message.machine]))
                         ),
                     )
                 return
             new = self.peer_incarnations.get((label, incarnation, peer)) != word[2]
             self.peer_incarnations[(label, incarnation, peer)] = word[2]
-            self.command(label, ("peer_alive", peer, word[2], word[3], word[4], asked, word[5]))
+            self.command(
+                label, messages.PeerAnswered(peer, word[2], word[3], word[4], asked, word[5])
+            )
             if new:
-                self.command(label, ("peer_new", peer))
+                self.command(label, messages.PeerRestarted(peer))
 
         self.ask(label, peer, serve, done, None, 2.0)
 
@@ -250,7 +264,7 @@
                 self.after(
                     self.rng.uniform(0.0, 1.0),
                     lambda heartbeat=heartbeat: self.command(
-                        value[0], ("report", lambda *a: None, heartbeat)
+                        value[0], messages.ReceiveHeartbeat(lambda *a: None, heartbeat)
                     ),
                 )
 
--- a/tests/fakes/store.py
+++ b/tests/fakes/store.py
@@ -2,6 +2,7 @@
 
 from typing import TYPE_CHECKING, Any
 
+from oakmux.core import messages
 from oakmux.core.state.formats import value_bytes
 
 if TYPE_CHECKING:
@@ -40,13 +41,22 @@
             for key in [k for k, row in self.rows.items() if row[2] == lease]:
                 self.drop(key)
 
-    def serve(self, label: str, kind: str, *args: Any) -> tuple[int, Any]:
+    def serve(self, label: str, operation: messages.StoreOperation) -> tuple[int, Any]:
         if self.down or label in self.refused:
             return 503, None
         self.expire()
-        return getattr(self, kind)(*args)
-
-    def txn(self, guards: list, writes: list, _: int) -> tuple[int, Any]:
+        match operation:
+            case messages.Transaction(_, conditions, writes):
+                return self.transact(conditions, writes)
+            case messages.ReadKey(_, key):
+                return self.read_key(key)
+            case messages.GrantLease(_, ttl_s):
+                return self.grant_lease(ttl_s)
+            case messages.RenewLease(_, lease):
+                return self.renew_lease(lease)
+        raise TypeError(operation)
+
+    def transact(self, guards: list, writes: list) -> tuple[int, Any]:
         if (
             len(writes) > self.txn_ops
             or len(guards) > 4 * self.txn_ops
@@ -71,16 +81,16 @@
                     self.put(*write)
         return 200, (self.revision, [])
 
-    def get(self, key: str, _: int) -> tuple[int, Any]:
+    def read_key(self, key: str) -> tuple[int, Any]:
         row = self.rows.get(key)
         return (404, (None, self.revision)) if row is None else (200, row[:2])
 
-    def grant(self, incarnation: float) -> tuple[int, Any]:
+    def grant_lease(self, ttl_s: float) -> tuple[int, Any]:
         self.next_lease += 1
-        self.leases[self.next_lease] = [self.sim.now + incarnation, incarnation]
+        self.leases[self.next_lease] = [self.sim.now + ttl_s, ttl_s]
         return 200, self.next_lease
 
-    def renew(self, lease: int) -> tuple[int, Any]:
+    def renew_lease(self, lease: int) -> tuple[int, Any]:
         if lease not in self.leases:
             return 404, None
         self.leases[lease][0] = self.sim.now + self.leases[lease][1]
--- a/tests/fakes/users.py
+++ b/tests/fakes/users.py
@@ -3,6 +3,7 @@
 from collections.abc import Callable
 from typing import Any
 
+from oakmux.core import messages
 from oakmux.core.model import JobSpec
 from oakmux.settings import Team
 from tests.fakes.checks import ProtocolChecks
@@ -16,7 +17,7 @@
         self.close = 0.0  # share of state changes after which all controllers are queried
         self.submitted: dict[str, float] = {}
 
-    def command(self, label: str, command: tuple) -> None:
+    def command(self, label: str, command: messages.Command) -> None:
         """Hand a command to a controller."""
         raise NotImplementedError
 
@@ -25,27 +26,29 @@
         self.submitted.setdefault(job_id, self.now)
         self._user(
             job_id,
-            lambda rid: ("submit", rid, job_id, job, ""),
+            lambda rid: messages.SubmitJob(rid, job_id, job, ""),
             lambda s, a: s in (200, 201, 400, 422),
         )
 
     def cancel(self, job_id: str) -> None:
         self.cancel_requested.add(job_id)
-        self._user(job_id, lambda rid: ("cancel", rid, job_id), lambda s, a: s == 200)
+        self._user(job_id, lambda rid: messages.CancelJob(rid, job_id), lambda s, a: s == 200)
 
     def query(self, job_id: str) -> None:
-        self._user(job_id, lambda rid: ("query", rid, job_id), lambda s, a: True)
+        self._user(job_id, lambda rid: messages.QueryJob(rid, job_id), lambda s, a: True)
 
-    def tell(self, label: str, *command: Any) -> list[tuple[int, tuple]]:
-        """Send one user request to one controller; return the list that its answers are put in."""
+    def tell(
+        self, label: str, command: type[messages.Command], job_id: str, *fields: Any
+    ) -> list[tuple[int, tuple]]:
+        """Ask one controller once as a user, with all checks; return its answers as they come."""
         answers: list[tuple[int, tuple]] = []
-        before, sent = self.told.get(command[1]), self.now
+        before, sent = self.told.get(job_id), self.now
 
         def answered(status: int, answer: tuple) -> None:
             answers.append((status, answer))
-            self.check_answer(command[1], status, answer, before, sent)
+            self.check_answer(job_id, status, answer, before, sent)
 
-        self.command(label, (command[0], answered, *command[1:]))
+        self.command(label, command(answered, job_id, *fields))
         return answers
 
     def on_new_state(self, job_id: str) -> None:
@@ -58,12 +61,14 @@
         for label in self.labels * 2:
             self.after(
                 self.rng.uniform(0.001, 0.02),
-                lambda label=label: self.tell(label, "query", job_id),
+                lambda label=label: self.tell(label, messages.QueryJob, job_id),
             )
         for label in self.labels:
             self.after(
                 self.rng.uniform(0.001, 0.02),
-                lambda label=label: self.tell(label, "submit", job_id, self.specs[job_id], ""),
+                lambda label=label: self.tell(
+                    label, messages.SubmitJob, job_id, self.specs[job_id], ""
+                ),
             )
         if self.told[job_id] == "accepted" and self.rng.random() < 0.25:
             self.after(self.rng.uniform(0.001, 0.02), lambda: self.cancel(job_id))
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -3,6 +3,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
+from oakmux.core import messages
 from oakmux.core.model import Heartbeat
 from tests.fakes import deployment
 
@@ -184,7 +185,7 @@
             other = sim.rng.choice(sim.labels)
             sim.after(
                 sim.rng.uniform(0.5, 4 * deployment.LEASE_S),
-                lambda: sim.command(other, ("report", lambda *a: None, heartbeat)),
+                lambda: sim.command(other, messages.ReceiveHeartbeat(lambda *a: None, heartbeat)),
             )
         sim.after(deployment.ANSWER_S, lambda: self.run_when_awake(lost))
         sim.carry(
@@ -192,8 +193,7 @@
             label,
             lambda: sim.command(
                 label,
-                (
-                    "report",
+                messages.ReceiveHeartbeat(
                     lambda *a: sim.carry(
                         label, self.name, lambda: self.run_when_awake(lambda: answered(*a))
                     ),
--- a/tests/helpers/clusters.py
+++ b/tests/helpers/clusters.py
@@ -1,5 +1,6 @@
 """Simulations brought into a known state, and questions about them."""
 
+from oakmux.core import messages
 from oakmux.settings import Team
 from tests.fakes import Simulation, spec
 
@@ -64,7 +65,7 @@
 def cancel_at(sim: Simulation, label: str, job_id: str) -> None:
     """Cancel a job through one controller, which confirms it."""
     sim.cancel_requested.add(job_id)
-    answers = sim.tell(label, "cancel", job_id)
+    answers = sim.tell(label, messages.CancelJob, job_id)
     sim.run(0.06)
     assert [status for status, _ in answers] == [200]
 
--- a/tests/helpers/faults.py
+++ b/tests/helpers/faults.py
@@ -4,8 +4,10 @@
 from collections.abc import Callable
 
 from oakmux import constants
+from oakmux.core import messages
 from oakmux.core.agents import reachability
-from oakmux.core.context import Context, Machine
+from oakmux.core.context import Context
+from oakmux.core.machine import Machine
 from oakmux.core.model import Heartbeat
 from tests.fakes import (
     CANCEL_S,
@@ -192,7 +194,7 @@
         {},
     )
     reachability.assess_heartbeat(context, machine, heartbeat, manager, 5)
-    machine.take(heartbeat, context.now)
+    machine.apply(heartbeat, context.now)
     machine.manager = manager
 
 
@@ -204,8 +206,8 @@
         self.armed = False
         super().__init__(7, count)
 
-    def carry_out(self, label: str, incarnation: int, effect: tuple) -> None:
-        if self.armed and effect[0] in ("txn", "grant", "renew", "get"):
+    def carry_out(self, label: str, incarnation: int, effect: messages.Effect) -> None:
+        if self.armed and isinstance(effect, messages.StoreOperation):
             self.calls += 1
             if self.calls == self.at:
                 if self.served:  # it is carried out, and its answer finds nobody
@@ -214,9 +216,7 @@
                 for one in [label, *others][: self.who]:
                     self.crash(one, self.back)
                 if not self.served:  # carried out late, when its sender is back
-                    self.after(
-                        self.back + 0.3, lambda: self.state.serve(label, effect[0], *effect[2:])
-                    )
+                    self.after(self.back + 0.3, lambda: self.state.serve(label, effect))
                 return
         super().carry_out(label, incarnation, effect)
 
@@ -244,25 +244,25 @@
         self.held: list[float] = []
         super().__init__(seed, count)
 
-    def carry_out(self, label: str, incarnation: int, effect: tuple) -> None:
+    def carry_out(self, label: str, incarnation: int, effect: messages.Effect) -> None:
         if (
             self.armed
-            and effect[0] == "orders"
-            and any(order["verb"] == self.verb for order in effect[5])
+            and isinstance(effect, messages.SendWorkerCommands)
+            and any(order["verb"] == self.verb for order in effect.commands)
         ):
             self.held.append(self.now)
-            worker = self.workers[effect[2]]
+            worker = self.workers[effect.addr]
 
             def arrive() -> None:
                 if not worker.dead:
-                    worker.orders(*effect[3:])
+                    worker.orders(effect.fencing_token, effect.agent_epoch, effect.commands)
 
             self.after(self.seconds, arrive)
             self.after(
                 constants.COMMAND_TIMEOUT_S,
                 lambda: (
                     self.incarnations[label] == incarnation
-                    and self.command(label, ("done", effect[1], "lost", None))
+                    and self.command(label, messages.OperationDone(effect.operation, "lost", None))
                 ),
             )
             return
@@ -273,12 +273,14 @@
     """Records every transaction that writes, so that it can be repeated."""
 
     def __init__(self, seed: int, count: int = 3) -> None:
-        self.sent: list[tuple[str, list, list, int]] = []
+        self.sent: list[tuple[str, messages.Transaction]] = []
         super().__init__(seed, count)
 
-    def to_state(self, label: str, effect: tuple, done: Callable[[tuple], None]) -> None:
-        if effect[0] == "txn" and effect[3]:
-            self.sent.append((label, *effect[2:]))
+    def to_state(
+        self, label: str, effect: messages.StoreOperation, done: Callable[[tuple], None]
+    ) -> None:
+        if isinstance(effect, messages.Transaction) and effect.writes:
+            self.sent.append((label, effect))
         super().to_state(label, effect, done)
 
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -12,6 +12,8 @@
 from pathlib import Path
 from typing import Any
 
+import msgspec
+
 from oakmux.codec.answers import answer_body
 from oakmux.codec.cbor import encode
 from oakmux.schedules import plugin
@@ -55,16 +57,16 @@
     assert status == 200, body
     sim.template("blue/t")
 
-    def offer(command: tuple) -> bool:
-        kind, rid, *rest = command
+    def offer(command: Any) -> bool:
+        request = command.request
 
         def answer(status: int, value: Any) -> None:
-            if isinstance(rid, Request):
-                front.answer(rid, status, value)
+            if isinstance(request, Request):
+                front.answer(request, status, value)
             else:
-                rid.respond(status, encode(answer_body(value)))
+                request.respond(status, encode(answer_body(value)))
 
-        sim.command("h0", (kind, answer, *rest))
+        sim.command("h0", msgspec.structs.replace(command, request=answer))
         return True
 
     dav, public = free_port(), free_port()
--- a/tests/recorded.py
+++ b/tests/recorded.py
@@ -21,6 +21,7 @@
 from oakmux.codec.answers import answer_body
 from oakmux.codec.cbor import decode, encode
 from oakmux.codec.cloud import parse_catalogue
+from oakmux.codec.peers import decode_message, encode_message
 from oakmux.codec.store import transaction_body
 from oakmux.codec.users import (
     job_description,
@@ -28,8 +29,11 @@
     submission_body,
 )
 from oakmux.codec.workers import command_body, commands_body
+from oakmux.core import messages as core_messages
 from oakmux.core.controller import Controller
+from oakmux.core.messages import Command, Effect
 from oakmux.core.model import JobSpec
+from oakmux.core.peer_messages import PeerMessage
 from oakmux.core.state.binding_batches import BatchRow
 from oakmux.core.state.codecs import encode_block, encode_job
 from oakmux.core.state.keys import (
@@ -53,7 +57,6 @@
 from oakmux.transport.cloud_client import CloudClient
 from oakmux.transport.http_client import Client, ClientProtocol
 from oakmux.transport.http_server import ServerProtocol
-from oakmux.transport.operation_queue import Operation
 from oakmux.transport.peer_client import PeerClient
 from oakmux.transport.request_router import RequestRouter
 from oakmux.transport.store_client import StoreClient
@@ -380,28 +383,62 @@
 # --- whole runs -------------------------------------------------------------------------------
 
 
-def told(effect: tuple, numbered: bool = True) -> list:
+def told(effect: Effect, numbered: bool = True) -> list:
     """Return an effect as what leaves the process, without numbers that stay inside.
 
     Without `numbered`, offers' numbers are left out as well.
     """
-    kind = effect[0]
-    if kind == "answer":
-        return ["answer", effect[2], answer_body(effect[3])]
-    if kind == "send":
-        message = list(effect[2])
+    if isinstance(effect, core_messages.Answer):
+        return ["answer", effect.status, answer_body(effect.body)]
+    if isinstance(effect, core_messages.SendToPeer):
+        message = encode_message(effect.message)
         if not numbered and message[0] in ("offer", "decline"):
             message[3 if message[0] == "offer" else 2] = 0
-        return ["send", effect[1], message]
-    if kind in ("lend", "credit"):
-        return list(effect)
-    if kind == "orders":
-        return ["orders", effect[2], commands_body(*effect[3:])]
-    if kind == "txn":
-        body = transaction_body(effect[2], effect[3])
+        return ["send", effect.controller_id, message]
+    if isinstance(effect, core_messages.SendWorkerCommands):
+        body = commands_body(effect.fencing_token, effect.agent_epoch, effect.commands)
+        return ["orders", effect.addr, body]
+    if isinstance(effect, core_messages.Transaction):
+        body = transaction_body(effect.conditions, effect.writes)
         ordered = {name: sorted(rows, key=encode) for name, rows in body.items()}
-        return ["txn", ordered, effect[4]]
-    return [kind, *effect[2:]]
+        return ["txn", ordered, effect.priority]
+    fields = list(msgspec.structs.astuple(effect))
+    if not isinstance(effect, core_messages.LendQuota | core_messages.CreditQuota):
+        del fields[0]  # the number of the operation
+    return [*EFFECT_TAGS[type(effect)], *fields]
+
+
+# What commands and effects are called in the recorded values.
+EFFECT_TAGS: dict[type, tuple[str, ...]] = {
+    core_messages.LendQuota: ("lend",),
+    core_messages.CreditQuota: ("credit",),
+    core_messages.ReadKey: ("get",),
+    core_messages.GrantLease: ("grant",),
+    core_messages.RenewLease: ("renew",),
+    core_messages.ListInstances: ("cloud", "list"),
+    core_messages.RentInstances: ("cloud", "rent"),
+    core_messages.ReturnInstances: ("cloud", "return"),
+}
+COMMAND_TAGS: dict[type, str] = {
+    core_messages.SubmitJob: "submit",
+    core_messages.QueryJob: "query",
+    core_messages.CancelJob: "cancel",
+    core_messages.CheckHealth: "health",
+    core_messages.GetStatus: "status",
+    core_messages.ReceiveHeartbeat: "report",
+    core_messages.ReceivePeerMessages: "peer",
+    core_messages.OperationDone: "done",
+    core_messages.LoadSnapshot: "snapshot",
+    core_messages.ApplyWatchEvents: "watch",
+    core_messages.UpdateMachineTypes: "catalogue",
+    core_messages.PeerAnswered: "peer_alive",
+    core_messages.PeerRestarted: "peer_new",
+}
+
+
+def command_row(command: Command) -> list:
+    """Return a command as its tag and its fields."""
+    return [COMMAND_TAGS[type(command)], *msgspec.structs.astuple(command)]
 
 
 class RecordedSimulation(Simulation):
@@ -419,7 +456,7 @@
         self.first: dict[str, Any] = {}
         super().__init__(*args, **more)
 
-    def step(self, label: str, commands: list[tuple]) -> None:
+    def step(self, label: str, commands: list[Command]) -> None:
         core, incarnation = self.cores[label], self.incarnations[label]
         if core is None:
             return
@@ -554,9 +591,9 @@
     return f"HTTP/1.1 {status} X\r\nContent-Length: {len(data)}\r\n\r\n".encode() + data
 
 
-def asked(data: bytes, internal: bool = False) -> tuple[list[tuple], list[bytes]]:
+def asked(data: bytes, internal: bool = False) -> tuple[list[Command], list[bytes]]:
     """Return the commands that a request becomes, and what is answered at once."""
-    commands: list[tuple] = []
+    commands: list[Command] = []
     front = RequestRouter(lambda command: commands.append(command) is None)
     line = Line([])
     server = ServerProtocol(front.internal if internal else front.public, set(), 1)
@@ -568,7 +605,8 @@
 def read_request(data: bytes, internal: bool = False) -> Any:
     """Return a request's command, without its handle, and what is answered at once."""
     commands, sent = asked(data, internal)
-    return plain([[[row[0], *row[2:]] for row in commands], sent])
+    rows = [command_row(command) for command in commands]
+    return plain([[[tag, *fields] for tag, _, *fields in rows], sent])
 
 
 def requests() -> dict[str, bytes]:
@@ -662,7 +700,7 @@
         server = ServerProtocol(front.public, set(), 1)
         server.connection_made(line)
         server.data_received(request("GET", "/healthz"))
-        front.answer(commands[0][1], status, answer)
+        front.answer(commands[0].request, status, answer)
         made[f"answer/{name}"] = line.sent[0]
     return made
 
@@ -694,7 +732,7 @@
         return 100.0
 
 
-Put = Callable[[tuple], None]
+Put = Callable[[Command], None]
 Call = Callable[[Client, Put], Coroutine]
 
 
@@ -724,14 +762,28 @@
     """Send one command of each kind to a worker."""
     workers = WorkerClient(put)
     workers.client = client
-    return workers.send_commands(5, "10.1.0.232:9000", 41, 3, orders())
+    return workers.send_commands(
+        core_messages.SendWorkerCommands(5, "10.1.0.232:9000", 41, 3, orders())
+    )
 
 
 def on_peer(client: Client, put: Put) -> Coroutine:
     """Send one message of each kind to a peer."""
     peer = PeerClient("h0", "h1", "10.0.0.2:81", put, lambda: 433)
     peer.client = client
-    return peer._send([tuple(message) for message in messages("m0", "h0")])
+    return peer._send([message_from(row) for row in messages("m0", "h0")])
+
+
+class UnknownMessage(PeerMessage, frozen=True):
+    """A message that this version does not know."""
+
+    TAG = "unknown"
+    value: int
+
+
+def message_from(row: list) -> PeerMessage:
+    """Return the message that is sent as a row."""
+    return UnknownMessage(*row[1:]) if row[0] == UnknownMessage.TAG else decode_message(row)
 
 
 GUARDS = [("ox/own/red", 7), ("ox/j/job-1", 0)]
@@ -740,23 +792,21 @@
     ("ox/n/h0", 41, 7),
     ("ox/gone/m1",),
 ]
-RENT = ("rent", "r-17", "g8", "a", True, 12)
+RENT = core_messages.RentInstances(5, "r-17", "g8", "a", True, 12)
 
 
 def exchanges() -> dict[str, tuple[Call, list[bytes]]]:
     """Return a call and the replies that it gets, by name."""
 
     def txn(status: int, body: Any = None, writes: list | None = None) -> tuple[Call, list[bytes]]:
-        op = Operation("txn", 5, (GUARDS, WRITES if writes is None else writes, 1))
+        op = core_messages.Transaction(5, GUARDS, WRITES if writes is None else writes, 1)
         return on_state(lambda state: state._carry_out(op)), [reply(status, body)]
 
-    def state(*op: Any) -> Call:
-        kind, number, *arguments = op
-        one = Operation(kind, number, tuple(arguments))
-        return on_state(lambda state: state._carry_out(one))
+    def state(op: core_messages.StoreOperation) -> Call:
+        return on_state(lambda state: state._carry_out(op))
 
-    def cloud(*args: Any) -> Call:
-        return on_cloud(lambda cloud: cloud.carry_out(5, *args))
+    def cloud(op: core_messages.CloudOperation) -> Call:
+        return on_cloud(lambda cloud: cloud.carry_out(op))
 
     list_more = {**ROWS, "has_next": True}
     hosts_more = {**HOSTS, "has_next": True}
@@ -770,15 +820,18 @@
         "state/txn/503": txn(503),
         "state/txn/garbled": txn(200, ["x"]),
         "state/get/200": (
-            state("get", 5, "ox/j/job-1 é", 0),
+            state(core_messages.ReadKey(5, "ox/j/job-1 é", 0)),
             [reply(200, {"path": "ox/j/job-1", "v": ["done"], "stamp": 412, "permit": 7})],
         ),
-        "state/get/404": (state("get", 5, "ox/j/job-1", 0), [reply(404, {"epoch": 431})]),
-        "state/get/429": (state("get", 5, "ox/j/job-1", 0), [reply(429)]),
-        "state/grant/200": (state("grant", 5, 4.5), [reply(200, {"permit": 7})]),
-        "state/grant/429": (state("grant", 5, 4.5), [reply(429)]),
-        "state/renew/200": (state("renew", 5, 7), [reply(200, {})]),
-        "state/renew/404": (state("renew", 5, 7), [reply(404)]),
+        "state/get/404": (
+            state(core_messages.ReadKey(5, "ox/j/job-1", 0)),
+            [reply(404, {"epoch": 431})],
+        ),
+        "state/get/429": (state(core_messages.ReadKey(5, "ox/j/job-1", 0)), [reply(429)]),
+        "state/grant/200": (state(core_messages.GrantLease(5, 4.5)), [reply(200, {"permit": 7})]),
+        "state/grant/429": (state(core_messages.GrantLease(5, 4.5)), [reply(429)]),
+        "state/renew/200": (state(core_messages.RenewLease(5, 7)), [reply(200, {})]),
+        "state/renew/404": (state(core_messages.RenewLease(5, 7)), [reply(404)]),
         "state/list": (
             on_state(lambda state: state._load()),
             [reply(200, list_more), reply(200, {**ROWS, "epoch": 435})],
@@ -788,14 +841,20 @@
             [reply(200, ROWS), reply(410), reply(200, ROWS), reply(200, EVENTS)],
         ),
         "cloud/catalogue": (on_cloud(lambda cloud: cloud.catalogue()), [reply(200, CATALOGUE)]),
-        "cloud/list": (cloud("list"), [reply(200, hosts_more), reply(200, HOSTS)]),
-        "cloud/list/429": (cloud("list"), [reply(429)]),
-        "cloud/list/garbled": (cloud("list"), [reply(200, {"boxes": [{}]})]),
-        "cloud/rent/200": (cloud(*RENT), [reply(200, {"boxes": ["n-1", "n-2"]})]),
-        "cloud/rent/none": (cloud(*RENT), [reply(503, {"error": "no capacity"})]),
-        "cloud/rent/503": (cloud(*RENT), [reply(503, {"error": "trouble"})]),
-        "cloud/rent/400": (cloud(*RENT), [reply(400)]),
-        "cloud/return": (cloud("return", ["n-1", "n-2"]), [reply(200)]),
+        "cloud/list": (
+            cloud(core_messages.ListInstances(5)),
+            [reply(200, hosts_more), reply(200, HOSTS)],
+        ),
+        "cloud/list/429": (cloud(core_messages.ListInstances(5)), [reply(429)]),
+        "cloud/list/garbled": (
+            cloud(core_messages.ListInstances(5)),
+            [reply(200, {"boxes": [{}]})],
+        ),
+        "cloud/rent/200": (cloud(RENT), [reply(200, {"boxes": ["n-1", "n-2"]})]),
+        "cloud/rent/none": (cloud(RENT), [reply(503, {"error": "no capacity"})]),
+        "cloud/rent/503": (cloud(RENT), [reply(503, {"error": "trouble"})]),
+        "cloud/rent/400": (cloud(RENT), [reply(400)]),
+        "cloud/return": (cloud(core_messages.ReturnInstances(5, ["n-1", "n-2"])), [reply(200)]),
         "worker/200": (on_worker, [reply(200, BEAT)]),
         "worker/409": (on_worker, [reply(409, BEAT)]),
         "worker/400": (on_worker, [reply(400)]),
@@ -808,14 +867,16 @@
     """Make a call with these replies; return where to, what was sent and what became of it."""
     call, _ = exchanges()[name]
     client = Scripted(list(decode(data)))
-    commands: list[tuple] = []
+    commands: list[Command] = []
 
     async def run() -> None:
         over = asyncio.Event()
 
-        def put(command: tuple) -> None:
+        def put(command: Command) -> None:
             commands.append(command)
-            if command[0] in ("watch", "catalogue"):
+            if isinstance(
+                command, core_messages.ApplyWatchEvents | core_messages.UpdateMachineTypes
+            ):
                 over.set()  # these go on for ever
 
         work = asyncio.ensure_future(call(client, put))
@@ -828,7 +889,8 @@
     with asyncio.Runner(loop_factory=StillLoop) as runner:
         runner.run(run())
     sent = [data.decode("latin-1") for data in client.line.sent]
-    return plain([client.addrs, sent, commands, len(client.line.replies)])
+    rows = [command_row(command) for command in commands]
+    return plain([client.addrs, sent, rows, len(client.line.replies)])
 
 
 # --- messages between controllers -------------------------------------------------------------
@@ -945,15 +1007,19 @@
     """Return what is sent when changes at the state service are borrowed, lent and credited."""
     conf = settings_for("h0")
     core = Controller(conf, random.Random(1), 0)
-    borrowed = [told(effect) for effect in core.step(0.0, [("short", 3.5)])]
+    borrowed = [told(effect) for effect in core.step(0.0, [core_messages.BorrowQuota(3.5)])]
 
     async def lend() -> list:
         service = Service(conf)
         before = service.state.changes.level
-        service.carry_out(("lend", "h1", 3.5))
+        service.carry_out(core_messages.LendQuota("h1", 3.5))
         lent = before - service.state.changes.level
-        service.carry_out(("credit", 0.75))
-        return [list(service.peers["h1"].outbox), lent, before - service.state.changes.level]
+        service.carry_out(core_messages.CreditQuota(0.75))
+        return [
+            [encode_message(one) for one in service.peers["h1"].outbox],
+            lent,
+            before - service.state.changes.level,
+        ]
 
     with asyncio.Runner(loop_factory=StillLoop) as runner:
         return {"lending/borrow": borrowed, "lending/lend": runner.run(lend())}
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -11,17 +11,14 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-PARTS = ("agents", "api", "autoscaling", "leadership", "scheduling")
+PARTS = ("agents", "api", "autoscaling", "leadership", "peers", "scheduling")
 
 # (importer, imported) pairs that break a layer, until they are mended.
 KNOWN_LAYER_BREAKS: set[tuple[str, str]] = {
-    ("oakmux.core.context", "oakmux.core.scheduling.backfill_reservations"),
     ("oakmux.core.context", "oakmux.core.scheduling.failure_attribution"),
 }
 # Imports that close a circle, until they are mended: without them there is none.
-KNOWN_CIRCLE_IMPORTS: set[tuple[str, str]] = {
-    ("oakmux.core.context", "oakmux.core.scheduling.backfill_reservations"),
-}
+KNOWN_CIRCLE_IMPORTS: set[tuple[str, str]] = set()
 
 
 def module_name(path: Path) -> str:
--- a/tests/test_autoscaling.py
+++ b/tests/test_autoscaling.py
@@ -5,7 +5,7 @@
 from oakmux import constants
 from oakmux.core.autoscaling.instance_inventory import FailedBoot
 from oakmux.core.instances import InstanceKind
-from oakmux.core.leadership.leadership import FLEET
+from oakmux.core.leadership.roles import FLEET
 from tests.fakes import Simulation, spec
 from tests.helpers.clusters import idle_cluster
 
--- a/tests/test_backfill.py
+++ b/tests/test_backfill.py
@@ -8,7 +8,9 @@
 import pytest
 
 from oakmux import constants
+from oakmux.core import messages
 from oakmux.core.context import Context
+from oakmux.core.peer_messages import AnnounceBackfill
 from oakmux.core.resources import Resources
 from oakmux.core.scheduling.backfill_plan import (
     BackfillCandidate,
@@ -200,7 +202,7 @@
     def blocked(other: Job) -> bool:
         return reservations.blocks_job("m1", other, other.spec)
 
-    reservations.announced("job-2", 2, 50.0, ["m1", "m2"], 30.0)
+    reservations.announced(AnnounceBackfill("job-2", 2, 50.0, ["m1", "m2"], 30.0))
     older, younger = (
         job(name, since, kind="gang", priority=2, estimate_s=25.0)
         for name, since in (("job-1", 40), ("job-3", 60))
@@ -219,12 +221,14 @@
         True,
     ]
     assert not reservations.blocks_job("m3", younger, younger.spec)
-    reservations.announced("job-1", 2, 40.0, ["m1"], 30.0)  # m1 is the older gang's
+    reservations.announced(
+        AnnounceBackfill("job-1", 2, 40.0, ["m1"], 30.0)
+    )  # m1 is the older gang's
     assert reservations.by_machine == {"m1": "job-1", "m2": "job-2"}
-    reservations.announced("job-1", 2, 40.0, [], 0.0)
+    reservations.announced(AnnounceBackfill("job-1", 2, 40.0, [], 0.0))
     context.now = 26.0
     assert not blocked(younger)  # its controller does not announce it any more
-    reservations.announced("job-2", 2, 50.0, ["m1"], 1.0)
+    reservations.announced(AnnounceBackfill("job-2", 2, 50.0, ["m1"], 1.0))
     assert blocked(array)  # it would be preempted in a moment
 
 
@@ -241,8 +245,8 @@
     ):
         jobs[name] = Job(name, "red", "queued", 1, spec("gang", 4, priority=priority), 0, 4)
         jobs[name].since = since
-    reservations.announced("job-1", 2, 40.0, ["m1"], 30.0)
-    reservations.announced("job-3", 2, 60.0, ["m2", "m3"], 30.0)
+    reservations.announced(AnnounceBackfill("job-1", 2, 40.0, ["m1"], 30.0))
+    reservations.announced(AnnounceBackfill("job-3", 2, 60.0, ["m2", "m3"], 30.0))
     assert reservations.reserved_before(jobs["job-1"]) == set()
     assert reservations.reserved_before(jobs["job-2"]) == {"m1"}
     assert reservations.reserved_before(jobs["job-3"]) == {"m1"}
@@ -275,7 +279,9 @@
         for label in sim.labels:
             sim.command(
                 label,
-                ("peer", lambda *a: None, "h9", [["opening", "job-9", 2, 0.0, [first], 30.0]]),
+                messages.ReceivePeerMessages(
+                    lambda *a: None, "h9", [AnnounceBackfill("job-9", 2, 0.0, [first], 30.0)]
+                ),
             )
         sim.run(2)
     assert not sim.workers[first].dead
--- a/tests/test_binding_batches.py
+++ b/tests/test_binding_batches.py
@@ -7,6 +7,7 @@
 import pytest
 
 from oakmux import constants
+from oakmux.core import messages
 from oakmux.core.state.binding_batches import BatchRow, reserved_bytes
 from oakmux.core.state.codecs import encode_block, encode_job
 from oakmux.core.state.formats import FORMAT, FORMAT_COMPACT, value_bytes
@@ -188,9 +189,9 @@
     binds tasks of a job, or ends it, is guarded by the job, the end by its team's role too."""
     bound: set[tuple] = set()
     ends = 0
-    for _, guards, writes, _ in sent:
-        guarded = {key for key, _ in guards}
-        for key, value, _ in [write for write in writes if len(write) == 3]:
+    for _, transaction in sent:
+        guarded = {key for key, _ in transaction.conditions}
+        for key, value, _ in [write for write in transaction.writes if len(write) == 3]:
             if key.startswith("ox/p/"):
                 for found in value:
                     binding = (found[0], str(found[5]))
@@ -216,11 +217,13 @@
         if step in (2, 4):
             sim.crash(owner(sim, "red"), 0.5)
     sim.run(40)
-    written = [row for row in sim.sent if "p" in kinds(row[2])]
+    written = [row for row in sim.sent if "p" in kinds(row[1].writes)]
     assert len(written) > 10
-    for _, guards, writes, _ in written:
-        guarded = {key for key, _ in guards}
-        for key, value, _ in [write for write in writes if write[0].startswith("ox/p/")]:
+    for _, transaction in written:
+        guarded = {key for key, _ in transaction.conditions}
+        for key, value, _ in [
+            write for write in transaction.writes if write[0].startswith("ox/p/")
+        ]:
             assert key in guarded
             assert f"ox/own/{key.split('/')[2]}" in guarded
             assert value_bytes(value) <= constants.BATCH_BYTES
@@ -228,8 +231,8 @@
     for core in sim.cores.values():  # nobody writes any more, but all that was sent comes again
         core.step = lambda now, commands: []  # type: ignore[method-assign]
     before = {key: row[:2] for key, row in sim.state.rows.items()}
-    for label, *txn in [*written, *reversed(written)]:
-        sim.state.serve(label, "txn", *txn)
+    for label, transaction in [*written, *reversed(written)]:
+        sim.state.serve(label, transaction)
     assert {key: row[:2] for key, row in sim.state.rows.items()} == before
 
 
@@ -244,7 +247,7 @@
     sim.stuck = {mine}  # it hears of nothing that others write
     sim.cancel_requested.add("job-1")
     other = next(label for label in sim.labels if label != mine)
-    answers = sim.tell(other, "cancel", "job-1")
+    answers = sim.tell(other, messages.CancelJob, "job-1")
     sim.run(0.05)
     assert [status for status, _ in answers] == [200]
     sim.run(2)
@@ -263,8 +266,10 @@
         self.hit = ""
         super().__init__(seed, count)
 
-    def to_state(self, label: str, effect: tuple, done: Any) -> None:
-        pages_in = effect[0] == "txn" and any(w[0].startswith("ox/p/") for w in effect[3])
+    def to_state(self, label: str, effect: messages.StoreOperation, done: Any) -> None:
+        pages_in = isinstance(effect, messages.Transaction) and any(
+            write[0].startswith("ox/p/") for write in effect.writes
+        )
         if not (self.armed and pages_in and not self.hit):
             super().to_state(label, effect, done)
             return
@@ -275,12 +280,12 @@
         self.hit = label
         self.after(0.0, lambda: self.strike(label, effect, done))
 
-    def strike(self, label: str, effect: tuple, done: Any) -> None:
+    def strike(self, label: str, effect: messages.StoreOperation, done: Any) -> None:
         """Carry the write out at once or late, or never, and let its writer fail."""
         label_back = 3.0 if "back" in self.how else 0.1
 
         def serve() -> Any:
-            return self.state.serve(label, *effect[:1], *effect[2:])
+            return self.state.serve(label, effect)
 
         if "at once" in self.how:
             serve()
@@ -412,7 +417,7 @@
     sim.run(10)
     swarm(sim, 6, 1.0)
     sim.run(5)
-    answers = sim.tell("h0", "query", "job-1")
+    answers = sim.tell("h0", messages.QueryJob, "job-1")
     assert [status for status, _ in answers] == [503]
     check_recovered(sim)
 
@@ -426,8 +431,8 @@
     cell = Cell(200, run_s=1000.0)
     transaction = cell._transaction
 
-    def noted(effect: tuple) -> None:
-        sizes.append(sum(value_bytes(write[1]) for write in effect[3] if len(write) > 1))
+    def noted(effect: messages.Transaction) -> None:
+        sizes.append(sum(value_bytes(write[1]) for write in effect.writes if len(write) > 1))
         transaction(effect)
 
     monkeypatch.setattr(cell, "_transaction", noted)
--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -5,6 +5,7 @@
 import pytest
 
 from oakmux import constants
+from oakmux.core import messages
 from oakmux.core.state.codecs import encode_job
 from oakmux.core.state.keys import job_key
 from oakmux.core.state.replica import Replica
@@ -246,19 +247,26 @@
     core = sim.cores["h1"]
     since = core.agents.cancellations.revision
 
-    def asked_for(writes: bool, effects: list[tuple]) -> int:
-        return next(e[1] for e in effects if e[0] == "txn" and bool(e[3]) == writes)
+    def asked_for(writes: bool, effects: list[messages.Effect]) -> int:
+        return next(
+            effect.operation
+            for effect in effects
+            if isinstance(effect, messages.Transaction) and bool(effect.writes) == writes
+        )
 
-    read = asked_for(False, core.step(sim.now, [("cancel", "user", "job-0")]))
-    write = asked_for(True, core.step(sim.now, [("done", read, 200, (since, []))]))
-    batch = [("done", write, 200, (since + 1, [])), ("peer", "peer", "h0", [], since)]
+    read = asked_for(False, core.step(sim.now, [messages.CancelJob("user", "job-0")]))
+    write = asked_for(True, core.step(sim.now, [messages.OperationDone(read, 200, (since, []))]))
+    batch = [
+        messages.OperationDone(write, 200, (since + 1, [])),
+        messages.ReceivePeerMessages("peer", "h0", [], since),
+    ]
     effects = core.step(sim.now, batch if first == "written" else batch[::-1])
-    told = {e[1]: e[2:] for e in effects if e[0] == "answer"}
+    told = {e.request: (e.status, e.body) for e in effects if isinstance(e, messages.Answer)}
     assert told["user"] == (200, ("job", "job-0", "cancelled", 0, 0))
     # Asked before it was written, the answer speaks for the time before the user was told.
     assert told["peer"][1][4] == (["job-0"] if first == "written" else [])
-    later = core.step(sim.now, [("peer", "peer", "h0", [], since)])
-    assert [e[3][4:] for e in later if e[0] == "answer"] == [(["job-0"], since)]
+    later = core.step(sim.now, [messages.ReceivePeerMessages("peer", "h0", [], since)])
+    assert [e.body[4:] for e in later if isinstance(e, messages.Answer)] == [(["job-0"], since)]
 
 
 @pytest.mark.parametrize("until", [-1, 40])
@@ -269,9 +277,9 @@
     word = sim.cores["h0"].agents.cancellations
     known = word.cancels_known_until()
     many = [f"job-{number}" for number in range(2 if until < 0 else 4)]
-    word.peer_alive("h1", 7, 0.0, many, known + 50.0, until)
+    word.peer_answered(messages.PeerAnswered("h1", 7, 0.0, many, known + 50.0, until))
     assert word.cancels_known_until() == known
-    word.peer_alive("h1", 7, 0.0, many[:2], known + 50.0, 40)
+    word.peer_answered(messages.PeerAnswered("h1", 7, 0.0, many[:2], known + 50.0, 40))
     assert word.cancels_known_until() == known + 50.0
 
 
@@ -318,7 +326,7 @@
     owner = holder(sim, "red")
     if how == "yield":
         core = sim.cores[owner]
-        core.leadership._rebalance(
+        core.leadership.roles._rebalance(
             {"red": owner, "blue": owner, "#fleet": owner}, sorted(sim.labels)
         )
         sim.step(owner, [])
--- a/tests/test_capacity_claims.py
+++ b/tests/test_capacity_claims.py
@@ -5,7 +5,8 @@
 import pytest
 
 from oakmux import constants
-from oakmux.core.context import Context, Machine
+from oakmux.core.context import Context
+from oakmux.core.machine import Machine
 from oakmux.core.model import Heartbeat
 from oakmux.core.resources import Resources
 from oakmux.core.scheduling.capacity_claims import CapacityClaims
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -4,6 +4,7 @@
 
 import pytest
 
+from oakmux.core import messages
 from oakmux.core.state.records import Job
 from oakmux.settings import UpcomingLimits
 from tests.fakes import CANCEL_S, Simulation, spec
@@ -130,7 +131,7 @@
     pipeline(sim)
     told: list[tuple] = []
     sim.cancel_requested.add("job-1")
-    sim.command("h0", ("cancel", lambda *a: told.append(a), "job-1"))
+    sim.command("h0", messages.CancelJob(lambda *a: told.append(a), "job-1"))
     while not told:
         sim.run(0.001)
     assert told[0][1][2] == "cancelled"
@@ -162,10 +163,10 @@
     sim.cancel_requested.add("job-1")
     answers = []
     commands = {
-        "cancel": ("h0", ("cancel", lambda *a: answers.append(a), "job-1")),
+        "cancel": ("h0", messages.CancelJob(lambda *a: answers.append(a), "job-1")),
         "submit": (
             "h1",
-            ("submit", lambda *a: answers.append(a), "job-2", sim.specs["job-2"], ""),
+            messages.SubmitJob(lambda *a: answers.append(a), "job-2", sim.specs["job-2"], ""),
         ),
     }
     for name in sorted(commands, key=lambda name: name != first):
@@ -212,16 +213,23 @@
     sim = quiet()
     sim.specs.update({"job-1": small(), "job-2": small(waits_on=("job-1",))})
     answers = []
-    sim.command("h0", ("submit", lambda *a: answers.append(a[0]), "job-1", sim.specs["job-1"], ""))
+    sim.command(
+        "h0", messages.SubmitJob(lambda *a: answers.append(a[0]), "job-1", sim.specs["job-1"], "")
+    )
     while not answers:
         sim.run(0.0005)
     assert "job-1" not in sim.cores["h1"].context.replica.jobs
-    sim.command("h1", ("submit", lambda *a: answers.append(a[0]), "job-2", sim.specs["job-2"], ""))
+    sim.command(
+        "h1", messages.SubmitJob(lambda *a: answers.append(a[0]), "job-2", sim.specs["job-2"], "")
+    )
     sim.run(1)
     assert answers == [201, 201]
     sim.state.down = True  # and what can't be decided now is answered so
     sim.command(
-        "h2", ("submit", lambda *a: answers.append(a[0]), "job-3", small(waits_on=("job-77",)), "")
+        "h2",
+        messages.SubmitJob(
+            lambda *a: answers.append(a[0]), "job-3", small(waits_on=("job-77",)), ""
+        ),
     )
     sim.run(3)
     assert answers[2] == 503
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -5,6 +5,7 @@
 import pytest
 
 from oakmux import constants
+from oakmux.core import messages
 from oakmux.core.agents import reachability
 from tests.fakes import CANCEL_S, LEASE_S, REPORT_S, Simulation, spec
 from tests.helpers.clusters import (
@@ -102,7 +103,7 @@
     for core in sim.cores.values():
         core.autoscaler.tick = fail
     answers = []
-    sim.command("h0", ("query", lambda s, a: answers.append(s), "job-1"))
+    sim.command("h0", messages.QueryJob(lambda s, a: answers.append(s), "job-1"))
     sim.run(2)
     assert answers == [404]
 
--- a/tests/test_gang_scheduling.py
+++ b/tests/test_gang_scheduling.py
@@ -2,6 +2,8 @@
 
 import pytest
 
+from oakmux.core import messages
+from oakmux.core.peer_messages import DeclineOffer, Offer
 from tests.fakes import spec
 from tests.helpers.clusters import idle_cluster, wait_for_state
 
@@ -104,8 +106,8 @@
     state.backoff_until = sim.now + 5
     agent_epoch = core.context.machines[name].agent_epoch
     core.context.now = sim.now
-    core.scheduler.binder.offer(name, "job-2", 7, agent_epoch, 1, "h9")
-    assert ("send", "h9", ("decline", name, 7)) in core.context.effects
+    core.scheduler.binder.offer(Offer(name, "job-2", 7, agent_epoch, 1, "h9"))
+    assert messages.SendToPeer("h9", DeclineOffer(name, 7)) in core.context.effects
 
 
 def test_a_gang_that_must_spread_is_not_bound_to_the_zone_that_holds_its_image():
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -3,6 +3,7 @@
 import pytest
 
 from oakmux.codec.cbor import encode
+from oakmux.core import messages
 from oakmux.transport.http_server import ServerProtocol
 from oakmux.transport.request_router import RequestRouter
 from tests.helpers.samples import GOOD
@@ -59,12 +60,12 @@
 
 def test_valid_requests_become_commands():
     _, commands, _ = talk(post("/api/jobs", encode(GOOD)))
-    assert commands[0][0] == "submit"
-    assert commands[0][2] == "job-000412"
+    assert isinstance(commands[0], messages.SubmitJob)
+    assert commands[0].job_id == "job-000412"
     _, commands, _ = talk(post("/api/jobs/job-7/cancel", b""))
-    assert commands[0][0] == "cancel"
-    assert commands[0][2] == "job-7"
+    assert isinstance(commands[0], messages.CancelJob)
+    assert commands[0].job_id == "job-7"
     # A known job is answered 200 whatever else the body says, so the core must see the id.
     _, commands, _ = talk(post("/api/jobs", encode({"id": "job-5"})))
-    assert commands[0][2:4] == ("job-5", None)
-    assert commands[0][4]
+    assert (commands[0].job_id, commands[0].spec) == ("job-5", None)
+    assert commands[0].malformed
--- a/tests/test_job_api.py
+++ b/tests/test_job_api.py
@@ -4,6 +4,7 @@
 import pytest
 
 from oakmux import constants
+from oakmux.core import messages
 from tests.fakes import CANCEL_S, TYPE, Simulation, spec
 from tests.helpers.clusters import busy_cluster, check_recovered, idle_cluster, leader, running
 
@@ -27,19 +28,21 @@
     sim = idle_cluster()
     answers = []
 
-    def ask(*command):
-        sim.command("h0", (command[0], lambda s, a: answers.append(s), *command[1:]))
+    def ask(command, *fields):
+        sim.command("h0", command(lambda s, a: answers.append(s), *fields))
         sim.run(1)
         return answers[-1]
 
-    assert ask("query", "job-9") == 404
-    assert ask("submit", "job-9", spec(team="nobody"), "") == 422
-    assert ask("submit", "job-9", spec(gpus=5.0), "") == 422
-    assert ask("submit", "job-9", spec("gang", 9), "") == 422
-    assert ask("submit", "job-9", None, "pieces: missing") == 400
+    assert ask(messages.QueryJob, "job-9") == 404
+    assert ask(messages.SubmitJob, "job-9", spec(team="nobody"), "") == 422
+    assert ask(messages.SubmitJob, "job-9", spec(gpus=5.0), "") == 422
+    assert ask(messages.SubmitJob, "job-9", spec("gang", 9), "") == 422
+    assert ask(messages.SubmitJob, "job-9", None, "pieces: missing") == 400
     sim.specs["job-9"] = spec()
-    assert ask("submit", "job-9", spec(), "") == 201
-    assert ask("submit", "job-9", None, "pieces: missing") == 200  # known: whatever the body
+    assert ask(messages.SubmitJob, "job-9", spec(), "") == 201
+    assert (
+        ask(messages.SubmitJob, "job-9", None, "pieces: missing") == 200
+    )  # known: whatever the body
 
 
 def test_store_reads_do_not_grow_with_the_number_of_polls():
@@ -47,18 +50,21 @@
     for number in range(60):
         sim.submit(f"job-{number}", spec("service", 1, "blue"))
     sim.run(10)
-    calls: list[tuple] = []
+    calls: list[messages.Transaction] = []
     carry_out = sim.carry_out
-    sim.carry_out = lambda label, incarnation, effect: (  # type: ignore[method-assign]
-        calls.append(effect) if effect[0] == "txn" and not effect[3] else None,
-        carry_out(label, incarnation, effect),
-    )
+
+    def noted(label: str, incarnation: int, effect: messages.Effect) -> None:
+        if isinstance(effect, messages.Transaction) and not effect.writes:
+            calls.append(effect)
+        carry_out(label, incarnation, effect)
+
+    sim.carry_out = noted  # type: ignore[method-assign]
     answers: list[int] = []
     for _ in range(10):
         sim.step(
             "h0",
             [
-                ("query", lambda status, _: answers.append(status), f"job-{n % 60}")
+                messages.QueryJob(lambda status, _: answers.append(status), f"job-{n % 60}")
                 for n in range(400)
             ],
         )
@@ -76,7 +82,9 @@
     sim.cancel_requested.add("job-7")
     sim.command(
         "h1",
-        ("cancel", lambda s, a: sim.check_answer("job-7", s, a, "accepted", sim.now), "job-7"),
+        messages.CancelJob(
+            lambda s, a: sim.check_answer("job-7", s, a, "accepted", sim.now), "job-7"
+        ),
     )
     sim.run(3)
     assert sim.told["job-7"] == "cancelled"
@@ -86,8 +94,7 @@
         sim.step(
             "h0",
             [
-                (
-                    "query",
+                messages.QueryJob(
                     lambda s, a, n=number: sim.check_answer(
                         f"job-{n}", s, a, sim.told.get(f"job-{n}"), sim.now
                     ),
@@ -169,7 +176,7 @@
     """A cancellation, a question or a repeated submission at each moment about the end. Must not
     happen: done and then cancelled or the other way round, done too early."""
     for kind in ("array", "gang"):
-        for what in ("cancel", "query", "submit"):
+        for command in (messages.CancelJob, messages.QueryJob, messages.SubmitJob):
             sim = Simulation(5)
             sim.run(12)
             sim.submit("job-1", spec(kind, 2, estimate_s=3.0))
@@ -177,17 +184,18 @@
                 sim.run(0.01)
             end = max(row[2] for w in sim.workers.values() for row in w.tasks.values())
             sim.run(max(0.0, end - sim.now + late))
-            if what == "cancel":
+            if command is messages.CancelJob:
                 sim.cancel_requested.add("job-1")
-            more = (sim.specs["job-1"], "") if what == "submit" else ()
+            more = (sim.specs["job-1"], "") if command is messages.SubmitJob else ()
             for label in sim.labels:
-                sim.tell(label, what, "job-1", *more)
+                sim.tell(label, command, "job-1", *more)
                 sim.run(0.004)
             for _ in range(30):  # the fakes compare each answer with what was told before
                 for label in sim.labels:
-                    sim.tell(label, "query", "job-1")
+                    sim.tell(label, messages.QueryJob, "job-1")
                 sim.run(0.1)
-            assert sim.told["job-1"] in (("done", "cancelled") if what == "cancel" else ("done",))
+            cancelled = command is messages.CancelJob
+            assert sim.told["job-1"] in (("done", "cancelled") if cancelled else ("done",))
             check_recovered(sim, 20)
 
 
@@ -242,7 +250,7 @@
     sim = Simulation(1)
     sim.run(8)
     for label in sim.labels:
-        answers = sim.tell(label, "submit", "job-1", job, "")
+        answers = sim.tell(label, messages.SubmitJob, "job-1", job, "")
         sim.run(0.5)
         assert [status for status, _ in answers] == [422]
     sim.specs["job-1"] = spec()
@@ -250,15 +258,15 @@
     sim.run(1)
     for label in sim.labels:  # known by now: its state, whatever the body says
         answers = [
-            *sim.tell(label, "submit", "job-1", job, ""),
-            *sim.tell(label, "submit", "job-1", None, "pieces: missing"),
+            *sim.tell(label, messages.SubmitJob, "job-1", job, ""),
+            *sim.tell(label, messages.SubmitJob, "job-1", None, "pieces: missing"),
         ]
         sim.run(0.5)
         assert sim.told["job-1"] == "accepted"
     sim.run(30)
     sim.cancel_requested.add("job-1")
     for label in sim.labels:  # a cancellation of what is done changes nothing
-        answers = sim.tell(label, "cancel", "job-1")
+        answers = sim.tell(label, messages.CancelJob, "job-1")
         sim.run(0.5)
         assert [(status, answer[2]) for status, answer in answers] == [(200, "done")]
 
@@ -270,6 +278,6 @@
     sim.run(8)
     for zone, status in (("c", 422), ("b", 201)):
         sim.specs["job-1"] = spec(zone=zone)
-        answers = sim.tell("h0", "submit", "job-1", spec(zone=zone), "")
+        answers = sim.tell("h0", messages.SubmitJob, "job-1", spec(zone=zone), "")
         sim.run(0.5)
         assert [row[0] for row in answers] == [status]
--- a/tests/test_late_messages.py
+++ b/tests/test_late_messages.py
@@ -6,6 +6,7 @@
 import pytest
 
 from oakmux import constants
+from oakmux.core import messages
 from oakmux.core.agents import reachability
 from oakmux.core.model import Heartbeat
 from tests.fakes import LEASE_S, FakeWorker, Simulation, spec
@@ -28,7 +29,9 @@
 def deliver(sim: Simulation, label: str, heartbeat: Heartbeat) -> list[int]:
     """Deliver a copy of a report; return the status of its answer, which goes nowhere."""
     answers: list[int] = []
-    sim.command(label, ("report", lambda status, _: answers.append(status), heartbeat))
+    sim.command(
+        label, messages.ReceiveHeartbeat(lambda status, _: answers.append(status), heartbeat)
+    )
     return answers
 
 
@@ -182,22 +185,23 @@
     sim.submit("job-9", spec("array", 20, gpus=0.0, cpus=0.1))  # too large for a page
     sim.kill(sim.live()[0][0].name)  # so that a machine is recorded as gone
     sim.run(40)
-    seen = set().union(*(kinds(writes) for _, _, writes, _ in sim.sent))
+    seen = set().union(*(kinds(transaction.writes) for _, transaction in sim.sent))
     assert seen >= {"j", "t", "p", "own", "n", "term", "version", "format", "gone", "types"}
-    for _, guards, writes, _ in sim.sent:
+    for _, transaction in sim.sent:
+        writes = transaction.writes
         keys = {write[0] for write in writes if write[0].split("/")[1] not in UNGUARDED}
-        guarded = {key for key, _ in guards}
+        guarded = {key for key, _ in transaction.conditions}
         assert keys <= guarded, keys
         # Who was replaced must not bind a task beside what its successor has bound (R quota).
         assert not kinds(writes) & {"t", "p"} or any(k.startswith("ox/own/") for k in guarded)
     for core in sim.cores.values():  # nobody writes for a while, but what was sent comes again
         core.step = lambda now, commands: []  # type: ignore[method-assign]
     rows = {k: v[:2] for k, v in sim.state.rows.items()}
-    for label, *txn in [*sim.sent, *reversed(sim.sent)]:
-        if kinds(txn[1]) & UNGUARDED:
-            assert len(kinds(txn[1]) - UNGUARDED) == 0
+    for label, transaction in [*sim.sent, *reversed(sim.sent)]:
+        if kinds(transaction.writes) & UNGUARDED:
+            assert len(kinds(transaction.writes) - UNGUARDED) == 0
             continue
-        sim.state.serve(label, "txn", *txn)
+        sim.state.serve(label, transaction)
     assert {k: v[:2] for k, v in sim.state.rows.items()} == rows
 
 
@@ -212,10 +216,10 @@
     sim.submit("job-2", spec("array", 4, "blue", estimate_s=60.0))
     sim.run(10)
     before = len(sim.start_log)
-    again = [row for row in sim.sent if kind in kinds(row[2])]
+    again = [row for row in sim.sent if kind in kinds(row[1].writes)]
     assert again
-    for label, *txn in again:
-        sim.state.serve(label, "txn", *txn)
+    for label, transaction in again:
+        sim.state.serve(label, transaction)
         sim.run(0.2)
     sim.run(20 + constants.TERMINATION_KEEP_S)
     assert len(sim.start_log) == before  # no role, machine or task was lost by it
@@ -265,11 +269,17 @@
         self.kind, self.left, self.armed = kind, at, False
         super().__init__(5, count)
 
-    def to_state(self, label: str, effect: tuple, done: Callable[[tuple], None]) -> None:
-        if self.armed and effect[0] == "txn" and self.kind in kinds(effect[3]):
+    def to_state(
+        self, label: str, effect: messages.StoreOperation, done: Callable[[tuple], None]
+    ) -> None:
+        if (
+            self.armed
+            and isinstance(effect, messages.Transaction)
+            and self.kind in kinds(effect.writes)
+        ):
             self.left -= 1
             if self.left == 0:
-                self.after(self.delay(), lambda: self.state.serve(label, "txn", *effect[2:]))
+                self.after(self.delay(), lambda: self.state.serve(label, effect))
                 self.after(constants.STORE_TIMEOUT_S, lambda: done((0, None)))
                 return
         super().to_state(label, effect, done)
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -3,7 +3,8 @@
 import pytest
 
 from oakmux import constants
-from oakmux.core.leadership.leadership import FLEET
+from oakmux.core import messages
+from oakmux.core.leadership.roles import FLEET
 from oakmux.core.state.codecs import decode_block, encode_block
 from oakmux.core.state.keys import block_key, controller_key, role_key
 from oakmux.core.state.records import TaskBlock
@@ -77,10 +78,11 @@
 def test_a_late_write_of_an_earlier_incarnation_does_not_deregister_a_controller():
     sim = idle_cluster()
     core = sim.cores["h1"]
-    old = (controller_key("h1"), core.context.incarnation, core.leadership.lease)
+    old = (controller_key("h1"), core.context.incarnation, core.leadership.lease.lease_id)
     sim.crash("h1", 0.1)
     sim.run(1.5)
-    assert sim.state.serve("h1", "txn", [], [old], -1)[0] == 200  # held up on its way till now
+    held_up = messages.Transaction(0, [], [old], constants.LEADERSHIP_WRITE_PRIORITY)
+    assert sim.state.serve("h1", held_up)[0] == 200
     sim.run(constants.CONTROLLER_LEASE_S + 6)
     assert "h1" in sim.cores["h0"].context.replica.live_controllers
     assert sim.state.rows[controller_key("h1")][0] == sim.cores["h1"].context.incarnation
--- a/tests/test_partitions.py
+++ b/tests/test_partitions.py
@@ -3,6 +3,7 @@
 import pytest
 
 from oakmux import constants
+from oakmux.core import messages
 from tests.fakes import CANCEL_S, LEASE_S, Simulation, spec
 from tests.helpers.clusters import (
     busy_cluster,
@@ -74,9 +75,11 @@
     taken: list[int] = []
     sim.cancel("job-1")
     sim.run(constants.ISOLATION_S + 1)
-    sim.command(alone, ("health", lambda status, _: health.append(status)))
+    sim.command(alone, messages.CheckHealth(lambda status, _: health.append(status)))
     sim.specs["job-3"] = spec()  # what is written late is accepted, though nobody was told
-    sim.command(alone, ("submit", lambda status, _: taken.append(status), "job-3", spec(), ""))
+    sim.command(
+        alone, messages.SubmitJob(lambda status, _: taken.append(status), "job-3", spec(), "")
+    )
     sim.run(CANCEL_S + 3)  # the fakes check that no task of job-1 is left
     assert health == [503]
     assert taken == [503]
@@ -118,9 +121,9 @@
     cancel_at(sim, "h1", "job-0")
     sim.specs["job-7"] = sim.specs["job-8"] = spec("array", 2)
     late = [
-        sim.tell("h0", "submit", "job-7", spec("array", 2), ""),
-        sim.tell("h0", "query", "job-0"),
-        sim.tell("h0", "cancel", "job-1"),
+        sim.tell("h0", messages.SubmitJob, "job-7", spec("array", 2), ""),
+        sim.tell("h0", messages.QueryJob, "job-0"),
+        sim.tell("h0", messages.CancelJob, "job-1"),
     ]
     sim.cancel_requested.add("job-1")
     sim.submit("job-8", spec("array", 2))
--- a/tests/test_peer_client.py
+++ b/tests/test_peer_client.py
@@ -4,9 +4,24 @@
 
 from oakmux import constants
 from oakmux.codec.cbor import decode, encode
+from oakmux.codec.peers import decode_batch
+from oakmux.core.peer_messages import LendChanges, MachineView, Offer
 from oakmux.transport.peer_client import PeerClient
 
 
+def view_of(machine: str) -> MachineView:
+    return MachineView(1, machine, "10.1.0.1:1", "big", "a", False, 1, 1, 1, None, [], [])
+
+
+def test_messages_that_cannot_be_read_are_left_out_of_a_batch(caplog):
+    rows = [["nonsense"], [], ["view", 1], [["lent"], 1.0], ["lent", 0.75]]
+    batch = decode_batch(encode(["batch", "h1", rows, 5]))
+    assert batch.messages == [LendChanges(0.75)] and batch.since == 5
+    assert [row.getMessage().split(" why=")[0] for row in caplog.records] == [
+        "event=message_failed peer=h1"
+    ] * 4
+
+
 def test_machine_views_are_batched_unless_an_urgent_message_goes_to_that_peer():
     # Each changed report was a request to six peers by itself.
     sent: list[tuple[float, list]] = []
@@ -23,12 +38,12 @@
         start = loop.time()
         pump = asyncio.ensure_future(peer.pump())
         for name in ("m1", "m2"):
-            peer.send(("view", 1, name))
+            peer.send(view_of(name))
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.4)
-        peer.send(("view", 1, "m1"))
+        peer.send(view_of("m1"))
         await asyncio.sleep(0.02)
-        peer.send(("offer", "m1"))
+        peer.send(Offer("m1", "job-1", 1, 1, 1, "h0"))
         await asyncio.sleep(0.4)
         pump.cancel()
 
--- a/tests/test_pending_queues.py
+++ b/tests/test_pending_queues.py
@@ -242,7 +242,7 @@
     # By age alone all jobs of a burst above capacity were late: each was served as its time was
     # over.
     context = Context(settings_for("h0"), random.Random(1), 0)
-    context.finish_objectives["l"] = 60.0
+    context.objectives.finish_s["l"] = 60.0
     context.types = {"big": TYPE}
     queues = PendingQueues(context)
     for number, (since, tasks) in enumerate([(0, 2), (30_000, 2), (30_000, 6), (31_000, 1)]):
@@ -262,7 +262,7 @@
 def test_the_only_job_of_a_queue_may_miss_its_objective():
     # Moving it deleted its queue while the queue was read, and the tick failed.
     context = Context(settings_for("h0"), random.Random(1), 0)
-    context.finish_objectives["l"] = 60.0
+    context.objectives.finish_s["l"] = 60.0
     context.types = {"big": TYPE}
     schedule = SamplingSchedule(context, {})
     job = Job("job-1", "red", "queued", 1, spec(), 0, 1)
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -6,7 +6,8 @@
 
 from oakmux import constants
 from oakmux.core.agents import reachability
-from oakmux.core.context import Context, Machine
+from oakmux.core.context import Context
+from oakmux.core.machine import Machine
 from oakmux.core.model import Heartbeat
 from tests.fakes import (
     LEASE_S,
--- a/tests/test_schedule_firings.py
+++ b/tests/test_schedule_firings.py
@@ -9,13 +9,14 @@
 from oakmux.core.state.codecs import encode_job
 from oakmux.core.state.keys import job_key
 from oakmux.schedules import records, zones
+from oakmux.schedules.messages import ServeScheduleRequest
 from tests.fakes import spec
 from tests.timed import JOB, SKEW_MS, Timed, seconds, settled
 
 
 def names(sim: Timed) -> list[str]:
     """Return the entries whose turns were made, one for each turn."""
-    store = sim.cores[sim.holder()].parts[0].store
+    store = sim.cores[sim.holder()].subsystems[0].store
     found = {}
     for name, entry in store.entries.items():
         for at, outcome, tries, note in store.slot(name).rows:
@@ -210,7 +211,9 @@
         for label, what in zip(sim.labels, ("pause", "remove", "run-now"), strict=True):
             sim.command(
                 label,
-                ("schedules", lambda *a: None, what, {"name": f"red/n{n:03d}", "word": f"w{n}"}),
+                ServeScheduleRequest(
+                    lambda *a: None, what, {"name": f"red/n{n:03d}", "word": f"w{n}"}
+                ),
             )
         sim.run(0.02)
     sim.run(10)
@@ -303,7 +306,7 @@
 def test_an_id_that_an_older_job_has():
     sim = settled("2026-12-01T02:59:30+00:00")
     sim.cron("red/n", "0 3 * * *")
-    entry = sim.cores["h0"].parts[0].store.entries["red/n"]
+    entry = sim.cores["h0"].subsystems[0].store.entries["red/n"]
     taken = records.job_id(entry, str(seconds("2026-12-01T03:00:00+00:00")), 0, 0)
     old = spec(gpus=0.0)
     sim.specs[taken] = old
@@ -448,7 +451,7 @@
     sim.run(60 - (sim.start + sim.now) % 60 + 12)
     last = int((sim.start + sim.now) // 60 * 60)
     first = int(sim.start // 60 * 60 + 60)
-    store = next(core for core in sim.cores.values() if core).parts[0].store
+    store = next(core for core in sim.cores.values() if core).subsystems[0].store
     expected = {
         records.job_id(entry, str(at), 0, 0)
         for entry in store.entries.values()
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -4,7 +4,9 @@
 
 import pytest
 
+from oakmux.core import messages
 from oakmux.core.context import Context
+from oakmux.core.peer_messages import AnnounceBackfill
 from oakmux.core.scheduling import queue_order
 from oakmux.core.scheduling.backfill_reservations import BackfillReservations
 from oakmux.core.scheduling.pending_queues import PendingQueues
@@ -174,7 +176,7 @@
 
 def test_a_starving_job_is_aged_whatever_the_objectives_of_its_class():
     context, jobs = pending(old=(97.0, {}), young=(50.0, {}))
-    context.start_objectives["l"] = [400.0]
+    context.objectives.start_s["l"] = [400.0]
     assert queue_order.is_aged(context, jobs["old"], jobs["old"].spec)
     assert not queue_order.is_aged(context, jobs["young"], jobs["young"].spec)
 
@@ -193,7 +195,7 @@
         gang=(70.0, dict(kind="gang", tasks=8)), older=(80.0, dict(tasks=40, estimate_s=60.0))
     )
     reservations = BackfillReservations(context)
-    reservations.announced("gang", 1, jobs["gang"].since, ["m1"], 10.0)
+    reservations.announced(AnnounceBackfill("gang", 1, jobs["gang"].since, ["m1"], 10.0))
     assert not reservations.blocks_job("m1", jobs["older"], jobs["older"].spec)
     jobs["older"].blocks[0] = TaskBlock(1, 1, 0, {0: Binding(1, "m2", 1, 1, "a")})
     assert reservations.blocks_job("m1", jobs["older"], jobs["older"].spec)
@@ -220,9 +222,9 @@
     sim.run(20)
     for core in sim.cores.values():  # each answers, but never for this one
         query = core.jobs_api.query
-        core.handlers["query"] = lambda rid, job_id, query=query, core=core: (
-            core.jobs_api.answers.unavailable(rid, "busy")
-            if job_id == "job-2"
-            else query(rid, job_id)
+        core.handlers[messages.QueryJob] = lambda command, query=query, core=core: (
+            core.jobs_api.answers.unavailable(command.request, "busy")
+            if command.job_id == "job-2"
+            else query(command)
         )
     assert sim.unresponsive() == {"job-2"}
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -7,6 +7,7 @@
 from oakmux import constants
 from oakmux.codec.cbor import encode
 from oakmux.codec.store import PATH_LEASES, PATH_TRANSACTIONS
+from oakmux.core import messages
 from oakmux.transport.rate_limit import TokenBucket
 from oakmux.transport.store_client import StoreClient
 from tests.fakes import settings_for
@@ -53,9 +54,9 @@
     async def play(state, sent, put):
         state.changes.level = -1e6
         state.changes.at = asyncio.get_running_loop().time()
-        state.submit("txn", 1, [], [("k", 1, None)], 1)
+        state.submit(messages.Transaction(1, [], [("k", 1, None)], 1))
         await turns()
-        state.submit("renew", 2, 7)
+        state.submit(messages.RenewLease(2, 7))
         await turns()
         assert sent == [f"{PATH_LEASES}/7/renew"]
 
@@ -68,13 +69,13 @@
         state.changes.at = asyncio.get_running_loop().time()
         state.ahead.reset(state.changes.at - 2 * constants.USER_ADVANCE_GROWTH_S)
         state.changes.level = -state.changes.rate
-        state.submit("txn", 1, [], [("k", 1, None)], 1)
-        state.submit("txn", 2, [], [("user", 1, None)], 0)
+        state.submit(messages.Transaction(1, [], [("k", 1, None)], 1))
+        state.submit(messages.Transaction(2, [], [("user", 1, None)], 0))
         await turns()
         assert sent == [PATH_TRANSACTIONS]
         assert state.changes.level < -state.changes.rate
         state.changes.level = -3 * state.changes.rate
-        state.submit("txn", 3, [], [("user", 1, None)], 0)
+        state.submit(messages.Transaction(3, [], [("user", 1, None)], 0))
         await turns()
         assert len(sent) == 1
 
@@ -87,14 +88,17 @@
     async def play(state, sent, put):
         limit = settings_for("h0", 3).facts.store.write_rps
         for number in range(int(limit)):
-            state.submit("txn", number, [], [("user", 1, None)], 0)
+            state.submit(messages.Transaction(number, [], [("user", 1, None)], 0))
         await turns(int(limit))
         assert len(sent) > 0.2 * limit
         assert 3 * len(sent) <= limit
         # The others come in time or hear at once that they can't be served.
         for number in range(int(4 * limit)):
-            state.submit("txn", number, [], [("user", 1, None)], 0)
-        assert sum(row[0] == "done" and row[2] == 503 for row in put) > 2 * limit
+            state.submit(messages.Transaction(number, [], [("user", 1, None)], 0))
+        assert (
+            sum(isinstance(one, messages.OperationDone) and one.status == 503 for one in put)
+            > 2 * limit
+        )
         waiting = len(state.writes.heap)
         assert waiting <= state.changes.rate * (constants.STORE_QUEUE_TIMEOUT_S + 1)
 
@@ -111,9 +115,9 @@
             return 503, b""
 
         state.client.request = outage
-        state.submit("txn", 1, [], [("k", 1, None)], 1)
+        state.submit(messages.Transaction(1, [], [("k", 1, None)], 1))
         await turns()
-        assert ("done", 1, 503, None) in put
+        assert messages.OperationDone(1, 503, None) in put
         assert state.ahead.allowed(asyncio.get_running_loop().time()) < state.changes.rate
 
     with_state(play)
@@ -128,10 +132,10 @@
         assert state.changes.level == pytest.approx(before - 5.0)
         assert state.lend(1e9) < before  # never more than there is
         state.changes.level = -1e6
-        state.submit("txn", 1, [], [("k", 1, None)], 1)
+        state.submit(messages.Transaction(1, [], [("k", 1, None)], 1))
         await turns()
         assert state.lend(1.0) == 0.0  # it waits itself
-        assert put[0][0] == "short"
+        assert isinstance(put[0], messages.BorrowQuota)
         assert not sent
         state.credit(2e6)
         await turns()
@@ -146,11 +150,15 @@
         state.changes.at = asyncio.get_running_loop().time()
         state.changes.level = 0.0
         for number in range(50):
-            state.submit("txn", number, [], [("user", 1, None)], 0)
-        state.submit("txn", 99, [], [("role", 1, None)], constants.LEADERSHIP_WRITE_PRIORITY)
-        assert state.writes.heap[0][4][1] == 99
+            state.submit(messages.Transaction(number, [], [("user", 1, None)], 0))
+        state.submit(
+            messages.Transaction(99, [], [("role", 1, None)], constants.LEADERSHIP_WRITE_PRIORITY)
+        )
+        assert state.writes.heap[0][4].operation == 99
         state.changes.level = -1e6  # the share is spent for a long time
-        state.submit("txn", 100, [], [("role", 1, None)], constants.LEADERSHIP_WRITE_PRIORITY)
-        assert not any(row[1] == 100 for row in put)  # refused is what users are, not this
+        state.submit(
+            messages.Transaction(100, [], [("role", 1, None)], constants.LEADERSHIP_WRITE_PRIORITY)
+        )
+        assert not any(one.operation == 100 for one in put)  # refused is what users are, not this
 
     with_state(play)
--- a/tests/test_store_outages.py
+++ b/tests/test_store_outages.py
@@ -1,5 +1,6 @@
 """Outages of the store and of the cloud API."""
 
+from oakmux.core import messages
 from tests.fakes import Simulation, spec
 from tests.helpers.clusters import idle_cluster, wait_for_state
 
@@ -12,8 +13,8 @@
     sim.state.outage(9.0)
     answers = []
     sim.run(1)
-    sim.command("h1", ("query", lambda s, a: answers.append(s), "job-1"))
-    sim.command("h1", ("submit", lambda s, a: answers.append(s), "job-2", spec(), ""))
+    sim.command("h1", messages.QueryJob(lambda s, a: answers.append(s), "job-1"))
+    sim.command("h1", messages.SubmitJob(lambda s, a: answers.append(s), "job-2", spec(), ""))
     sim.run(6)
     assert answers == [503, 503]
     sim.run(20)
@@ -77,5 +78,5 @@
     sim.run(8)
     health: list[int] = []
     for label in sim.labels:
-        sim.command(label, ("health", lambda status, _: health.append(status)))
+        sim.command(label, messages.CheckHealth(lambda status, _: health.append(status)))
     assert health == [200] * 3
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -10,7 +10,8 @@
 
 from oakmux.codec.answers import answer_body
 from oakmux.codec.cbor import decode, encode
-from oakmux.codec.peers import parse_batch
+from oakmux.codec.peers import decode_batch, encode_message
+from oakmux.core import messages
 from oakmux.core.controller import Controller
 from oakmux.core.state.codecs import decode_block, encode_block, encode_job
 from oakmux.core.state.formats import FORMAT, value_bytes
@@ -89,18 +90,22 @@
     core.step(
         0.0,
         [
-            ("catalogue", [TYPE]),
-            ("snapshot", [(key, *row) for key, row in FIRST["rows"].items()], 30, 0.0),
+            messages.UpdateMachineTypes([TYPE]),
+            messages.LoadSnapshot([(key, *row) for key, row in FIRST["rows"].items()], 30, 0.0),
         ],
     )
     for sender, message in FIRST["messages"].values():
-        batch = parse_batch(encode(["batch", sender, [message]]))
+        batch = decode_batch(encode(["batch", sender, [message]]))
         effects = core.step(
-            1.0, [("peer", None, batch.controller_id, batch.messages, batch.cancellations_until)]
+            1.0, [messages.ReceivePeerMessages(None, batch.sender, batch.messages, batch.since)]
         )
-        answers = [encode(answer_body(e[3])) for e in effects if e[0] == "answer"]
+        answers = [
+            encode(answer_body(effect.body))
+            for effect in effects
+            if isinstance(effect, messages.Answer)
+        ]
         old = msgspec.convert(decode(answers[0]), OldAnswer)
-        assert (old.label, batch.cancellations_until) == ("h1", -1)
+        assert (old.label, batch.since) == ("h1", -1)
         assert old.cancelled == [
             j.id for j in core.context.replica.jobs.values() if j.state == "cancelled"
         ]
@@ -110,7 +115,7 @@
     send = sim.send
 
     def noted(label, incarnation, peer, message):
-        forms[message[0]] = len(message)
+        forms[message.TAG] = len(encode_message(message))
         send(label, incarnation, peer, message)
 
     sim.send = noted
@@ -159,7 +164,7 @@
     upgrade(sim, "h0", "h1")
     answers = []
     job = small(1, waits_on=("job-1",))
-    sim.command("h0", ("submit", lambda *a: answers.append(a[0]), "job-2", job, ""))
+    sim.command("h0", messages.SubmitJob(lambda *a: answers.append(a[0]), "job-2", job, ""))
     sim.run(1)
     assert answers == [503]
     upgrade(sim, "h2")
@@ -178,10 +183,10 @@
     sent = []
     serve = sim.state.serve
 
-    def noted(label, kind, *args):
-        if kind == "txn" and label in sim.old and args[1]:
-            sent.append(args)
-        return serve(label, kind, *args)
+    def noted(label, operation):
+        if isinstance(operation, messages.Transaction) and label in sim.old and operation.writes:
+            sent.append(operation)
+        return serve(label, operation)
 
     sim.state.serve = noted
     sim.run(12)
@@ -198,8 +203,8 @@
         if key.startswith(("ox/j/", "ox/t/", "ox/own/", "ox/format", "ox/term"))
     }
     assert len(sent) > 5
-    for args in sent:
-        sim.state.txn(*args)
+    for transaction in sent:
+        sim.state.transact(transaction.conditions, transaction.writes)
     for key, row in kept.items():
         assert sim.state.rows[key][:2] == row, key
 
@@ -321,7 +326,7 @@
     facts = msgspec.structs.replace(page.facts, store=limits)
     later = Controller(msgspec.structs.replace(page, facts=facts), random.Random(1), 0)
     assert later.scheduler.buffer.tasks_per_record == 18
-    later.step(0.0, [("snapshot", [(FORMAT_KEY, [2, 64], 3)], 3, 0.0)])
+    later.step(0.0, [messages.LoadSnapshot([(FORMAT_KEY, [2, 64], 3)], 3, 0.0)])
     assert later.scheduler.buffer.tasks_per_record == 64
 
 
@@ -334,12 +339,18 @@
         (job_key("job-1"), {}, 3),
     ]
     with caplog.at_level(logging.ERROR):
-        core.step(0.0, [("catalogue", [TYPE]), ("snapshot", rows, 3, 0.0)])
+        core.step(0.0, [messages.UpdateMachineTypes([TYPE]), messages.LoadSnapshot(rows, 3, 0.0)])
         effects = core.step(
-            1.0, [("watch", rows, 4, 1.0), ("health", "a"), ("query", "b", "job-1")]
+            1.0,
+            [
+                messages.ApplyWatchEvents(rows, 4, 1.0),
+                messages.CheckHealth("a"),
+                messages.QueryJob("b", "job-1"),
+            ],
         )
     assert [line.split()[0] for line in caplog.messages] == [
         "event=unknown_format",
         "event=bad_record",
     ]
-    assert [(e[1], e[2]) for e in effects if e[0] == "answer"] == [("a", 503), ("b", 503)]
+    answers = [(e.request, e.status) for e in effects if isinstance(e, messages.Answer)]
+    assert answers == [("a", 503), ("b", 503)]
--- a/tests/timed.py
+++ b/tests/timed.py
@@ -5,7 +5,9 @@
 
 import msgspec
 
+from oakmux.core.messages import Command
 from oakmux.core.model import JobSpec
+from oakmux.schedules.messages import ServeScheduleRequest, SetTimeOfDay
 from oakmux.schedules.records import RESERVED
 from oakmux.schedules.subsystem import SchedulesSubsystem
 from oakmux.settings import Settings
@@ -53,11 +55,11 @@
         self.parts = () if label in self.off else (SchedulesSubsystem,)
         super().boot(label)
 
-    def clock_commands(self, label: str) -> list[tuple]:
+    def clock_commands(self, label: str) -> list[Command]:
         if label in self.off:
             return []
         ahead = self.offsets.get(label, 0.0)
-        return [("time", int((self.start + self.now + ahead) * 1000))]
+        return [SetTimeOfDay(int((self.start + self.now + ahead) * 1000))]
 
     def written(self, key: str, value: Any) -> None:
         name = key.removeprefix("ox/j/")
@@ -72,7 +74,8 @@
             box: list[tuple] = []
             to = label or self.labels[turn % len(self.labels)]
             self.command(
-                to, ("schedules", lambda *answer, box=box: box.append(answer), operation, args)
+                to,
+                ServeScheduleRequest(lambda *answer, box=box: box.append(answer), operation, args),
             )
             end = self.now + 3
             while not box and self.now < end:
--- a/tools/capacity/cell.py
+++ b/tools/capacity/cell.py
@@ -11,6 +11,7 @@
 import cbor2
 
 from oakmux.codec.workers import COMMAND_VERBS
+from oakmux.core import messages
 from oakmux.core.controller import Controller
 from oakmux.core.model import Heartbeat, JobSpec, MachineType
 from oakmux.core.state.keys import PREFIX
@@ -169,7 +170,7 @@
         self.changes: Counter[str] = Counter()
         self.transactions = 0
         self.event_bytes = 0
-        self.pending: list[tuple] = []
+        self.pending: list[messages.Command] = []
         names = zone_names(zones)
         self.workers = [
             StubWorker(
@@ -181,8 +182,8 @@
         kind = MachineType(
             "big", float(MACHINE_TASKS), 0.0, 64.0, 100.0, 1.0, 10.0, 3.0, 30.0, names
         )
-        self.pending.append(("catalogue", [kind]))
-        self.pending.append(("snapshot", [], 0, 0.0))
+        self.pending.append(messages.UpdateMachineTypes([kind]))
+        self.pending.append(messages.LoadSnapshot([], 0, 0.0))
 
     def run(self, seconds: float, submit: dict[int, list[JobSpec]] | None = None) -> None:
         """Pass that much time; `submit` holds jobs by the step in which they come."""
@@ -194,7 +195,7 @@
     def submit(self, spec: JobSpec) -> None:
         """Submit a job with the next step."""
         job_id = f"job-{self.rng.randrange(10**12)}"
-        self.pending.append(("submit", None, job_id, spec, ""))
+        self.pending.append(messages.SubmitJob(None, job_id, spec, ""))
 
     def _step(self) -> None:
         self.now += STEP_S
@@ -202,39 +203,41 @@
         for worker in self.workers:
             worker.advance(self.now)
             if worker.next_report <= self.now:
-                commands.append(("report", worker.name, worker.heartbeat(self.now)))
-        commands.append(("watch", [], self.revision, self.now))
+                commands.append(messages.ReceiveHeartbeat(worker.name, worker.heartbeat(self.now)))
+        commands.append(messages.ApplyWatchEvents([], self.revision, self.now))
         begun = time.process_time()
         effects = self.core.step(self.now, commands)
         self.spent_s += time.process_time() - begun
         for effect in effects:
             self._carry_out(effect)
 
-    def _carry_out(self, effect: tuple) -> None:
-        kind = effect[0]
-        if kind == "answer" and effect[1] in self.by_name and effect[3][0] == "orders":
-            worker = self.by_name[effect[1]]
-            self.starts += worker.obey(effect[3][1], effect[3][2], self.now)
-        elif kind == "orders":
-            self._direct(effect)
-        elif kind == "grant":
-            self.pending.append(("done", effect[1], 200, 1))
-        elif kind == "renew":
-            self.pending.append(("done", effect[1], 200, None))
-        elif kind == "txn":
-            self._transaction(effect)
-        elif kind == "cloud" and effect[2] == "rent":
-            self.pending.append(("done", effect[1], 503, "no capacity"))
+    def _carry_out(self, effect: messages.Effect) -> None:
+        match effect:
+            case messages.Answer(name, _, ("orders", fencing_token, commands)):
+                if name in self.by_name:
+                    worker = self.by_name[name]
+                    self.starts += worker.obey(fencing_token, commands, self.now)
+            case messages.SendWorkerCommands():
+                self._direct(effect)
+            case messages.GrantLease(operation):
+                self.pending.append(messages.OperationDone(operation, 200, 1))
+            case messages.RenewLease(operation):
+                self.pending.append(messages.OperationDone(operation, 200, None))
+            case messages.Transaction():
+                self._transaction(effect)
+            case messages.RentInstances(operation):
+                self.pending.append(messages.OperationDone(operation, 503, "no capacity"))
 
-    def _direct(self, effect: tuple) -> None:
-        """Carry out direct orders; a stub's address is its name."""
-        _, op, address, fencing_token, _, orders = effect
-        worker = self.by_name[address]
-        self.starts += worker.obey(fencing_token, orders, self.now)
-        self.pending.append(("done", op, "ok", worker.heartbeat(self.now)))
+    def _direct(self, effect: messages.SendWorkerCommands) -> None:
+        """Carry out direct commands; a stub's address is its name."""
+        worker = self.by_name[effect.addr]
+        self.starts += worker.obey(effect.fencing_token, effect.commands, self.now)
+        self.pending.append(
+            messages.OperationDone(effect.operation, "ok", worker.heartbeat(self.now))
+        )
 
-    def _transaction(self, effect: tuple) -> None:
-        writes = effect[3]
+    def _transaction(self, effect: messages.Transaction) -> None:
+        writes = effect.writes
         if writes:
             self.revision += 1
             self.transactions += 1
@@ -248,7 +251,7 @@
                     else {"delete": write[0], "stamp": self.revision}
                 )
             )
-        self.pending.append(("done", effect[1], 200, (self.revision, [])))
+        self.pending.append(messages.OperationDone(effect.operation, 200, (self.revision, [])))
 
 
 def steady(
