--- a/tools/capacity/measurements.py
+++ b/tools/capacity/measurements.py
@@ -16,10 +16,13 @@
 
 from oakmux.codec.answers import answer_body
 from oakmux.codec.cbor import decode, encode
+from oakmux.codec.peers import decode_batch, encode_batch, encode_message
 from oakmux.codec.users import parse_job, parse_job_id
 from oakmux.codec.workers import parse_heartbeat
+from oakmux.core import messages
 from oakmux.core.controller import Controller
 from oakmux.core.model import JobSpec
+from oakmux.core.peer_messages import MachinesAlive, MachineView
 from oakmux.core.state.codecs import encode_block, encode_job
 from oakmux.core.state.formats import value_bytes
 from oakmux.core.state.keys import block_key, job_key
@@ -138,11 +141,10 @@
 # --- controllers among themselves ---
 
 
-def view_message(number: int, sequence: int, tasks: int = 3) -> list:
+def view_message(number: int, sequence: int, tasks: int = 3) -> MachineView:
     """Return the news of a machine that a keeper sends its peers."""
     rows = [[f"job-{412_000 + task}/3", 2, "running", "", False] for task in range(tasks)]
-    return [
-        "view",
+    return MachineView(
         41,
         f"n-{number:06}",
         "10.1.0.232:9000",
@@ -155,24 +157,23 @@
         None,
         rows,
         [],
-    ]
+    )
 
 
 def view_bytes(tasks: float) -> float:
     """Bytes of the news of one machine to one peer."""
-    return len(cbor2.dumps(view_message(231, 88, int(tasks))))
+    return len(cbor2.dumps(encode_message(view_message(231, 88, int(tasks)))))
 
 
 def views_ms(views: float) -> float:
     """Processor time to take so many changed machines from a peer, decoded and applied."""
     bench = cost.Bench(int(views), False, SEED)
-    body = cbor2.dumps(
-        ["batch", "h1", [view_message(number, 10) for number in range(int(views))], 0]
-    )
+    body = encode_batch("h1", [view_message(number, 10) for number in range(int(views))], 0)
 
     def run() -> None:
-        _, label, messages, since = cbor2.loads(body)
-        bench.core.step(bench.now, [("peer", None, label, messages, since)])
+        batch = decode_batch(body)
+        command = messages.ReceivePeerMessages(None, batch.sender, batch.messages, batch.since)
+        bench.core.step(bench.now, [command])
 
     return spent_s(run) * 1000
 
@@ -180,22 +181,30 @@
 def peer_sends(controllers: float) -> float:
     """Messages that a controller sends for each report that changes what runs."""
     core = Controller(cell_settings(2, 3, int(controllers)), random.Random(SEED), 0)
-    core.step(0.0, [("catalogue", [cost.TYPE]), ("snapshot", [], 0, 0.0)])
+    core.step(0.0, [messages.UpdateMachineTypes([cost.TYPE]), messages.LoadSnapshot([], 0, 0.0)])
     core.context.term = core.context.incarnation = 1
     sent = 0
     for sequence in range(1, 21):
         heartbeat = parse_heartbeat({**report_value(sequence % 3), "tick": sequence})
         effects = core.step(
-            0.01 * sequence, [("watch", [], 0, 0.01 * sequence), ("report", sequence, heartbeat)]
+            0.01 * sequence,
+            [
+                messages.ApplyWatchEvents([], 0, 0.01 * sequence),
+                messages.ReceiveHeartbeat(sequence, heartbeat),
+            ],
+        )
+        sent += sum(
+            1
+            for effect in effects
+            if isinstance(effect, messages.SendToPeer) and isinstance(effect.message, MachineView)
         )
-        sent += sum(1 for effect in effects if effect[0] == "send" and effect[2][0] == "view")
     return sent / 20
 
 
 def heartbeat_bytes(machines: float) -> float:
     """Bytes of the heartbeat that names the machines which a controller hears, to one peer."""
     names = [f"n-{number:06}" for number in range(int(machines))]
-    return len(cbor2.dumps(["heard", names]))
+    return len(cbor2.dumps(encode_message(MachinesAlive(names))))
 
 
 # --- owners ---
@@ -371,7 +380,7 @@
         commands = []
         for body in bodies:
             value = decode(body)
-            commands.append(("submit", None, parse_job_id(value), parse_job(value), ""))
+            commands.append(messages.SubmitJob(None, parse_job_id(value), parse_job(value), ""))
         cell.core.step(cell.now, commands)
 
     return spent_s(run) * 1000
@@ -382,11 +391,13 @@
     cell = Cell(1)
     cell.run(4.0)
     for number in range(int(count)):
-        cell.pending.append(("submit", None, f"job-{number}", cpu_job("team-0", 1, 5.0), ""))
+        cell.pending.append(
+            messages.SubmitJob(None, f"job-{number}", cpu_job("team-0", 1, 5.0), "")
+        )
     cell.run(1.0)
 
     def run() -> None:
-        cell.pending += [("query", None, f"job-{number}") for number in range(int(count))]
+        cell.pending += [messages.QueryJob(None, f"job-{number}") for number in range(int(count))]
         cell.run(0.2)
 
     idle = spent_s(lambda: cell.run(0.2))
@@ -408,7 +419,7 @@
     """Processor time in which a controller takes the list of its records at a start."""
     rows = history_rows(int(jobs))
     core = Controller(cell_settings(4, 3, 1), random.Random(SEED), 0)
-    return spent_s(lambda: core.step(0.0, [("snapshot", rows, len(rows), 0.0)]))
+    return spent_s(lambda: core.step(0.0, [messages.LoadSnapshot(rows, len(rows), 0.0)]))
 
 
 def history_mb(jobs: float) -> float:
@@ -417,7 +428,7 @@
     core = Controller(cell_settings(4, 3, 1), random.Random(SEED), 0)
     gc.collect()
     before = cost.resident_mb()
-    core.step(0.0, [("snapshot", rows, len(rows), 0.0)])
+    core.step(0.0, [messages.LoadSnapshot(rows, len(rows), 0.0)])
     return cost.resident_mb() - before
 
 
@@ -455,7 +466,7 @@
     core = Controller(cell_settings(4, 3, 1), random.Random(SEED), 0)
     gc.collect()
     before = cost.resident_mb()
-    core.step(0.0, [("snapshot", rows, len(rows), 0.0)])
+    core.step(0.0, [messages.LoadSnapshot(rows, len(rows), 0.0)])
     return cost.resident_mb() - before
 
 
--- a/tools/cost.py
+++ b/tools/cost.py
@@ -16,9 +16,12 @@
 import click
 from hdrh.histogram import HdrHistogram
 
+from oakmux.codec.peers import encode_message
+from oakmux.core import messages
 from oakmux.core.controller import Controller
-from oakmux.core.leadership.leadership import FLEET
+from oakmux.core.leadership.roles import FLEET
 from oakmux.core.model import Heartbeat, JobSpec, MachineType
+from oakmux.core.peer_messages import MachineView, PeerMessage
 from oakmux.core.state.codecs import encode_block, encode_job
 from oakmux.core.state.keys import block_key, job_key
 from oakmux.core.state.records import Binding, JobState, TaskBlock
@@ -91,34 +94,35 @@
         )
         self.core = Controller(settings, random.Random(seed), 0)
         self.now, self.revision, self.kept = 0.0, 0, kept
-        self.sent: list[tuple] = []
+        self.sent: list[PeerMessage] = []
         self.names = [f"n-{number:06}" for number in range(machines)]
         self.sequence = dict.fromkeys(self.names, 0)
         self.tasks: dict[str, dict] = {name: {} for name in self.names}
-        self.step([("catalogue", [TYPE]), ("snapshot", [], 0, 0.0)])
+        self.step([messages.UpdateMachineTypes([TYPE]), messages.LoadSnapshot([], 0, 0.0)])
         self.settle(2.0)
         self.step(self.word(name) for name in self.names)
 
-    def step(self, commands: Iterable[tuple]) -> float:
+    def step(self, commands: Iterable[messages.Command]) -> float:
         """Make one step; return its processor time in seconds. The stub answers at once."""
         batch = list(commands)
         start = time.process_time()
         effects = self.core.step(self.now, batch)
         spent = time.process_time() - start
-        answers: list[tuple] = []
-        for kind, number, *args in effects:
-            if kind == "grant":
-                answers.append(("done", number, 200, 1))
-            elif kind == "renew":
-                answers.append(("done", number, 200, None))
-            elif kind == "txn":
-                self.revision += 1
-                answers.append(("done", number, 200, (self.revision, [])))
-                answers.append(("watch", [], self.revision, self.now))
-            elif kind == "cloud" and args[0] == "rent":
-                answers.append(("done", number, 503, "no capacity"))
-            elif kind == "send":
-                self.sent.append(args[0])
+        answers: list[messages.Command] = []
+        for effect in effects:
+            match effect:
+                case messages.GrantLease(operation):
+                    answers.append(messages.OperationDone(operation, 200, 1))
+                case messages.RenewLease(operation):
+                    answers.append(messages.OperationDone(operation, 200, None))
+                case messages.Transaction(operation):
+                    self.revision += 1
+                    answers.append(messages.OperationDone(operation, 200, (self.revision, [])))
+                    answers.append(messages.ApplyWatchEvents([], self.revision, self.now))
+                case messages.RentInstances(operation):
+                    answers.append(messages.OperationDone(operation, 503, "no capacity"))
+                case messages.SendToPeer(_, message):
+                    self.sent.append(message)
         return spent + (self.step(answers) if answers else 0.0)
 
     def settle(self, seconds: float) -> None:
@@ -131,16 +135,15 @@
         self.now += 0.1
         for machine in self.core.context.machines.values():
             machine.last_heartbeat_at = self.now
-        return self.step([("watch", [], self.revision, self.now)])
+        return self.step([messages.ApplyWatchEvents([], self.revision, self.now)])
 
-    def word(self, name: str) -> tuple:
+    def word(self, name: str) -> messages.Command:
         """Return a report, or a peer's word of one."""
         number = int(name[2:])
         self.sequence[name] += 1
         zone, spot = ZONES[number % 3], number % 5 == 0
         if self.kept:
-            return (
-                "report",
+            return messages.ReceiveHeartbeat(
                 number,
                 Heartbeat(
                     name,
@@ -156,13 +159,11 @@
                 ),
             )
         images = [[f"i{(number + step) % IMAGES}", 4.0] for step in range(3)]
-        return (
-            "peer",
+        return messages.ReceivePeerMessages(
             number,
             "h1",
             [
-                [
-                    "view",
+                MachineView(
                     1,
                     name,
                     "10.1.0.1:1",
@@ -175,7 +176,7 @@
                     None,
                     [],
                     images,
-                ]
+                )
             ],
         )
 
@@ -209,7 +210,7 @@
             rows.append((job_key(job_id), encode_job("queued", "red", spec, 0, 1), self.revision))
             block = TaskBlock(last=1, bound={0: Binding(1, name, 1, 1, ZONES[number % 3])})
             rows.append((block_key(job_id, 0), encode_block(block, 2), self.revision))
-        self.step([("watch", rows, self.revision, self.now)])
+        self.step([messages.ApplyWatchEvents(rows, self.revision, self.now)])
 
     def submit(self, jobs: int) -> None:
         """Add jobs to the records, of the classes that the deployments have."""
@@ -224,7 +225,7 @@
                     self.revision,
                 )
             )
-        self.step([("watch", rows, self.revision, self.now)])
+        self.step([messages.ApplyWatchEvents(rows, self.revision, self.now)])
 
 
 def measure(run: Callable[[], float], times: int) -> HdrHistogram:
@@ -302,7 +303,7 @@
             rows.append((block_key(job_id, 0), encode_block(block, 2), number + 1))
     bench = Bench(0, False, seed)
     before = resident_mb()
-    spent = bench.step([("snapshot", rows, records + 1, bench.now)])
+    spent = bench.step([messages.LoadSnapshot(rows, records + 1, bench.now)])
     return spent, resident_mb() - before
 
 
@@ -326,7 +327,7 @@
         return bench.step([bench.word(name)])
 
     found = measure(run, count)
-    return found, sum(len(cbor2.dumps(message)) for message in bench.sent) / count
+    return found, sum(len(cbor2.dumps(encode_message(message))) for message in bench.sent) / count
 
 
 @click.command(help=__doc__)
