--- a/oakmux/codec/peers.py
+++ b/oakmux/codec/peers.py
@@ -87,7 +87,7 @@
         try:
             messages.append(decode_message(message))
         except Malformed as error:
-            log.error("event=message_failed peer=%s why=%s", row.sender, error)
+            log.error("event=peer_message_failed peer=%s why=%s", row.sender, error)
     return MessageBatch(row.sender, messages, row.since)
 
 
--- a/oakmux/core/agents/heartbeats.py
+++ b/oakmux/core/agents/heartbeats.py
@@ -161,7 +161,12 @@
         machine.apply(heartbeat, context.now)
         context.note_heartbeat(machine)
     if machine.manager != manager:
-        event("heard", machine=machine.name, manager=manager, agent_epoch=machine.agent_epoch)
+        event(
+            "worker_registered",
+            machine=machine.name,
+            manager=manager,
+            agent_epoch=machine.agent_epoch,
+        )
     machine.manager, machine.manager_term = manager, manager_term
     if changed:
         context.changed_workers.add(machine.name)
@@ -178,7 +183,7 @@
         spec = None if job is None else job.spec
         old = before.get(task, ("", "", False))
         if state == RUNNING and old[0] != RUNNING and machine.manager == context.label:
-            event("running", task=task[0], attempt=task[1], machine=machine.name)
+            event("task_running", task=task[0], attempt=task[1], machine=machine.name)
         if state != EXITED and spec is not None:
             live.append(spec)
         if state == EXITED and old[0] != EXITED:
@@ -204,7 +209,7 @@
 ) -> None:
     """Record whether a task failed on a machine, and whether its image was fetched."""
     if machine.manager == context.label:
-        event("exited", task=task[0], attempt=task[1], machine=machine.name, why=why)
+        event("task_exited", task=task[0], attempt=task[1], machine=machine.name, why=why)
     if why == DONE:
         machine.errors.clear()
     elif why == ERROR:
--- a/oakmux/core/agents/reservation_queue.py
+++ b/oakmux/core/agents/reservation_queue.py
@@ -85,7 +85,7 @@
         )
         for task in preemption.tasks if preemption is not None else ():
             tracked.stops[task] = context.now
-            event("preempt", task=task[0], attempt=task[1], machine=machine.name, by=job_id)
+            event("task_preempted", task=task[0], attempt=task[1], machine=machine.name, by=job_id)
 
     def decline(self, answer: DeclineOffer) -> None:
         """Withdraw an offer that the job's scheduler has no task for, and offer to the next."""
--- a/oakmux/core/agents/worker_commands.py
+++ b/oakmux/core/agents/worker_commands.py
@@ -239,7 +239,7 @@
             return
         commands.append(command_body("stop", task[0], task[1], grace))
         tracked.stops.setdefault(task, self.context.now)
-        event("stop", task=task[0], attempt=task[1], machine=machine.name, grace=grace)
+        event("task_stop", task=task[0], attempt=task[1], machine=machine.name, grace=grace)
 
     def _end_unbound(
         self,
--- a/oakmux/core/api/cancellation.py
+++ b/oakmux/core/api/cancellation.py
@@ -46,7 +46,7 @@
         def on_answer(status: int, result: Any) -> None:
             if status == 200:
                 context.replica.apply(job_key(job_id), value, result[0])
-                event("cancelled", job=job_id)
+                event("job_cancelled", job=job_id)
                 self._hasten_cascade()
                 self.answers.cancelled(request_id, job_id)
             elif status == CONFLICT:
@@ -117,7 +117,7 @@
             return  # the watch brings what changed, or the jobs become due again
         for key, value, _ in writes:
             self.context.replica.apply(key, value, result[0])
-            event("cancelled", job=key.rpartition("/")[2], why="dependency_cancelled")
+            event("job_cancelled", job=key.rpartition("/")[2], why="dependency_cancelled")
 
 
 def _cancelled_value(job: Job) -> list[Any]:
--- a/oakmux/core/api/submission.py
+++ b/oakmux/core/api/submission.py
@@ -172,7 +172,7 @@
 def _log_accepted(job_id: str, spec: JobSpec, state: str) -> None:
     dependencies = {"waits_on": ",".join(spec.waits_on)} if spec.waits_on else {}
     event(
-        "accepted",
+        "job_accepted",
         job=job_id,
         job_class=spec.job_class,
         team=spec.team,
--- a/oakmux/core/autoscaling/consolidation.py
+++ b/oakmux/core/autoscaling/consolidation.py
@@ -54,7 +54,7 @@
             return
         context.drain(move.machine)
         self.moving_until[move.machine] = context.now + constants.MOVE_TIMEOUT_S
-        event("move", machine=move.machine, tasks=len(move.tasks))
+        event("services_moved", machine=move.machine, tasks=len(move.tasks))
         manager = context.machines[move.machine].manager
         for task, attempt in move.tasks:
             context.send(manager, MoveTask(move.machine, task, attempt))
--- a/oakmux/core/autoscaling/expected_capacity.py
+++ b/oakmux/core/autoscaling/expected_capacity.py
@@ -88,7 +88,7 @@
         troubled = {kind for kind, count in late.items() if count >= constants.BOOT_TROUBLE_COUNT}
         for kind in troubled - self.troubled:
             event(
-                "boot_trouble",
+                "slow_boots",
                 type=kind.type,
                 zone=kind.zone,
                 spot=int(kind.spot),
--- a/oakmux/core/autoscaling/instance_inventory.py
+++ b/oakmux/core/autoscaling/instance_inventory.py
@@ -158,7 +158,7 @@
         """
         context = self.context
         if name not in self.returned:
-            event("machine_gone", machine=name, why=why)
+            event("instance_terminated", machine=name, why=why)
         self.returned[name] = context.now
         self.instances.pop(name, None)
         self.known_since.pop(name, None)
--- a/oakmux/core/autoscaling/machine_returns.py
+++ b/oakmux/core/autoscaling/machine_returns.py
@@ -38,7 +38,7 @@
         if self.context.now < self.inventory.cloud_retry_at:
             return
         self.inventory.returning.add(name)
-        event("return", machines=name, why=reason)
+        event("instances_returned", machines=name, why=reason)
         self.context.call(
             lambda status, result: self._on_answer(name, status), messages.ReturnInstances, [name]
         )
--- a/oakmux/core/autoscaling/rental_requests.py
+++ b/oakmux/core/autoscaling/rental_requests.py
@@ -54,7 +54,7 @@
         name = f"oakmux-{self.context.incarnation}-{self.last_number}"
         self.pending[name] = RentalRequest(kind, count)
         event(
-            "rent",
+            "rent_requested",
             request=name,
             type=kind.type,
             zone=kind.zone,
@@ -93,4 +93,6 @@
             self.no_capacity_until[request.kind] = now + constants.NO_CAPACITY_RETRY_S
         else:
             self.inventory.back_off()
-        event("rented", request=name, status=status, got=len(result) if status == 200 else 0)
+        event(
+            "rent_answered", request=name, status=status, got=len(result) if status == 200 else 0
+        )
--- a/oakmux/core/controller.py
+++ b/oakmux/core/controller.py
@@ -91,7 +91,7 @@
             try:
                 run()
             except Exception:  # a fault in one part must end neither the others nor the process
-                log.exception("event=part_failed part=%s", run.__qualname__)
+                log.exception("event=subsystem_failed part=%s", run.__qualname__)
         effects, context.effects = context.effects, []
         return effects
 
@@ -101,7 +101,7 @@
             # The process was suspended while its clock ran on. What waits in its queue is of some
             # time in between: machines are not silent, we just have not received what they sent.
             context.resumed_at = now
-            event("stood_still", seconds=round(now - context.now, 1))
+            event("process_paused", seconds=round(now - context.now, 1))
         context.now = max(context.now, now)
 
     def _due(self) -> list[Callable[[], None]]:
@@ -161,7 +161,7 @@
         replica = self.context.replica
         if replica.format != self.format:
             self.format = replica.format
-            event("format", format=self.format)
+            event("format_switched", format=self.format)
             self.scheduler.buffer.on_format_change()
 
     def _note_ready_jobs(self) -> None:
@@ -170,7 +170,7 @@
         ready, replica.changes.released_jobs = replica.changes.released_jobs, []
         for job_id in ready:
             replica.jobs[job_id].since = context.wall_clock_ms
-            event("ready", job=job_id)
+            event("job_ready", job=job_id)
 
     def _propagate_changes(self) -> bool:
         context, replica = self.context, self.context.replica
@@ -203,7 +203,7 @@
         replica.load(command.rows, command.revision)
         self._use_recorded_types()
         self.context.note_store_answer(command.asked_at)
-        event("loaded", jobs=len(replica.jobs), revision=command.revision)
+        event("records_loaded", jobs=len(replica.jobs), revision=command.revision)
 
     def _apply_watch_events(self, command: messages.ApplyWatchEvents) -> None:
         replica = self.context.replica
--- a/oakmux/core/leadership/controller_lease.py
+++ b/oakmux/core/leadership/controller_lease.py
@@ -45,7 +45,7 @@
 
     def lost(self, why: str) -> None:
         """Note that the lease is gone, and all keys with it."""
-        event("lost_lease", why=why, roles=len(self.context.held_roles))
+        event("lease_lost", why=why, roles=len(self.context.held_roles))
         self.lease_id = None
         self.key_written = False
 
--- a/oakmux/core/leadership/format_negotiation.py
+++ b/oakmux/core/leadership/format_negotiation.py
@@ -56,6 +56,6 @@
         if status == 200:
             key, value, _ = write
             self.context.replica.apply(key, value, result[0])
-            event("version", key=key, value=value)
+            event("version_recorded", key=key, value=value)
         else:  # if another controller was first, the watch brings what it wrote
             self.retry.back_off()
--- a/oakmux/core/leadership/roles.py
+++ b/oakmux/core/leadership/roles.py
@@ -95,7 +95,7 @@
         self.claiming.discard(role)
         if status == 200:
             self.context.replica.apply(role_key(role), value, result[0])
-            event("claimed", role=role, revision=result[0])
+            event("role_acquired", role=role, revision=result[0])
         elif status == 400:
             self.lease.lost("no_such_lease")
 
@@ -109,7 +109,7 @@
         if not mine or load[context.label] < 2 + min(load[label] for label in controllers):
             return
         # Writes of ours that come late are conditional on the key's mod revision.
-        event("yield", role=mine[0], roles=len(mine))
+        event("role_released", role=mine[0], roles=len(mine))
         key = role_key(mine[0])
         context.call(
             lambda status, result: self._on_released(key, status, result),
@@ -152,6 +152,6 @@
             if context.held_roles.get(role) != mod_revision
         ]
         if held != context.held_roles:
-            event("roles", roles=",".join(sorted(held)) or "none")
+            event("roles_held", roles=",".join(sorted(held)) or "none")
         context.held_roles = held
         return acquired
--- a/oakmux/core/leadership/terms.py
+++ b/oakmux/core/leadership/terms.py
@@ -49,7 +49,7 @@
             context.term = new
             context.incarnation = context.incarnation or new
             self.wanted = new <= self.above
-            event("term", term=new)
+            event("term_raised", term=new)
         elif status == 409:
             # Others raise it too, as all do at a cold start; failed transactions count as changes.
             spread_s = constants.TERM_RETRY_SPREAD_S * context.settings.size
--- a/oakmux/core/peers/link.py
+++ b/oakmux/core/peers/link.py
@@ -81,7 +81,7 @@
             else:
                 self.sender_handlers[type(message)](sender, message)
         except Exception:  # one message must not keep others from being handled
-            log.exception("event=message_failed peer=%s", sender)
+            log.exception("event=peer_message_failed peer=%s", sender)
 
     def tick(self) -> None:
         """Tell the peers what they are told periodically, when it is due."""
--- a/oakmux/core/scheduling/binding.py
+++ b/oakmux/core/scheduling/binding.py
@@ -229,7 +229,7 @@
             block.bound[index] = Binding(
                 attempt, offer.machine, offer.agent_epoch, offer.term, offer.zone
             )
-            event("bind", task=f"{job.id}/{index}", attempt=attempt, machine=offer.machine)
+            event("task_bound", task=f"{job.id}/{index}", attempt=attempt, machine=offer.machine)
 
     # --- ends of bindings ---
 
@@ -282,7 +282,7 @@
         block = self.buffer.edit(job, number, due)
         del block.bound[index]
         event(
-            "unbind",
+            "task_unbound",
             task=f"{job.id}/{index}",
             attempt=binding.attempt,
             machine=binding.machine,
--- a/oakmux/core/state/record_writer.py
+++ b/oakmux/core/state/record_writer.py
@@ -81,7 +81,7 @@
         elif status == 409 and result is not None:
             self._read_again(result[1])
         elif status != 503:  # 503: certainly not written
-            event("write_unsure", status=status, jobs=len(transaction.jobs))
+            event("write_outcome_unknown", status=status, jobs=len(transaction.jobs))
             self._read_again(write.key for write in transaction.writes)
 
     def _commit(self, transaction: Transaction, revision: int) -> None:
--- a/oakmux/core/state/replica.py
+++ b/oakmux/core/state/replica.py
@@ -131,7 +131,7 @@
             # Of a version that we don't know: logged once a key, not at each change.
             if key not in self.unreadable and len(self.unreadable) < constants.MAX_REMEMBERED:
                 self.unreadable.add(key)
-                log.error("event=bad_record key=%s why=%r", key, str(error))
+                log.error("event=unreadable_record key=%s why=%r", key, str(error))
 
     def _apply_role(self, role: str, value: Any, mod_revision: int) -> None:
         self.role_changes += 1
--- a/oakmux/schedules/api.py
+++ b/oakmux/schedules/api.py
@@ -380,7 +380,12 @@
 
         def done(_: int, __: dict) -> None:
             for entry in now:
-                event("entry", entry=entry.name, rule=entry.rule.kind, template=entry.template)
+                event(
+                    "schedule_entry_stored",
+                    entry=entry.name,
+                    rule=entry.rule.kind,
+                    template=entry.template,
+                )
             self._put_more(
                 rid, left[len(now) :], args, texts, [*stored, *(entry.name for entry in now)]
             )
--- a/oakmux/schedules/dav/serve.py
+++ b/oakmux/schedules/dav/serve.py
@@ -122,7 +122,7 @@
         except TimeoutError:
             request.reply(503, Retry_After=str(constants.RETRY_AFTER_S))
         except Exception:  # one request must not end the process, nor show its inside
-            log.exception("event=dav_failed method=%s", request.method)
+            log.exception("event=caldav_request_failed method=%s", request.method)
             request.reply(500)
 
     async def _route(self, request: DavRequest) -> None:
--- a/oakmux/transport/cloud_client.py
+++ b/oakmux/transport/cloud_client.py
@@ -73,10 +73,10 @@
         except RequestNotSent:
             status, result = 503, None
         except (NoResponse, Malformed) as error:
-            log.info("event=cloud_no_answer kind=%s why=%s", kind, error)
+            log.info("event=cloud_no_response kind=%s why=%s", kind, error)
             status, result = 0, None
         except Exception:
-            log.exception("event=cloud_failed kind=%s", kind)
+            log.exception("event=cloud_request_failed kind=%s", kind)
             status, result = 0, None
         self.put(messages.OperationDone(operation.operation, status, result))
 
--- a/oakmux/transport/store_client.py
+++ b/oakmux/transport/store_client.py
@@ -181,10 +181,10 @@
         except RequestNotSent:
             status, result = 503, None
         except (NoResponse, Malformed) as error:
-            log.info("event=state_no_answer kind=%s why=%s", kind, error)
+            log.info("event=store_no_response kind=%s why=%s", kind, error)
             status, result = 0, None
         except Exception:
-            log.exception("event=state_failed kind=%s", kind)
+            log.exception("event=store_request_failed kind=%s", kind)
             status, result = 0, None
         if status in (0, 503):
             self.ahead.reset(asyncio.get_running_loop().time())
@@ -207,7 +207,7 @@
         status, answer = await self._call("POST", PATH_TRANSACTIONS, body)
         if writes and log.isEnabledFor(logging.DEBUG):
             log.debug(
-                "event=txn status=%s changes=%s",
+                "event=transaction status=%s changes=%s",
                 status,
                 ",".join(write[0] if len(write) > 1 else f"-{write[0]}" for write in writes),
             )
@@ -225,7 +225,7 @@
         self.refused.add((status, key))
         size = max((value_bytes(write[1]) for write in writes if len(write) > 1), default=0)
         log.error(
-            "event=txn_refused status=%s key=%s bytes=%s changes=%s conditions=%s why=%r",
+            "event=transaction_refused status=%s key=%s bytes=%s changes=%s conditions=%s why=%r",
             status,
             key,
             size,
--- a/oakmux/transport/worker_client.py
+++ b/oakmux/transport/worker_client.py
@@ -32,9 +32,9 @@
         except (RequestNotSent, ValueError):  # ValueError: the worker gave no usable address
             outcome = CommandOutcome.UNSENT
         except (NoResponse, Malformed) as error:
-            log.info("event=commands_lost addr=%s why=%s", addr, error)
+            log.info("event=worker_commands_lost addr=%s why=%s", addr, error)
         except Exception:
-            log.exception("event=commands_failed addr=%s", addr)
+            log.exception("event=worker_commands_failed addr=%s", addr)
         self.put(messages.OperationDone(effect.operation, outcome, heartbeat))
 
     async def _request(self, addr: str, body: bytes) -> tuple[CommandOutcome, Heartbeat | None]:
--- a/tests/test_log_tools.py
+++ b/tests/test_log_tools.py
@@ -7,29 +7,30 @@
 from tools.recovery import events
 
 LOG = """\
-  1.000 h0 INFO oakmux.core event=heard machine=m1 keeper=h0 session=1
-  1.000 h0 INFO oakmux.core event=heard machine=m2 keeper=h0 session=1
-  2.000 h0 INFO oakmux.core event=accepted job=job-1 job_class=x \
+  1.000 h0 INFO oakmux.core event=worker_registered machine=m1 manager=h0 agent_epoch=1
+  1.000 h0 INFO oakmux.core event=worker_registered machine=m2 manager=h0 agent_epoch=1
+  2.000 h0 INFO oakmux.core event=job_accepted job=job-1 job_class=x \
 kind=array tasks=2 gpus=1.0 priority=1
-  2.500 h0 INFO oakmux.core event=bind task=job-1/0 attempt=1 machine=m1
-  3.500 h0 INFO oakmux.core event=bind task=job-1/1 attempt=2 machine=m1
-  4.500 h0 INFO oakmux.core event=running task=job-1/0 attempt=1 machine=m1
-  4.500 h0 INFO oakmux.core event=running task=job-1/1 attempt=2 machine=m1
-  5.000 h1 INFO oakmux.core event=accepted job=job-2 job_class=y \
+  2.500 h0 INFO oakmux.core event=task_bound task=job-1/0 attempt=1 machine=m1
+  3.500 h0 INFO oakmux.core event=task_bound task=job-1/1 attempt=2 machine=m1
+  4.500 h0 INFO oakmux.core event=task_running task=job-1/0 attempt=1 machine=m1
+  4.500 h0 INFO oakmux.core event=task_running task=job-1/1 attempt=2 machine=m1
+  5.000 h1 INFO oakmux.core event=job_accepted job=job-2 job_class=y \
 kind=gang tasks=2 gpus=2.0 priority=2
-  8.000 h1 INFO oakmux.core event=preempt task=job-1/1 attempt=2 machine=m1 by=job-2
-  9.000 h0 INFO oakmux.core event=unbind task=job-1/1 attempt=2 machine=m1 why=stopped saved=0
-  9.500 h0 INFO oakmux.core event=unbind task=job-1/0 attempt=1 machine=m1 why=done saved=0
- 10.000 h1 INFO oakmux.core event=bind task=job-2/0 attempt=1 machine=m1
- 10.000 h1 INFO oakmux.core event=bind task=job-2/1 attempt=1 machine=m2
- 12.000 h1 INFO oakmux.core event=running task=job-2/0 attempt=1 machine=m1
- 12.000 h1 INFO oakmux.core event=running task=job-2/1 attempt=1 machine=m2
+  8.000 h1 INFO oakmux.core event=task_preempted task=job-1/1 attempt=2 machine=m1 by=job-2
+  9.000 h0 INFO oakmux.core event=task_unbound task=job-1/1 attempt=2 machine=m1 \
+ why=stopped saved=0
+  9.500 h0 INFO oakmux.core event=task_unbound task=job-1/0 attempt=1 machine=m1 why=done saved=0
+ 10.000 h1 INFO oakmux.core event=task_bound task=job-2/0 attempt=1 machine=m1
+ 10.000 h1 INFO oakmux.core event=task_bound task=job-2/1 attempt=1 machine=m2
+ 12.000 h1 INFO oakmux.core event=task_running task=job-2/0 attempt=1 machine=m1
+ 12.000 h1 INFO oakmux.core event=task_running task=job-2/1 attempt=1 machine=m2
  torn line
- 22.000 h1 INFO oakmux.core event=unbind task=job-2/0 attempt=1 machine=m1 why=done saved=0
- 22.000 h1 INFO oakmux.core event=unbind task=job-2/1 attempt=1 machine=m2 why=done saved=0
- 23.000 h0 INFO oakmux.core event=bind task=job-1/1 attempt=3 machine=m1
- 23.000 h0 INFO oakmux.core event=running task=job-1/1 attempt=3 machine=m1
- 27.000 h0 INFO oakmux.core event=unbind task=job-1/1 attempt=3 machine=m1 why=done saved=0
+ 22.000 h1 INFO oakmux.core event=task_unbound task=job-2/0 attempt=1 machine=m1 why=done saved=0
+ 22.000 h1 INFO oakmux.core event=task_unbound task=job-2/1 attempt=1 machine=m2 why=done saved=0
+ 23.000 h0 INFO oakmux.core event=task_bound task=job-1/1 attempt=3 machine=m1
+ 23.000 h0 INFO oakmux.core event=task_running task=job-1/1 attempt=3 machine=m1
+ 27.000 h0 INFO oakmux.core event=task_unbound task=job-1/1 attempt=3 machine=m1 why=done saved=0
 """
 
 
@@ -49,18 +50,18 @@
 
 def test_starts_in_time_are_reported_by_class_team_and_largest_job():
     late = [
-        f"{200 + n}.000 h0 INFO oakmux.core event=accepted job=job-{10 + n} job_class=z kind=gang "
-        f"tasks={2 + n // 2} gpus=1.0 priority=2 team=t"
+        f"{200 + n}.000 h0 INFO oakmux.core event=job_accepted job=job-{10 + n} job_class=z "
+        f"kind=gang tasks={2 + n // 2} gpus=1.0 priority=2 team=t"
         for n in range(4)
     ]
-    late.append("220.000 h1 INFO oakmux.core event=cancelled job=job-13")
+    late.append("220.000 h1 INFO oakmux.core event=job_cancelled job=job-13")
     late += [
         f"{start}.000 h0 INFO oakmux.core event={name} task=job-{job}/{task} attempt=1 machine=m1"
         for job, tasks, start in ((10, 2, 300), (12, 2, 501))
         for task in range(tasks)
         for name in ("bind", "running")
     ]
-    late.append("600.000 h0 INFO oakmux.core event=roles roles=none")
+    late.append("600.000 h0 INFO oakmux.core event=roles_held roles=none")
     load = spread.Load(events(LOG.splitlines() + late), [])
     assert list(load.served()) == [
         ("class x", 1, 1, 2.5),
--- a/tests/test_peer_client.py
+++ b/tests/test_peer_client.py
@@ -18,7 +18,7 @@
     batch = decode_batch(encode(["batch", "h1", rows, 5]))
     assert batch.messages == [LendChanges(0.75)] and batch.since == 5
     assert [row.getMessage().split(" why=")[0] for row in caplog.records] == [
-        "event=message_failed peer=h1"
+        "event=peer_message_failed peer=h1"
     ] * 4
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -350,7 +350,7 @@
         )
     assert [line.split()[0] for line in caplog.messages] == [
         "event=unknown_format",
-        "event=bad_record",
+        "event=unreadable_record",
     ]
     answers = [(e.request, e.status) for e in effects if isinstance(e, messages.Answer)]
     assert answers == [("a", 503), ("b", 503)]
--- a/tools/paper.py
+++ b/tools/paper.py
@@ -53,23 +53,23 @@
         at, fields = event.at, event.fields
         task = fields.get("task", "")
         self.end = max(self.end, at)
-        if event.name == "accepted":
+        if event.name == "job_accepted":
             self.jobs[fields["job"]] = fields
             self.accepted.setdefault(fields["job"], at)
-        elif event.name == "bind":
+        elif event.name == "task_bound":
             self.bound[task] = at
-        elif event.name == "running":
+        elif event.name == "task_running":
             self.fetched[task] = at - self.bound.get(task, at)
             self.began[task] = at
             self.first.setdefault(task, at)
-        elif event.name == "unbind" and task in self.began:
+        elif event.name == "task_unbound" and task in self.began:
             began = self.began.pop(task)
             service = self.jobs.get(task.partition("/")[0], {}).get("kind") == "service"
             if fields["why"] == "done" or service:
                 self.ran[task] = at - (self.first[task] if service else began)
-        elif event.name == "heard":
+        elif event.name == "worker_registered":
             self.up.setdefault(fields["machine"], at)
-        elif event.name in ("machine_gone", "return"):
+        elif event.name in ("instance_terminated", "instances_returned"):
             for name in (fields.get("machine") or fields.get("machines", "")).split(","):
                 self.gone.setdefault(name, at)
 
--- a/tools/recovery.py
+++ b/tools/recovery.py
@@ -65,17 +65,17 @@
     def take(self, event: Event) -> None:
         """Take one event."""
         fields = event.fields
-        if event.name == "accepted":
+        if event.name == "job_accepted":
             self.classes[fields["job"]] = fields["job_class"]
             self.accepted[fields["job"]] = event.at
-        elif event.name == "preempt":
+        elif event.name == "task_preempted":
             self.preempted.append(event.at)
-        elif event.name in ("bind", "running", "unbind"):
+        elif event.name in ("task_bound", "task_running", "task_unbound"):
             attempts = self.tasks[fields["task"]]
             known = attempts.get(fields["attempt"])
-            if event.name == "bind":
+            if event.name == "task_bound":
                 attempts[fields["attempt"]] = Attempt(event.at, fields["machine"])
-            elif known is not None and event.name == "running":
+            elif known is not None and event.name == "task_running":
                 known.running = known.running or event.at
             elif known is not None:
                 known.gone, known.why = event.at, fields.get("why", "")
--- a/tools/spread.py
+++ b/tools/spread.py
@@ -54,31 +54,31 @@
         at, fields = event.at, event.fields
         self.last = at
         task = fields.get("task", "")
-        if event.name == "accepted":
+        if event.name == "job_accepted":
             self.jobs[fields["job"]] = fields
             self.accepted[fields["job"]] = at
-        elif event.name == "bind":
+        elif event.name == "task_bound":
             job = task.partition("/")[0]
             if task not in self.bound and job in self.accepted:
                 size = int(self.jobs[job]["tasks"]) if self.jobs[job]["kind"] == "gang" else 0
                 self.waits[self.job_class(task), size].append(at - self.accepted[job])
             self.bound[task] = at
             self.on[fields["machine"]].add(task)
-        elif event.name == "cancelled":
+        elif event.name == "job_cancelled":
             self.cancelled.setdefault(fields["job"], at)
-        elif event.name == "running" and task in self.bound:
+        elif event.name == "task_running" and task in self.bound:
             self.ran[task.partition("/")[0]].setdefault(task, at)
             self.running[task] = at
             self.spent[self.job_class(task), "fetch"] += self.gpus(task) * (at - self.bound[task])
-        elif event.name == "unbind":
+        elif event.name == "task_unbound":
             self.on[fields["machine"]].discard(task)
             began = self.running.pop(task, None)
             if began is not None:
                 what = "ran" if fields["why"] in WON else f"ended: {fields['why']}"
                 self.spent[self.job_class(task), what] += self.gpus(task) * (at - began)
-        elif event.name == "preempt":
+        elif event.name == "task_preempted":
             self.gave_way[self.job_class(task), self.job_class(fields.get("by", ""))] += 1
-        elif event.name in ("backfill_reservation", "move", "yielded"):
+        elif event.name in ("backfill_reservation", "services_moved", "yielded"):
             self.events[event.name] += 1
 
     def _look(self, at: float) -> tuple[float, Counter[str], Counter[int]]:
