--- a/tests/test_log_tools.py
+++ b/tests/test_log_tools.py
@@ -19,7 +19,7 @@
 kind=gang tasks=2 gpus=2.0 priority=2
   8.000 h1 INFO oakmux.core event=task_preempted task=job-1/1 attempt=2 machine=m1 by=job-2
   9.000 h0 INFO oakmux.core event=task_unbound task=job-1/1 attempt=2 machine=m1 \
- why=stopped saved=0
+why=stopped saved=0
   9.500 h0 INFO oakmux.core event=task_unbound task=job-1/0 attempt=1 machine=m1 why=done saved=0
  10.000 h1 INFO oakmux.core event=task_bound task=job-2/0 attempt=1 machine=m1
  10.000 h1 INFO oakmux.core event=task_bound task=job-2/1 attempt=1 machine=m2
@@ -59,7 +59,7 @@
         f"{start}.000 h0 INFO oakmux.core event={name} task=job-{job}/{task} attempt=1 machine=m1"
         for job, tasks, start in ((10, 2, 300), (12, 2, 501))
         for task in range(tasks)
-        for name in ("bind", "running")
+        for name in ("task_bound", "task_running")
     ]
     late.append("600.000 h0 INFO oakmux.core event=roles_held roles=none")
     load = spread.Load(events(LOG.splitlines() + late), [])
