--- a/oakmux/cli/client.py
+++ b/oakmux/cli/client.py
@@ -9,7 +9,7 @@
 import click
 
 from oakmux import constants, settings
-from oakmux.codec.cbor import Malformed, decode, encode
+from oakmux.codec.cbor import MalformedError, decode, encode
 
 # Exit codes: a job or request failed, bad input, no controller answers.
 EXIT_FAILED, EXIT_BAD, EXIT_UNREACHABLE = 1, 2, 3
@@ -62,7 +62,7 @@
         for server in context.need_servers():
             try:
                 status, answer = request_one(server, method, path, body)
-            except (OSError, HTTPException, Malformed) as error:
+            except (OSError, HTTPException, MalformedError) as error:
                 trouble = f"{server}: {error or 'no answer'}"
                 continue
             if status not in RETRIED_STATUSES:
--- a/oakmux/cli/controllers.py
+++ b/oakmux/cli/controllers.py
@@ -9,7 +9,7 @@
 from oakmux import settings
 from oakmux.cli import client
 from oakmux.cli.client import EXIT_BAD, EXIT_UNREACHABLE, CliContext, fail
-from oakmux.codec.cbor import Malformed
+from oakmux.codec.cbor import MalformedError
 from oakmux.codec.users import PATH_HEALTH
 
 
@@ -54,7 +54,7 @@
     """Return the health of one controller, or the error that kept it from answering."""
     try:
         status, answer = client.request_one(server, "GET", PATH_HEALTH)
-    except (OSError, HTTPException, Malformed) as error:
+    except (OSError, HTTPException, MalformedError) as error:
         return {"server": server, "ready": False, "error": str(error) or "no answer"}
     health = answer if isinstance(answer, dict) else {}
     return {"server": server, "ready": status == 200, **health}
--- a/oakmux/cli/jobs.py
+++ b/oakmux/cli/jobs.py
@@ -10,7 +10,7 @@
 import click
 
 from oakmux.cli.client import EXIT_BAD, EXIT_FAILED, CliContext, fail, refusal_reason, request
-from oakmux.codec.cbor import Malformed
+from oakmux.codec.cbor import MalformedError
 from oakmux.codec.users import (
     CANCEL_SUFFIX,
     CLI_FIELDS,
@@ -75,7 +75,7 @@
     try:
         parse_job_id(made)
         parse_job(made)
-    except Malformed as error:
+    except MalformedError as error:
         fail(f"bad job: {error}", EXIT_BAD)
     return made
 
--- a/oakmux/codec/cbor.py
+++ b/oakmux/codec/cbor.py
@@ -15,7 +15,7 @@
 """Quantities are smaller; in seconds, gigabytes or cores."""
 
 
-class Malformed(Exception):
+class MalformedError(Exception):
     """A message that can't be understood; the text is the short reason."""
 
 
@@ -29,7 +29,7 @@
     try:
         return cbor2.loads(body)
     except Exception as error:  # the decoder raises many kinds for hostile bytes
-        raise Malformed("not CBOR") from error
+        raise MalformedError("not CBOR") from error
 
 
 def is_amount(value: float | None) -> bool:
--- a/oakmux/codec/cloud.py
+++ b/oakmux/codec/cloud.py
@@ -2,7 +2,7 @@
 
 from typing import Any, NamedTuple
 
-from oakmux.codec.cbor import Malformed
+from oakmux.codec.cbor import MalformedError
 from oakmux.core.instances import ListedInstance
 from oakmux.core.model import MachineType
 
@@ -26,7 +26,7 @@
     try:
         return [_parse_machine_type(row) for row in answer["flavours"]]
     except (TypeError, KeyError, ValueError):
-        raise Malformed("catalogue") from None
+        raise MalformedError("catalogue") from None
 
 
 def _parse_machine_type(row: dict[str, Any]) -> MachineType:
@@ -67,7 +67,7 @@
     try:
         return [str(name) for name in answer["boxes"]]
     except (TypeError, KeyError):
-        raise Malformed("rental's answer") from None
+        raise MalformedError("rental's answer") from None
 
 
 def parse_instance_page(answer: Any) -> InstancePage:
@@ -76,7 +76,7 @@
         instances = [_parse_instance(row) for row in answer["boxes"]]
         return InstancePage(instances, bool(answer["has_next"]))
     except (TypeError, KeyError, ValueError, AttributeError):
-        raise Malformed("machine list") from None
+        raise MalformedError("machine list") from None
 
 
 def _parse_instance(row: dict[str, Any]) -> ListedInstance:
--- a/oakmux/codec/peers.py
+++ b/oakmux/codec/peers.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from oakmux.codec.cbor import MAX_TEXT, Malformed, decode, encode
+from oakmux.codec.cbor import MAX_TEXT, MalformedError, decode, encode
 from oakmux.core import peer_messages
 from oakmux.core.peer_messages import PeerMessage
 
@@ -65,7 +65,7 @@
     try:
         return _TYPES[row[0]](*row[1:])
     except (IndexError, KeyError, TypeError) as error:
-        raise Malformed(f"peer's message {str(row[:1])[:MAX_TEXT]}: {error!r}") from None
+        raise MalformedError(f"peer's message {str(row[:1])[:MAX_TEXT]}: {error!r}") from None
 
 
 def encode_batch(sender: str, messages: Sequence[PeerMessage], since: int) -> bytes:
@@ -81,12 +81,12 @@
     try:
         row = msgspec.convert(decode(body), BatchRow)
     except msgspec.ValidationError as error:
-        raise Malformed(str(error)) from None
+        raise MalformedError(str(error)) from None
     messages = []
     for message in row.messages:
         try:
             messages.append(decode_message(message))
-        except Malformed as error:
+        except MalformedError as error:
             log.error("event=peer_message_failed peer=%s why=%s", row.sender, error)
     return MessageBatch(row.sender, messages, row.since)
 
@@ -96,4 +96,4 @@
     try:
         return msgspec.convert(decode(body), PeerAnswer)
     except msgspec.ValidationError as error:
-        raise Malformed(str(error)) from None
+        raise MalformedError(str(error)) from None
--- a/oakmux/codec/store.py
+++ b/oakmux/codec/store.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 from typing import Any, NamedTuple
 
-from oakmux.codec.cbor import Malformed
+from oakmux.codec.cbor import MalformedError
 
 PATH_ITEMS = "/kv"
 PATH_TRANSACTIONS = "/txn"
@@ -74,7 +74,7 @@
         failed_keys = [str(key) for key in answer.get("failed", ())]
         return TransactionResult(int(answer["epoch"]), failed_keys)
     except (TypeError, KeyError, ValueError, AttributeError):
-        raise Malformed("transaction's answer") from None
+        raise MalformedError("transaction's answer") from None
 
 
 def parse_item_page(answer: Any) -> ItemPage:
@@ -83,7 +83,7 @@
         items = [(row["path"], row["v"], row["stamp"]) for row in answer["rows"]]
         return ItemPage(items, bool(answer["has_next"]), int(answer["epoch"]))
     except (TypeError, KeyError, ValueError):
-        raise Malformed("list's answer") from None
+        raise MalformedError("list's answer") from None
 
 
 def parse_value(answer: Any) -> VersionedValue:
@@ -91,7 +91,7 @@
     try:
         return VersionedValue(answer["v"], int(answer["stamp"]))
     except (TypeError, KeyError, ValueError):
-        raise Malformed("key's answer") from None
+        raise MalformedError("key's answer") from None
 
 
 def parse_watch_events(answer: Any) -> WatchEvents:
@@ -105,7 +105,7 @@
                 events.append((event["write"], event["v"], event["stamp"]))
         return WatchEvents(events, int(answer["epoch"]))
     except (TypeError, KeyError, ValueError):
-        raise Malformed("watch's answer") from None
+        raise MalformedError("watch's answer") from None
 
 
 def parse_missing_key(answer: Any) -> int:
@@ -123,4 +123,4 @@
     try:
         return int(answer["permit"])
     except (TypeError, KeyError, ValueError):
-        raise Malformed("lease's answer") from None
+        raise MalformedError("lease's answer") from None
--- a/oakmux/codec/users.py
+++ b/oakmux/codec/users.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from oakmux.codec.cbor import MAX_TEXT, Malformed, is_amount
+from oakmux.codec.cbor import MAX_TEXT, MalformedError, is_amount
 from oakmux.core.model import JOB_ID, JobSpec, Priority
 
 PATH_JOBS = "/api/jobs"
@@ -155,10 +155,10 @@
 def parse_job_id(value: Any) -> str:
     """Return the job id of a submission; raises Malformed."""
     if not isinstance(value, dict):
-        raise Malformed("not a map")
+        raise MalformedError("not a map")
     job_id = value.get("id")
     if not isinstance(job_id, str) or not JOB_ID.match(job_id):
-        raise Malformed("id: not a job id")
+        raise MalformedError("id: not a job id")
     return job_id
 
 
@@ -167,7 +167,7 @@
     submission = _read_submission(value)
     for field, accepts, reason in _CHECKS:
         if not accepts(getattr(submission, field)):
-            raise Malformed(f"{JOB_FIELDS[field]}: {reason}")
+            raise MalformedError(f"{JOB_FIELDS[field]}: {reason}")
     return JobSpec(
         job_class=submission.job_class,
         team=submission.team,
@@ -196,7 +196,7 @@
     try:
         return msgspec.convert(value, _Submission)
     except (msgspec.ValidationError, TypeError, OverflowError) as error:
-        raise Malformed(str(error)[:MAX_TEXT]) from None
+        raise MalformedError(str(error)[:MAX_TEXT]) from None
 
 
 def submission_body(job: dict[str, Any]) -> dict[str, Any]:
--- a/oakmux/codec/workers.py
+++ b/oakmux/codec/workers.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from oakmux.codec.cbor import MAX_INT, MAX_TEXT, Malformed, is_amount
+from oakmux.codec.cbor import MAX_INT, MAX_TEXT, MalformedError, is_amount
 from oakmux.core.model import Heartbeat, split_task
 from oakmux.task_status import ERROR, EXITED
 
@@ -86,14 +86,14 @@
     try:
         body = msgspec.convert(value, _HeartbeatBody)
     except (msgspec.ValidationError, TypeError, OverflowError) as error:
-        raise Malformed(str(error)[:MAX_TEXT]) from None
+        raise MalformedError(str(error)[:MAX_TEXT]) from None
     for number in (body.agent_epoch, body.sequence, body.fencing_token):
         if not 0 <= number < MAX_INT:
-            raise Malformed("integer out of range")
+            raise MalformedError("integer out of range")
     if not is_amount(body.notice_s):
-        raise Malformed(f"{_HEARTBEAT_FIELDS['notice_s']}: out of range")
+        raise MalformedError(f"{_HEARTBEAT_FIELDS['notice_s']}: out of range")
     if not 0 < len(body.machine) <= MAX_TEXT:
-        raise Malformed(f"{_HEARTBEAT_FIELDS['machine']}: out of range")
+        raise MalformedError(f"{_HEARTBEAT_FIELDS['machine']}: out of range")
     return Heartbeat(
         body.machine,
         body.address,
@@ -114,13 +114,13 @@
     for report in reports:
         state = STATES.get(report.state)
         if state is None:
-            raise Malformed(f"{_TASK_FIELDS['state']}: unknown")
+            raise MalformedError(f"{_TASK_FIELDS['state']}: unknown")
         if not 0 <= report.attempt < MAX_INT:
-            raise Malformed(f"{_TASK_FIELDS['attempt']}: out of range")
+            raise MalformedError(f"{_TASK_FIELDS['attempt']}: out of range")
         try:
             split_task(report.task)
         except ValueError:
-            raise Malformed(f"{_TASK_FIELDS['task']}: not a task") from None
+            raise MalformedError(f"{_TASK_FIELDS['task']}: not a task") from None
         # A reason that is missing or that we do not know counts as an error of the task.
         unknown_reason = ERROR if state == EXITED else ""
         exit_reason = EXIT_REASONS.get(report.exit_reason or "", unknown_reason)
--- a/oakmux/constants/__init__.py
+++ b/oakmux/constants/__init__.py
@@ -4,12 +4,12 @@
 `constants.NAME`.
 """
 
-from oakmux.constants.agents import *  # noqa: F403
-from oakmux.constants.api import *  # noqa: F403
-from oakmux.constants.autoscaling import *  # noqa: F403
-from oakmux.constants.controller import *  # noqa: F403
-from oakmux.constants.leadership import *  # noqa: F403
-from oakmux.constants.schedules import *  # noqa: F403
-from oakmux.constants.scheduling import *  # noqa: F403
-from oakmux.constants.state import *  # noqa: F403
-from oakmux.constants.transport import *  # noqa: F403
+from oakmux.constants.agents import *
+from oakmux.constants.api import *
+from oakmux.constants.autoscaling import *
+from oakmux.constants.controller import *
+from oakmux.constants.leadership import *
+from oakmux.constants.schedules import *
+from oakmux.constants.scheduling import *
+from oakmux.constants.state import *
+from oakmux.constants.transport import *
--- a/oakmux/core/agents/heartbeats.py
+++ b/oakmux/core/agents/heartbeats.py
@@ -1,6 +1,7 @@
 """Heartbeats of workers: their answers, and what they tell of their machines."""
 
 import math
+from typing import Any
 
 from oakmux import constants
 from oakmux.core import messages
@@ -49,52 +50,78 @@
         self.queue = queue
 
     def receive(self, command: messages.ReceiveHeartbeat) -> None:
-        """Take a worker's report and answer it."""
+        """Answer a worker's heartbeat, and apply it unless it is refused."""
+        context = self.context
+        request, heartbeat = command.request, command.heartbeat
+        refusal = self._refusal(heartbeat)
+        if refusal is not None:
+            self._unavailable(request, refusal)
+            return
+        machine = context.machines.get(heartbeat.machine)
+        tracked = self.workers.tracked.setdefault(heartbeat.machine, TrackedWorker())
+        tracked.answered_starts.clear()
+        if machine is None or machine.manager != context.controller_id:
+            tracked.attached_at = context.now
+        machine = self.take(tracked, heartbeat)
+        peer = self._peer_with_store()
+        if peer is not None:
+            context.answer(request, 421, ("report_to", peer))
+        elif self.commands.late_start_possible(tracked, machine):
+            self._unavailable(request, "a cancelled start is on its way")
+        elif heartbeat.fencing_token > context.term or not context.term:
+            self._answer_without_term(request, heartbeat, tracked, machine)
+        else:
+            self._answer_commands(request, tracked, machine)
+
+    def _refusal(self, heartbeat: Heartbeat) -> str | None:
+        """Return why a heartbeat is neither applied nor renews a lease, or None."""
         context = self.context
-        rid, heartbeat = command.request, command.heartbeat
         machine = context.machines.get(heartbeat.machine)
         if machine is not None and (heartbeat.agent_epoch, heartbeat.sequence) <= machine.version:
-            context.answer(rid, 503, ("error", "old report"))
-            return
+            return "old report"
         if (
             heartbeat.machine in context.replica.terminated_machines
             or heartbeat.machine in context.terminated
         ):
-            context.answer(rid, 503, ("error", "returned"))
-            return
+            return "returned"
         if (
             not context.replica.loaded
             or context.replica.unknown_format
             or not self.cancellations.may_renew_leases()
         ):
-            context.answer(rid, 503, ("error", "no current records"))
-            return
-        tracked = self.workers.tracked.setdefault(heartbeat.machine, TrackedWorker())
-        tracked.answered_starts.clear()
-        if machine is None or machine.manager != context.label:
-            tracked.attached_at = context.now
-        machine = self.take(tracked, heartbeat)
-        if not self.cancellations.store_fresh():
-            # The store may refuse us alone: hand the worker over to a peer that it answers.
-            for label, fresh in self.cancellations.peer_store_seen_at.items():
-                if context.now - fresh < constants.STORE_STALE_S / 2:
-                    context.answer(rid, 421, ("report_to", label))
-                    return
-        if self.commands.late_start_possible(tracked, machine):
-            context.answer(rid, 503, ("error", "a cancelled start is on its way"))
-            return
-        if heartbeat.fencing_token > context.term or not context.term:
-            self.leadership.need_term_above(heartbeat.fencing_token)
-            if heartbeat.fencing_token:
-                # An answer under the worker's own token renews its lease; it starts nothing.
-                stops = self.commands.stop_cancelled(tracked, machine, set())
-                context.answer(rid, 200, ("orders", heartbeat.fencing_token, stops))
-            else:
-                context.answer(rid, 503, ("error", "no term yet"))
+            return "no current records"
+        return None
+
+    def _unavailable(self, request: Any, reason: str) -> None:
+        self.context.answer(request, 503, ("error", reason))
+
+    def _peer_with_store(self) -> str | None:
+        """Return a peer to hand workers over to, if the store refuses this controller alone."""
+        if self.cancellations.store_fresh():
+            return None
+        for peer, seen_at in self.cancellations.peer_store_seen_at.items():
+            if self.context.now - seen_at < constants.STORE_STALE_S / 2:
+                return peer
+        return None
+
+    def _answer_without_term(
+        self, request: Any, heartbeat: Heartbeat, tracked: TrackedWorker, machine: Machine
+    ) -> None:
+        """Answer a worker whose fencing token is above this controller's term."""
+        self.leadership.need_term_above(heartbeat.fencing_token)
+        if not heartbeat.fencing_token:
+            self._unavailable(request, "no term yet")
             return
+        # An answer under the worker's own token renews its lease; it starts nothing.
+        stops = self.commands.stop_cancelled(tracked, machine, set())
+        self.context.answer(request, 200, ("orders", heartbeat.fencing_token, stops))
+
+    def _answer_commands(self, request: Any, tracked: TrackedWorker, machine: Machine) -> None:
+        """Answer with the commands that a worker needs, and offer what is free on its machine."""
+        context = self.context
         commands, starts = self.commands.commands(tracked, machine, forget=True)
         tracked.answered_starts.update(starts)
-        context.answer(rid, 200, ("orders", context.term, commands))
+        context.answer(request, 200, ("orders", context.term, commands))
         if starts:
             context.changed_workers.add(machine.name)
         self.queue.offer(machine.name)
@@ -114,13 +141,13 @@
             tracked.refused_starts.clear()
             tracked.offers.clear()
             tracked.stops.clear()
-        apply_heartbeat(context, heartbeat, context.label, context.term)
+        apply_heartbeat(context, heartbeat, context.controller_id, context.term)
         return context.machines[heartbeat.machine]
 
     def visible_tasks(self, machine: Machine) -> dict[Task, tuple[str, str, bool]]:
         """Return a machine's tasks, with unresolved and refused starts added for schedulers."""
         tracked = self.workers.tracked.get(machine.name)
-        if tracked is None or machine.manager != self.context.label:
+        if tracked is None or machine.manager != self.context.controller_id:
             return machine.tasks
         tasks = dict(machine.tasks)
         for task in [*tracked.unresolved_starts, *tracked.answered_starts]:
@@ -138,7 +165,7 @@
     before: dict[Task, tuple[str, str, bool]] = {}
     if machine is None:
         machine = context.machines[heartbeat.machine] = Machine(heartbeat, context.now)
-        assess_new_machine(context, machine, manager == context.label, manager_term)
+        assess_new_machine(context, machine, manager == context.controller_id, manager_term)
         changed = True
     else:
         before = machine.tasks if machine.agent_epoch == heartbeat.agent_epoch else {}
@@ -182,7 +209,7 @@
         job = context.replica.jobs.get(job_id)
         spec = None if job is None else job.spec
         old = before.get(task, ("", "", False))
-        if state == RUNNING and old[0] != RUNNING and machine.manager == context.label:
+        if state == RUNNING and old[0] != RUNNING and machine.manager == context.controller_id:
             event("task_running", task=task[0], attempt=task[1], machine=machine.name)
         if state != EXITED and spec is not None:
             live.append(spec)
@@ -208,7 +235,7 @@
     context: Context, machine: Machine, task: Task, why: str, spec: JobSpec | None, old_state: str
 ) -> None:
     """Record whether a task failed on a machine, and whether its image was fetched."""
-    if machine.manager == context.label:
+    if machine.manager == context.controller_id:
         event("task_exited", task=task[0], attempt=task[1], machine=machine.name, why=why)
     if why == DONE:
         machine.errors.clear()
--- a/oakmux/core/agents/reservation_queue.py
+++ b/oakmux/core/agents/reservation_queue.py
@@ -49,7 +49,7 @@
         name, job_id, count = request.machine, request.job_id, request.count
         tracked = self.workers.tracked.get(name)
         machine = self.context.machines.get(name)
-        if tracked is None or machine is None or machine.manager != self.context.label:
+        if tracked is None or machine is None or machine.manager != self.context.controller_id:
             return
         known = tracked.queue.get(job_id)
         if known is not None:
@@ -158,7 +158,7 @@
         """Whether tasks that are bound to a machine now could be started by us."""
         context = self.context
         return (
-            machine.manager == context.label
+            machine.manager == context.controller_id
             and machine.fencing_token == context.term
             and bool(context.term)
             and self.cancellations.store_fresh()
@@ -234,7 +234,7 @@
                 self.next_offer,
                 machine.agent_epoch,
                 context.term,
-                context.label,
+                context.controller_id,
             ),
         )
         return subtract(free, spec)
--- a/oakmux/core/agents/tracked_workers.py
+++ b/oakmux/core/agents/tracked_workers.py
@@ -9,7 +9,7 @@
 class Reservation:
     """A job's place in a machine's queue."""
 
-    __slots__ = ("job_id", "count", "since")
+    __slots__ = ("count", "job_id", "since")
 
     def __init__(self, job_id: str, count: int, since: float) -> None:
         self.job_id = job_id
@@ -30,19 +30,19 @@
     """What an agent manager remembers of one worker; times are seconds on the steady clock."""
 
     __slots__ = (
-        "queue",
-        "offers",
-        "unresolved_starts",
         "answered_starts",
-        "refused_starts",
-        "command_in_flight",
-        "next_command_at",
-        "unbound_since",
-        "stops",
+        "attached_at",
         "bound_tasks",
+        "command_in_flight",
         "delayed_since",
+        "next_command_at",
         "not_preemptible",
-        "attached_at",
+        "offers",
+        "queue",
+        "refused_starts",
+        "stops",
+        "unbound_since",
+        "unresolved_starts",
     )
 
     def __init__(self) -> None:
--- a/oakmux/core/agents/worker_commands.py
+++ b/oakmux/core/agents/worker_commands.py
@@ -277,7 +277,7 @@
         if (
             tracked is None
             or machine is None
-            or machine.manager != context.label
+            or machine.manager != context.controller_id
             or tracked.command_in_flight
             or context.now < tracked.next_command_at
             or not context.term
--- a/oakmux/core/api/current_reads.py
+++ b/oakmux/core/api/current_reads.py
@@ -147,7 +147,7 @@
                 self._resume_current(result[0], read)
 
     def _fetch_and_resume(self, revision: int, read: _Read) -> None:
-        self.fetch(read.request_id, read.job_id, lambda job: self._resume_current(revision, read))
+        self.fetch(read.request_id, read.job_id, lambda _job: self._resume_current(revision, read))
 
     def _on_revision(self, batch: list[_Read], status: int, result: Any) -> None:
         self.in_flight -= 1
--- a/oakmux/core/api/submission.py
+++ b/oakmux/core/api/submission.py
@@ -124,7 +124,7 @@
         All ids of schedules have 18 digits. Shorter ones with the same prefix stay free, and
         users who had such a job before the reservation are still shown it.
         """
-        prefix = self.context.reserved
+        prefix = self.context.reserved_job_prefix
         if prefix and job_id.startswith(prefix) and len(job_id) == constants.RESERVED_ID_CHARS:
             return f"id: {prefix}... of 18 digits is kept for schedules"
         return None
--- a/oakmux/core/autoscaling/demand_placement.py
+++ b/oakmux/core/autoscaling/demand_placement.py
@@ -15,7 +15,7 @@
 class _TaskGroup:
     """Tasks of one job that are placed together, and the slots found for them so far."""
 
-    __slots__ = ("spec", "wanted", "zones", "slots")
+    __slots__ = ("slots", "spec", "wanted", "zones")
 
     def __init__(self, spec: JobSpec, wanted: int, zones: list[str]) -> None:
         self.spec = spec
--- a/oakmux/core/autoscaling/instance_inventory.py
+++ b/oakmux/core/autoscaling/instance_inventory.py
@@ -24,7 +24,7 @@
 class Instance:
     """An instance that the cloud's list or the answer to a rental has named."""
 
-    __slots__ = ("kind", "state", "created_at", "running_since", "absent_lists", "listed")
+    __slots__ = ("absent_lists", "created_at", "kind", "listed", "running_since", "state")
 
     def __init__(self, kind: InstanceKind, state: str, created_at: float) -> None:
         self.kind = kind
@@ -166,11 +166,14 @@
         for controller_id in self.controllers():
             context.send(controller_id, MachinesTerminated([name]))
         if why == InstanceState.FAILED:
-            context.call(lambda status, result: None, messages.ReturnInstances, [name])
+            context.call(lambda _status, _result: None, messages.ReturnInstances, [name])
 
     def controllers(self) -> list[str]:
         """Return the ids of all controllers, our own first."""
-        return [self.context.label, *(m.controller_id for m in self.context.settings.peers)]
+        return [
+            self.context.controller_id,
+            *(m.controller_id for m in self.context.settings.peers),
+        ]
 
     def write_records(self) -> None:
         """Write changed machine types and terminations, and delete terminations not needed."""
--- a/oakmux/core/autoscaling/machine_returns.py
+++ b/oakmux/core/autoscaling/machine_returns.py
@@ -40,7 +40,7 @@
         self.inventory.returning.add(name)
         event("instances_returned", machines=name, why=reason)
         self.context.call(
-            lambda status, result: self._on_answer(name, status), messages.ReturnInstances, [name]
+            lambda status, _result: self._on_answer(name, status), messages.ReturnInstances, [name]
         )
 
     def _on_answer(self, name: str, status: int) -> None:
--- a/oakmux/core/autoscaling/slot_pool.py
+++ b/oakmux/core/autoscaling/slot_pool.py
@@ -17,7 +17,7 @@
 class Slot:
     """Free resources of one machine that is up, booting, or to be rented."""
 
-    __slots__ = ("name", "kind", "free", "needed", "coming")
+    __slots__ = ("coming", "free", "kind", "name", "needed")
 
     def __init__(
         self, name: str, kind: InstanceKind, free: Resources, *, coming: bool = True
--- a/oakmux/core/autoscaling/unhealthy_machines.py
+++ b/oakmux/core/autoscaling/unhealthy_machines.py
@@ -105,7 +105,7 @@
         peer_seen_at = self.cancellations.peer_seen_at.get(manager, constants.NEVER)
         return (
             manager in context.replica.live_controllers
-            and manager != context.label
+            and manager != context.controller_id
             and context.now - peer_seen_at > constants.PEER_HEARTBEAT_S * 3
         )
 
--- a/oakmux/core/context.py
+++ b/oakmux/core/context.py
@@ -45,10 +45,10 @@
     def __init__(self, settings: Settings, rng: random.Random, wall: int) -> None:
         self.settings = settings
         self.facts = settings.facts
-        self.label = settings.controller_id
+        self.controller_id = settings.controller_id
         self.rng = rng
         self.now = 0.0
-        self.wall = wall
+        self.wall_start_ms = wall
         self.replica = Replica()
         self.failures = FailureAttribution(self.replica)
         self.types: dict[str, MachineType] = {}
@@ -76,7 +76,7 @@
         self.held_roles: dict[str, int] = {}
         # Roles of optional subsystems, and a prefix of job ids that they keep for themselves.
         self.extra_roles: list[str] = []
-        self.reserved = ""
+        self.reserved_job_prefix = ""
         # Set by the controller, which joins the parts.
         self.backfill: Backfill
         self.effects: list[Effect] = []
@@ -96,7 +96,7 @@
 
     def send(self, controller_id: str, message: PeerMessage) -> None:
         """Send a message to a controller; one to ourselves is delivered within the same step."""
-        if controller_id == self.label:
+        if controller_id == self.controller_id:
             self.inbox.append(message)
         else:
             self.effects.append(SendToPeer(controller_id, message))
@@ -115,7 +115,7 @@
     @property
     def wall_clock_ms(self) -> int:
         """The time of day in milliseconds, by which jobs' ages are recorded."""
-        return self.wall + int(self.now * 1000)
+        return self.wall_start_ms + int(self.now * 1000)
 
     def note_store_answer(self, asked_at: float) -> None:
         """Note that the store answered a request for all changes that was sent at a time."""
--- a/oakmux/core/controller.py
+++ b/oakmux/core/controller.py
@@ -254,7 +254,7 @@
     def _status(self, ready: bool) -> tuple[Any, ...]:
         context = self.context
         machines = sum(
-            1 for machine in context.machines.values() if machine.manager == context.label
+            1 for machine in context.machines.values() if machine.manager == context.controller_id
         )
         roles = sorted(context.held_roles)
-        return "health", context.label, ready, context.term, roles, machines
+        return "health", context.controller_id, ready, context.term, roles, machines
--- a/oakmux/core/leadership/controller_lease.py
+++ b/oakmux/core/leadership/controller_lease.py
@@ -84,7 +84,7 @@
         context = self.context
         if (
             self.key_written
-            and context.replica.live_controllers.get(context.label) != context.incarnation
+            and context.replica.live_controllers.get(context.controller_id) != context.incarnation
             and context.now - self.key_written_at > constants.STORE_STALE_S
         ):
             self.key_written = False
@@ -98,7 +98,7 @@
             self._on_key_written,
             Transaction,
             [],
-            [(controller_key(context.label), context.incarnation, self.lease_id)],
+            [(controller_key(context.controller_id), context.incarnation, self.lease_id)],
             constants.LEADERSHIP_WRITE_PRIORITY,
         )
 
--- a/oakmux/core/leadership/format_negotiation.py
+++ b/oakmux/core/leadership/format_negotiation.py
@@ -25,7 +25,7 @@
 
     def tick(self) -> None:
         """Write what is due."""
-        replica, label = self.context.replica, self.context.label
+        replica, label = self.context.replica, self.context.controller_id
         if self.in_flight or replica.format >= replica.known_format:
             return
         if replica.versions.get(label, 0) < replica.known_format:
--- a/oakmux/core/leadership/roles.py
+++ b/oakmux/core/leadership/roles.py
@@ -52,16 +52,18 @@
     def tick(self) -> None:
         """Claim free roles that are assigned to us, or rebalance if there are none."""
         context = self.context
-        controllers = sorted({*context.replica.live_controllers, context.label})
+        controllers = sorted({*context.replica.live_controllers, context.controller_id})
         held = {role: row[0] for role, row in context.replica.roles.items()}
         free = [role for role in (*context.teams, FLEET) if role not in held]
         assigned = assign_roles(free, held, controllers)
         # Roles of subsystems are no part of that count, in which all controllers must agree: one
         # that runs without the subsystem, or of an earlier version, would wait for the others and
         # they for it. All that run the subsystem try to claim them; the condition lets one win.
-        assigned.update((role, context.label) for role in context.extra_roles if role not in held)
+        assigned.update(
+            (role, context.controller_id) for role in context.extra_roles if role not in held
+        )
         for role in (*context.teams, FLEET, *context.extra_roles):
-            mine = assigned.get(role) == context.label or self._is_predecessors(role)
+            mine = assigned.get(role) == context.controller_id or self._is_predecessors(role)
             if mine and role not in self.claiming:
                 self._claim(role)
         if not assigned and context.now >= self.next_rebalance_at:
@@ -76,12 +78,14 @@
         """
         context = self.context
         row = context.replica.roles.get(role)
-        return row is not None and row[0] == context.label and row[1] != context.incarnation
+        return (
+            row is not None and row[0] == context.controller_id and row[1] != context.incarnation
+        )
 
     def _claim(self, role: str) -> None:
         context = self.context
         row = context.replica.roles.get(role)
-        key, value = role_key(role), [context.label, context.incarnation]
+        key, value = role_key(role), [context.controller_id, context.incarnation]
         self.claiming.add(role)
         context.call(
             lambda status, result: self._on_claimed(role, value, status, result),
@@ -106,7 +110,7 @@
             label for role, label in held.items() if role == FLEET or role in context.teams
         )
         mine = sorted(role for role in context.held_roles if role in context.teams)
-        if not mine or load[context.label] < 2 + min(load[label] for label in controllers):
+        if not mine or load[context.controller_id] < 2 + min(load[label] for label in controllers):
             return
         # Writes of ours that come late are conditional on the key's mod revision.
         event("role_released", role=mine[0], roles=len(mine))
@@ -142,7 +146,7 @@
         held = {
             role: mod_revision
             for role, (label, incarnation, mod_revision) in replica.roles.items()
-            if label == context.label
+            if label == context.controller_id
             and incarnation == context.incarnation
             and replica.revision >= mod_revision
         }
--- a/oakmux/core/machine.py
+++ b/oakmux/core/machine.py
@@ -13,26 +13,26 @@
     """
 
     __slots__ = (
-        "name",
         "addr",
-        "type",
-        "zone",
-        "spot",
         "agent_epoch",
-        "sequence",
+        "errors",
         "fencing_token",
-        "notice_at",
-        "tasks",
+        "first_heartbeat_at",
+        "idle_since",
+        "images",
+        "last_heartbeat_at",
         "manager",
         "manager_term",
-        "last_heartbeat_at",
-        "images",
-        "errors",
-        "idle_since",
-        "first_heartbeat_at",
+        "name",
+        "notice_at",
+        "sequence",
         "since",
+        "spot",
+        "tasks",
+        "type",
         "unreachable_signs",
         "unreachable_since",
+        "zone",
     )
 
     def __init__(self, heartbeat: Heartbeat, now: float) -> None:
--- a/oakmux/core/peers/link.py
+++ b/oakmux/core/peers/link.py
@@ -55,7 +55,7 @@
             200,
             (
                 "peer",
-                context.label,
+                context.controller_id,
                 context.incarnation if context.replica.loaded else 0,
                 min(context.now - context.store_seen_at, OLDEST_STORE_AGE_S),
                 cancelled,
@@ -71,7 +71,7 @@
                 return
             received, context.inbox = context.inbox, []
             for message in received:
-                self._handle(context.label, message)
+                self._handle(context.controller_id, message)
 
     def _handle(self, sender: str, message: PeerMessage) -> None:
         try:
@@ -123,7 +123,8 @@
         for member in members:
             changes = constants.BORROW_FACTOR * command.changes / len(members)
             self.context.send(
-                member.controller_id, peer_messages.BorrowChanges(self.context.label, changes)
+                member.controller_id,
+                peer_messages.BorrowChanges(self.context.controller_id, changes),
             )
 
     def _lend_quota(self, message: peer_messages.BorrowChanges) -> None:
--- a/oakmux/core/peers/machine_views.py
+++ b/oakmux/core/peers/machine_views.py
@@ -31,7 +31,7 @@
         """Send the view of a machine, if it reports to us."""
         context = self.context
         machine = context.machines.get(name)
-        if machine is None or machine.manager != context.label:
+        if machine is None or machine.manager != context.controller_id:
             return
         view = self._view(machine, with_images)
         for peer in peers:
@@ -64,7 +64,7 @@
     def send_all(self, command: PeerRestarted) -> None:
         """Send a peer that has just started the views of all machines that report to us."""
         for machine in self.context.machines.values():
-            if machine.manager == self.context.label:
+            if machine.manager == self.context.controller_id:
                 self.send(machine.name, [command.controller_id], with_images=True)
 
     def resend(self, command: ResendViews) -> None:
@@ -79,7 +79,7 @@
         alive = [
             machine.name
             for machine in context.machines.values()
-            if machine.manager == context.label
+            if machine.manager == context.controller_id
             and context.now - machine.last_heartbeat_at < recent_s
         ]
         message = MachinesAlive(alive)
--- a/oakmux/core/scheduling/backfill_planner.py
+++ b/oakmux/core/scheduling/backfill_planner.py
@@ -128,7 +128,7 @@
     def _announce(self, job: Job, machines: list[str], ready_s: float) -> None:
         """Send a backfill reservation to all controllers; without machines it ends."""
         for label in (
-            self.context.label,
+            self.context.controller_id,
             *(peer.controller_id for peer in self.context.settings.peers),
         ):
             self.context.send(
--- a/oakmux/core/scheduling/quota_claims.py
+++ b/oakmux/core/scheduling/quota_claims.py
@@ -36,8 +36,10 @@
         self.claims: dict[str, LimitClaim] = {}
 
     def exceeds_limit(self, job: Job, spec: JobSpec, tasks: int = 1) -> bool:
-        """Whether so many more tasks of a job would exceed its team's limit, with what jobs that
-        go before it claim."""
+        """Whether so many more tasks of a job would exceed its team's limit.
+
+        What jobs that go before it claim counts as used.
+        """
         quota = self.context.teams.get(job.team)
         if quota is not None and not quota.cpus_max and not quota.gpus_max:
             # Its usage isn't counted: this is called at each offer to thousands of tiny jobs.
@@ -95,8 +97,10 @@
         return spec.kind == "gang" and waited_ms > 1000 * constants.BACKFILL_MIN_WAIT_S
 
     def _usage_without_jobs_behind(self, job: Job, used: Usage, before_equals: bool) -> Usage:
-        """Return what a job's team will use once all that end by themselves and go behind the job
-        have ended; with `before_equals`, the job goes before others of its priority."""
+        """Return what a job's team will use once the tasks behind the job have ended.
+
+        Services don't end. With `before_equals`, the job goes before others of its priority.
+        """
         cpus, gpus = used
         by_priority = self.context.replica.usage.preemptible.get(job.team, {})
         for priority, usage in by_priority.items():
--- a/oakmux/core/state/batch_allocator.py
+++ b/oakmux/core/state/batch_allocator.py
@@ -45,8 +45,10 @@
         return self.pending_bytes[name] + (batch.reserved if batch is not None else 0)
 
     def release(self, job_id: str) -> None:
-        """End the reservation of a job: its row is recorded and counts with its batch, or it will
-        not be written."""
+        """End a job's reservation.
+
+        Its row is recorded and counts with its batch, or it will not be written.
+        """
         row = self.pending.pop(job_id, None)
         if row is not None:
             name, need = row
--- a/oakmux/core/state/binding_batches.py
+++ b/oakmux/core/state/binding_batches.py
@@ -32,7 +32,7 @@
 class BindingBatch:
     """A recorded batch: its mod revision and its rows by job."""
 
-    __slots__ = ("mod_revision", "rows", "reserved")
+    __slots__ = ("mod_revision", "reserved", "rows")
 
     def __init__(self, mod_revision: int, rows: dict[str, BatchRow]) -> None:
         self.mod_revision = mod_revision
--- a/oakmux/core/state/codecs.py
+++ b/oakmux/core/state/codecs.py
@@ -67,8 +67,11 @@
 
 
 def _encode_bindings_compactly(block: TaskBlock) -> tuple[list[Value], list[Value]]:
-    """Return a block's bindings with what they share written once: a list of heads (agent epoch,
-    term, zone, stop), and groups of (machine, index of its head, task, attempt, task, ...)."""
+    """Return a block's bindings with what they share written once.
+
+    These are a list of heads (agent epoch, term, zone, stop), and groups of (machine, index of
+    its head, task, attempt, task, ...).
+    """
     heads: dict[tuple[int, int, str, int], int] = {}
     groups: dict[tuple[str, int], Value] = {}
     for index, b in sorted(block.bound.items()):
--- a/oakmux/core/state/dependencies.py
+++ b/oakmux/core/state/dependencies.py
@@ -95,8 +95,10 @@
                 stack += job.unmet_dependencies
 
     def _urgency(self, job: Job, spec: JobSpec) -> tuple[int, float]:
-        """Return the priority of a job and the time (ms) by which it must end, with regard to all
-        jobs that depend on it."""
+        """Return the priority of a job and the time (ms) by which it must end.
+
+        Both are inherited from the jobs that depend on it.
+        """
         priority, due_ms = spec.priority, math.inf
         if spec.deadline_s is not None:
             due_ms = job.order + spec.deadline_s * 1000
--- a/oakmux/core/state/records.py
+++ b/oakmux/core/state/records.py
@@ -24,7 +24,7 @@
 class TaskBlock:
     """A run of a job's tasks: their bindings, which of them completed, the last attempt."""
 
-    __slots__ = ("mod_revision", "last", "done", "bound", "compact", "batch")
+    __slots__ = ("batch", "bound", "compact", "done", "last", "mod_revision")
 
     def __init__(
         self,
@@ -65,20 +65,20 @@
     """A job as recorded, with what follows from the records of jobs that depend on it."""
 
     __slots__ = (
+        "blocks",
+        "due_ms",
         "id",
-        "team",
-        "state",
         "mod_revision",
-        "spec",
-        "blocks",
         "order",
-        "tasks",
-        "service",
-        "unmet_dependencies",
-        "since",
         "priority",
-        "due_ms",
         "resources",
+        "service",
+        "since",
+        "spec",
+        "state",
+        "tasks",
+        "team",
+        "unmet_dependencies",
     )
 
     def __init__(
@@ -113,16 +113,21 @@
         self.due_ms = math.inf
 
     def set_spec(self, spec: JobSpec | None) -> None:
-        """Set the specification. The resources outlive it: a job that is over may still have
-        bindings, also such as are read later, and they count against the quota (R quota)."""
+        """Set the specification; the resources outlive it.
+
+        A job that is over may still have bindings, also such as are read later, and they count
+        against the quota (R quota).
+        """
         self.spec = spec
         if spec is not None:
             self.resources = Resources(spec.cpus, spec.gpus, spec.memory_gb)
 
     @property
     def ready(self) -> bool:
-        """Whether all dependencies are done (R too_early). A job that is done stays so: a replica
-        that lags behind can only err on the safe side."""
+        """Whether all dependencies are done (R too_early).
+
+        A job that is done stays so: a replica that lags behind can only err on the safe side.
+        """
         return not self.unmet_dependencies
 
     @property
--- a/oakmux/core/state/transaction_builder.py
+++ b/oakmux/core/state/transaction_builder.py
@@ -145,8 +145,10 @@
     def _within_bytes(
         transaction: Transaction, numbers: list[int], values: dict[int, Value]
     ) -> list[int]:
-        """Return the blocks that fit into the transaction: all, or none while it holds others; of
-        a job that alone is too large, as many as fit."""
+        """Return the blocks that fit into the transaction: all, or none while it holds others.
+
+        Of a job that alone is too large, as many as fit.
+        """
         left = constants.TRANSACTION_BYTES - transaction.bytes
         fitting: list[int] = []
         for number in numbers:
@@ -175,8 +177,10 @@
         return (job.final or finishing) and not block.bound
 
     def _postpone_too_large(self, job_id: str, number: int, value: Value) -> bool:
-        """Postpone a block whose value exceeds the limit until more of its tasks have ended;
-        return whether it does."""
+        """Postpone a block whose value exceeds the limit; return whether it does.
+
+        It is tried again once more of its tasks have ended.
+        """
         limit = self.buffer.max_value_bytes()
         bound = len(self.buffer.changed[job_id][number].bound)
         if bound * constants.BINDING_BYTES <= limit or value_bytes(value) <= limit:
@@ -196,8 +200,11 @@
     # --- task blocks in batches ---
 
     def _add_finished_jobs(self, transaction: Transaction) -> None:
-        """Add that jobs with rows in batches are done, at once: users wait for it. Their rows go
-        with a later write of the batch; until then they count as bound, as before the end."""
+        """Add that jobs with rows in batches are done, at once: users wait for it.
+
+        Their rows go with a later write of the batch; until then they count as bound, as before
+        the end.
+        """
         for job_id in self.buffer.finished_jobs:
             if len(transaction.writes) >= self.max_writes:
                 return
--- a/oakmux/core/state/write_buffer.py
+++ b/oakmux/core/state/write_buffer.py
@@ -69,13 +69,19 @@
 
     @property
     def tasks_per_record(self) -> int:
-        """How many tasks share a task block. This never changes with the limits of the store: a
-        bound task would look unbound (R ran_twice). It is recorded with the format."""
+        """How many tasks share a task block; it is recorded with the format.
+
+        It never changes with the limits of the store: a bound task would look unbound
+        (R ran_twice).
+        """
         return self.context.replica.tasks_per_record or self.configured_tasks_per_record
 
     def max_value_bytes(self) -> int:
-        """Return the bytes that a written value may take. What earlier versions left larger may be
-        written so until the format changes, unless a transaction was refused."""
+        """Return the bytes that a written value may take.
+
+        What earlier versions left larger may be written so until the format changes, unless a
+        transaction was refused.
+        """
         if self.record_format() >= FORMAT_COMPACT or self.refused:
             return self.strictest_value_bytes
         return value_limit(self.context.facts.store)
@@ -213,8 +219,10 @@
         return None
 
     def team_usage(self, team: str) -> Usage:
-        """Return what a team whose role is held uses: all that is bound and not proven to have
-        ended. The count of the records is corrected by the few changed blocks."""
+        """Return what a team uses whose role is held: all that is bound without termination proof.
+
+        The count of the records is corrected by the few changed blocks.
+        """
         cpus, gpus = self.context.replica.usage.by_team.get(team, NO_USAGE)
         for job_id, changed in self.changed.items():
             job = self.context.replica.jobs[job_id]
--- a/oakmux/schedules/api.py
+++ b/oakmux/schedules/api.py
@@ -263,7 +263,7 @@
         self._need_types()
         templates.check(self.context, self.store.templates[template])
         until, deadline = int(args.get("until") or 0), args.get("deadline_s")
-        if not 0 <= until < 10**11 or deadline is not None and not 0 < deadline < 1e12:
+        if not 0 <= until < 10**11 or (deadline is not None and not 0 < deadline < 1e12):
             raise RefusedError(422, "until or deadline_s: out of range")
         return Entry(
             name,
@@ -451,7 +451,7 @@
         """Change an entry. An edit that changes no time keeps the place among its firings."""
         store, key = self.store, entry_key(entry.name)
         wanted = args.get("if_match")
-        if args.get("if_absent") or wanted and wanted not in (old.etag, "*"):
+        if args.get("if_absent") or (wanted and wanted not in (old.etag, "*")):
             raise RefusedError(412, f"{entry.name} has changed" if wanted else "it exists")
         self._one_uid(entry)
         if entry.name in args["silent"]:
@@ -466,7 +466,7 @@
             *parts,
             *((part_key(entry.name, n),) for n in range(len(parts), old.parts)),
         ]
-        if (made.rule, made.until) != (old.rule, old.until) or old.paused and not made.paused:
+        if (made.rule, made.until) != (old.rule, old.until) or (old.paused and not made.paused):
             slot = self._fresh_slot(made, store.slot(entry.name))
             self._with_slot(guards, writes, old.shard, entry.name, slot)
         return guards, writes, 200, {}
--- a/oakmux/schedules/crontab.py
+++ b/oakmux/schedules/crontab.py
@@ -23,8 +23,8 @@
     ("month", 1, 12),
     ("day of week", 0, 7),
 )
-MONTHS = "jan feb mar apr may jun jul aug sep oct nov dec".split()
-DAYS = "sun mon tue wed thu fri sat".split()
+MONTHS = ["jan", "feb", "mar", "apr", "may", "jun", "jul", "aug", "sep", "oct", "nov", "dec"]
+DAYS = ["sun", "mon", "tue", "wed", "thu", "fri", "sat"]
 ZONE_NAMES = ("CRON_TZ", "TZ")
 PLAIN = {
     "_WS": "a blank",
--- a/oakmux/schedules/dispatcher.py
+++ b/oakmux/schedules/dispatcher.py
@@ -397,7 +397,8 @@
 
     def _failed(self, batch: FiringBatch, status: int, result: Any) -> None:
         """Try firings again later. 409: the watch brings what was in the way. No answer: they may
-        still be written late; then what we try again fails on the shard's version."""
+        still be written late; then what we try again fails on the shard's version.
+        """
         failures = self.failed.get(batch.shard, 0)
         pause = min(constants.BACKOFF_MAX_S, constants.FIRING_RETRY_S * 2**failures)
         self.failed[batch.shard] = min(failures + 1, 10)
--- a/oakmux/schedules/firing_plan.py
+++ b/oakmux/schedules/firing_plan.py
@@ -20,7 +20,7 @@
 class FiringPlan:
     """The coming firings of one entry, the next of them at hand."""
 
-    __slots__ = ("entry", "slot", "run", "firing", "ahead", "tries", "urgency")
+    __slots__ = ("ahead", "entry", "firing", "run", "slot", "tries", "urgency")
 
     def __init__(self, entry: Entry, slot: Slot) -> None:
         self.entry = entry
--- a/oakmux/schedules/firings.py
+++ b/oakmux/schedules/firings.py
@@ -187,7 +187,7 @@
         value = parts.get(name, "1")
         if not value.isdigit() or not 0 < int(value) <= constants.RRULE_MAX_COUNT:
             raise RuleError(f"RRULE: {name} must be 1 to {constants.RRULE_MAX_COUNT}")
-    if "BYSECOND" in parts or "BYMINUTE" in parts and freq == "HOURLY":
+    if "BYSECOND" in parts or ("BYMINUTE" in parts and freq == "HOURLY"):
         raise RuleError("RRULE: minutes are not the finest that is kept")
     if start < 0:
         raise RuleError("DTSTART: a rule that recurs begins in 1970 or later")
@@ -246,16 +246,15 @@
         phase, period = _period(freq, first, day)
         length = calendar.monthrange(day.year, day.month)[1]
         if (
-            phase % interval
-            and freq != "HOURLY"
-            or months
-            and day.month not in months
-            or of_month
-            and day.day not in of_month
-            and day.day - length - 1 not in of_month
-            or days
-            and not any(
-                _is_nth(day, n, weekday, freq == "YEARLY" and not months) for n, weekday in days
+            (phase % interval and freq != "HOURLY")
+            or (months and day.month not in months)
+            or (of_month and day.day not in of_month and day.day - length - 1 not in of_month)
+            or (
+                days
+                and not any(
+                    _is_nth(day, n, weekday, freq == "YEARLY" and not months)
+                    for n, weekday in days
+                )
             )
         ):
             continue
--- a/oakmux/schedules/plugin.py
+++ b/oakmux/schedules/plugin.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from oakmux import constants, settings
-from oakmux.codec.cbor import Malformed, decode, encode
+from oakmux.codec.cbor import MalformedError, decode, encode
 from oakmux.core.context import Context
 from oakmux.core.controller import Subsystem
 from oakmux.core.messages import Command
@@ -48,7 +48,7 @@
         def serve(request: Request, operation: str) -> None:
             try:
                 args = decode(request.body) if request.body else {}
-            except Malformed as error:
+            except MalformedError as error:
                 request.respond(400, encode({"error": str(error)}))
                 return
             if not offer(ServeScheduleRequest(request, operation, args)):
--- a/oakmux/schedules/replay/model.py
+++ b/oakmux/schedules/replay/model.py
@@ -161,7 +161,7 @@
             held = self.context.replica.roles.get(CLOCK_ROLE)
             mine = held is not None and held[0] == self.label and held[1] == self.incarnation
             self.context.held_roles = {CLOCK_ROLE: held[2]} if mine and held is not None else {}
-            if mine != (self.part.dispatcher.held != 0) or self.part.store.changed and mine:
+            if mine != (self.part.dispatcher.held != 0) or (self.part.store.changed and mine):
                 self.wake(0.0)
 
 
--- a/oakmux/schedules/replay/oracle.py
+++ b/oakmux/schedules/replay/oracle.py
@@ -17,7 +17,8 @@
 
 class Minute(NamedTuple):
     """One minute of a zone: its instant (s), what clocks show, whether for the second time, and
-    the wall minutes that were left out just before it."""
+    the wall minutes that were left out just before it.
+    """
 
     at: int
     wall: datetime
--- a/oakmux/schedules/subsystem.py
+++ b/oakmux/schedules/subsystem.py
@@ -21,7 +21,7 @@
         self.context = context
         context.replica.namespaces[KIND] = self.store
         context.extra_roles.append(CLOCK_ROLE)
-        context.reserved = RESERVED
+        context.reserved_job_prefix = RESERVED
         self.commands: dict[type[Command], CommandHandler] = {
             SetTimeOfDay: lambda command: self.wall_clock.synchronize(command.time_ms),
             ServeScheduleRequest: self.api.request,
--- a/oakmux/schedules/templates.py
+++ b/oakmux/schedules/templates.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from oakmux import constants
-from oakmux.codec.cbor import MAX_TEXT, Malformed
+from oakmux.codec.cbor import MAX_TEXT, MalformedError
 from oakmux.codec.users import parse_job
 from oakmux.core.context import Context
 from oakmux.core.model import JobSpec
@@ -51,7 +51,7 @@
             )
         try:
             spec = parse_job({**job, "id": "job-0"})
-        except Malformed as error:
+        except MalformedError as error:
             raise TemplateError(f"{name}: {error}") from None
         if spec.waits_on:
             raise TemplateError(f"{name}: waits_on names steps, not jobs")
--- a/oakmux/schedules/wall_clock.py
+++ b/oakmux/schedules/wall_clock.py
@@ -29,7 +29,7 @@
     def now_ms(self) -> int:
         """Return the time of day (ms since 1970)."""
         if self.last_reading is None:
-            return self.context.wall + int(self.context.now * 1000)
+            return self.context.wall_start_ms + int(self.context.now * 1000)
         time_of_day_ms, read_at = self.last_reading
         return time_of_day_ms + int((self.context.now - read_at) * 1000)
 
--- a/oakmux/service.py
+++ b/oakmux/service.py
@@ -198,8 +198,10 @@
 
 
 def serve(path: str, schedules: str | None = None, spread: str | None = None) -> int:
-    """Run a controller with the platform's settings file, with schedules if the operator's file
-    for them is given, and load spread as another of theirs says; return the exit code."""
+    """Run a controller with the platform's settings file; return the exit code.
+
+    The operator's own files switch on schedules, and change how load is spread.
+    """
     plugins: list[Plugin] = []
     try:
         conf = settings.load(path)
--- a/oakmux/transport/cloud_client.py
+++ b/oakmux/transport/cloud_client.py
@@ -7,7 +7,7 @@
 from urllib.parse import quote
 
 from oakmux import constants
-from oakmux.codec.cbor import Malformed, decode, encode
+from oakmux.codec.cbor import MalformedError, decode, encode
 from oakmux.codec.cloud import (
     PATH_CATALOGUE,
     PATH_INSTANCES,
@@ -22,7 +22,7 @@
 from oakmux.core import messages
 from oakmux.core.instances import ListedInstance
 from oakmux.settings import Settings
-from oakmux.transport.http_client import Client, NoResponse, RequestNotSent
+from oakmux.transport.http_client import Client, NoResponseError, RequestNotSentError
 from oakmux.transport.rate_limit import TokenBucket, pause
 
 log = logging.getLogger("oakmux.cloud")
@@ -70,9 +70,9 @@
         kind = type(operation).__name__
         try:
             status, result = await self._handlers[type(operation)](operation)
-        except RequestNotSent:
+        except RequestNotSentError:
             status, result = 503, None
-        except (NoResponse, Malformed) as error:
+        except (NoResponseError, MalformedError) as error:
             log.info("event=cloud_no_response kind=%s why=%s", kind, error)
             status, result = 0, None
         except Exception:
@@ -125,7 +125,7 @@
                     tries = 0
                     await asyncio.sleep(constants.CATALOGUE_INTERVAL_S)
                     continue
-            except (RequestNotSent, NoResponse, Malformed) as error:
+            except (RequestNotSentError, NoResponseError, MalformedError) as error:
                 log.info("event=catalogue_failed why=%s", error)
             except Exception:
                 log.exception("event=catalogue_failed")
--- a/oakmux/transport/http_client.py
+++ b/oakmux/transport/http_client.py
@@ -14,11 +14,11 @@
     """A request got no answer; the text says why."""
 
 
-class RequestNotSent(TransportError):
+class RequestNotSentError(TransportError):
     """The request was certainly not sent: no connection came about."""
 
 
-class NoResponse(TransportError):
+class NoResponseError(TransportError):
     """The request may have been carried out, or may yet be."""
 
 
@@ -45,7 +45,7 @@
 
     def _fail(self, why: str) -> None:
         if self.waiter is not None and not self.waiter.done():
-            self.waiter.set_exception(NoResponse(why))
+            self.waiter.set_exception(NoResponseError(why))
 
     def data_received(self, data: bytes) -> None:
         """Feed the parser."""
@@ -99,7 +99,7 @@
                     lambda: ClientProtocol(limit), host, port
                 )
         except (OSError, TimeoutError) as error:
-            raise RequestNotSent(str(error) or "timeout") from None
+            raise RequestNotSentError(str(error) or "timeout") from None
         return connection
 
     @asynccontextmanager
@@ -159,7 +159,7 @@
                 async with asyncio.timeout(timeout):
                     return await connection.start(data)
             except TimeoutError:
-                raise NoResponse("timeout") from None
+                raise NoResponseError("timeout") from None
 
 
 def _pop_usable(pool: list[ClientProtocol]) -> ClientProtocol | None:
--- a/oakmux/transport/http_server.py
+++ b/oakmux/transport/http_server.py
@@ -43,7 +43,7 @@
 class Request:
     """One request of a client; respond() answers it once."""
 
-    __slots__ = ("method", "path", "body", "too_large", "_conn")
+    __slots__ = ("_conn", "body", "method", "path", "too_large")
 
     def __init__(
         self, method: str, path: str, body: bytes, too_large: bool, conn: "ServerProtocol"
--- a/oakmux/transport/peer_client.py
+++ b/oakmux/transport/peer_client.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 
 from oakmux import constants
-from oakmux.codec.cbor import Malformed
+from oakmux.codec.cbor import MalformedError
 from oakmux.codec.peers import PATH_PEERS, decode_answer, encode_batch
 from oakmux.core import messages, peer_messages
 from oakmux.core.peer_messages import PeerMessage
-from oakmux.transport.http_client import Client, NoResponse, RequestNotSent
+from oakmux.transport.http_client import Client, NoResponseError, RequestNotSentError
 from oakmux.transport.rate_limit import pause
 
 log = logging.getLogger("oakmux.peers")
@@ -70,7 +70,7 @@
             try:
                 await self._send(batch)
                 tries = 0
-            except (RequestNotSent, NoResponse, Malformed) as error:
+            except (RequestNotSentError, NoResponseError, MalformedError) as error:
                 log.debug("event=peer_failed peer=%s why=%s", self.peer, error)
                 names = sorted(
                     {
@@ -111,7 +111,7 @@
             constants.PEER_BODY_BYTES,
         )
         if status != 200:
-            raise NoResponse(f"status {status}")
+            raise NoResponseError(f"status {status}")
         reply = decode_answer(answer)
         if reply.incarnation != self.incarnation:
             self.incarnation = reply.incarnation
--- a/oakmux/transport/request_router.py
+++ b/oakmux/transport/request_router.py
@@ -6,7 +6,7 @@
 
 from oakmux import constants
 from oakmux.codec.answers import answer_body
-from oakmux.codec.cbor import Malformed, decode, encode
+from oakmux.codec.cbor import MalformedError, decode, encode
 from oakmux.codec.peers import PATH_PEERS, decode_batch
 from oakmux.codec.users import (
     CANCEL_SUFFIX,
@@ -129,20 +129,20 @@
         try:
             value = decode(request.body)
             job_id = parse_job_id(value)
-        except Malformed as error:
+        except MalformedError as error:
             self.refuse(request, 400, str(error))
             return
         spec, reason = None, ""
         try:
             spec = parse_job(value)
-        except Malformed as error:
+        except MalformedError as error:
             reason = str(error)
         self._queue(request, messages.SubmitJob(request, job_id, spec, reason))
 
     def _heartbeat(self, request: Request) -> None:
         try:
             heartbeat = parse_heartbeat(decode(request.body))
-        except Malformed as error:
+        except MalformedError as error:
             self.refuse(request, 400, str(error))
             return
         self._queue(request, messages.ReceiveHeartbeat(request, heartbeat))
@@ -157,7 +157,7 @@
             return
         try:
             batch = decode_batch(request.body)
-        except Malformed as error:
+        except MalformedError as error:
             self.refuse(request, 400, str(error))
             return
         self._queue(
--- a/oakmux/transport/store_client.py
+++ b/oakmux/transport/store_client.py
@@ -7,7 +7,7 @@
 from urllib.parse import quote
 
 from oakmux import constants
-from oakmux.codec.cbor import Malformed, decode, encode
+from oakmux.codec.cbor import MalformedError, decode, encode
 from oakmux.codec.store import (
     PATH_ITEMS,
     PATH_LEASES,
@@ -28,7 +28,7 @@
 from oakmux.core.state.formats import value_bytes
 from oakmux.core.state.keys import PREFIX
 from oakmux.settings import Settings
-from oakmux.transport.http_client import Client, NoResponse, RequestNotSent
+from oakmux.transport.http_client import Client, NoResponseError, RequestNotSentError
 from oakmux.transport.operation_queue import (
     OperationQueue,
     QueuedOperation,
@@ -178,9 +178,9 @@
         kind = type(operation).__name__
         try:
             status, result = await self._handlers[type(operation)](operation)
-        except RequestNotSent:
+        except RequestNotSentError:
             status, result = 503, None
-        except (NoResponse, Malformed) as error:
+        except (NoResponseError, MalformedError) as error:
             log.info("event=store_no_response kind=%s why=%s", kind, error)
             status, result = 0, None
         except Exception:
@@ -276,7 +276,7 @@
                 if status == REVISION_COMPACTED:
                     revision = None
                     continue
-            except (RequestNotSent, NoResponse, Malformed) as error:
+            except (RequestNotSentError, NoResponseError, MalformedError) as error:
                 log.debug("event=watch_failed why=%s", error)
             except Exception:
                 log.exception("event=watch_failed")
@@ -320,7 +320,7 @@
                 path += f"&since={quote(since)}"
             status, answer = await self._rate_limited_get(path, 2 * constants.STORE_TIMEOUT_S)
             if status != 200:
-                raise NoResponse(f"status {status}")
+                raise NoResponseError(f"status {status}")
             page = parse_item_page(answer)
             items += page.items
             if first_revision is None:
--- a/oakmux/transport/worker_client.py
+++ b/oakmux/transport/worker_client.py
@@ -4,11 +4,11 @@
 from collections.abc import Callable
 
 from oakmux import constants
-from oakmux.codec.cbor import Malformed, decode, encode
+from oakmux.codec.cbor import MalformedError, decode, encode
 from oakmux.codec.workers import PATH_COMMANDS, commands_body, parse_heartbeat
 from oakmux.core import messages
 from oakmux.core.model import CommandOutcome, Heartbeat
-from oakmux.transport.http_client import Client, NoResponse, RequestNotSent
+from oakmux.transport.http_client import Client, NoResponseError, RequestNotSentError
 
 log = logging.getLogger("oakmux.workers")
 
@@ -29,9 +29,9 @@
         try:
             body = commands_body(effect.fencing_token, effect.agent_epoch, effect.commands)
             outcome, heartbeat = await self._request(addr, encode(body))
-        except (RequestNotSent, ValueError):  # ValueError: the worker gave no usable address
+        except (RequestNotSentError, ValueError):  # ValueError: the worker gave no usable address
             outcome = CommandOutcome.UNSENT
-        except (NoResponse, Malformed) as error:
+        except (NoResponseError, MalformedError) as error:
             log.info("event=worker_commands_lost addr=%s why=%s", addr, error)
         except Exception:
             log.exception("event=worker_commands_failed addr=%s", addr)
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -56,7 +56,7 @@
     core = next(c for c in sim.cores.values() if c.agents.workers.tracked)
     term = core.context.term
     name, machine = next(
-        (n, m) for n, m in core.context.machines.items() if m.manager == core.context.label
+        (n, m) for n, m in core.context.machines.items() if m.manager == core.context.controller_id
     )
     core.agents.workers.tracked[name].unresolved_starts[("job-5/0", 1)] = term
     core.agents.commands._commands_answered(name, [("job-5/0", 1)], term, "lost", None)
--- a/tests/test_message_validation.py
+++ b/tests/test_message_validation.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from oakmux.codec.cbor import Malformed
+from oakmux.codec.cbor import MalformedError
 from oakmux.codec.users import parse_job, parse_job_id
 from oakmux.codec.workers import parse_heartbeat
 from tests.helpers.samples import GOOD
@@ -47,13 +47,13 @@
     ],
 )
 def test_an_invalid_field_is_malformed(field, value):
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedError):
         parse_job({**GOOD, field: value})
 
 
 @pytest.mark.parametrize("job_id", ["job-", "job-1x", "JOB-1", "job-1/2", 7, None, "job-1\n"])
 def test_an_invalid_job_id_is_malformed(job_id):
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedError):
         parse_job_id({**GOOD, "id": job_id})
 
 
@@ -86,5 +86,5 @@
     ],
 )
 def test_an_invalid_heartbeat_is_malformed(field, value):
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedError):
         parse_heartbeat({**HEARTBEAT, field: value})
--- a/tools/capacity/measurements.py
+++ b/tools/capacity/measurements.py
@@ -58,7 +58,8 @@
 
     def points(self) -> list[Point]:
         """Measure all sizes, each run in a process of its own: memory freed by one run would
-        hide what the next one takes."""
+        hide what the next one takes.
+        """
         context = multiprocessing.get_context("fork")
         found = []
         for size in self.sizes:
@@ -273,7 +274,8 @@
 
 def alike_starts(offered: float) -> float:
     """Starts a second that are reached, of so many jobs of one task that come a second: the mean
-    of the last ten seconds of twenty in which they come."""
+    of the last ten seconds of twenty in which they come.
+    """
     cell = Cell(430, run_s=5.0)
     cell.run(4.0)
     made = [cpu_job(team, 1, 5.0) for team in team_names(4)]
--- a/tools/capacity/scale_series.py
+++ b/tools/capacity/scale_series.py
@@ -75,7 +75,8 @@
 
 def scale_series(paths: list[Path], workers: float, measured: str) -> list[Series]:
     """Return the series of runs of one configuration at several fractions; `workers` is the
-    whole's. A run that was not complete, or broke a rule, is refused."""
+    whole's. A run that was not complete, or broke a rule, is refused.
+    """
     reports = sorted((read_report(path) for path in paths), key=lambda row: row.fraction)
     for report in reports:
         if not report.complete or any(report.rules.values()):
--- a/tools/capacity/series.py
+++ b/tools/capacity/series.py
@@ -31,7 +31,8 @@
 
 class Fit(msgspec.Struct, frozen=True):
     """The least-squares line through a series, and its largest distance from a point as a share
-    of the series' largest value."""
+    of the series' largest value.
+    """
 
     slope: float
     intercept: float
--- a/tools/capacity/size.py
+++ b/tools/capacity/size.py
@@ -61,7 +61,8 @@
 
     def grown(self, factor: float) -> "Size":
         """Return this size with all load and all machines multiplied; what the deployment is
-        built of (teams, regions, zones, controllers) and the budgets stay."""
+        built of (teams, regions, zones, controllers) and the budgets stay.
+        """
         target = self.target
         return msgspec.structs.replace(
             self,
--- a/tools/capacity/table.py
+++ b/tools/capacity/table.py
@@ -71,7 +71,8 @@
 
     def wall(self, size: Size, fits: dict[str, Fit]) -> float | None:
         """Return the multiple of the size at which the budget is met; None without a budget or
-        beyond FURTHEST."""
+        beyond FURTHEST.
+        """
         budget = self.limit(size, fits)
         if budget is None:
             return None
--- a/tools/cost.py
+++ b/tools/cost.py
@@ -247,7 +247,8 @@
 
 def waiting(machines: int, jobs: int, ticks: int, seed: int) -> HdrHistogram:
     """Ticks while jobs wait, all machines are full, the cloud has no more and nothing changes; the
-    fleet's pass that comes once a second and the looks of the safety net are counted."""
+    fleet's pass that comes once a second and the looks of the safety net are counted.
+    """
     bench = Bench(machines, False, seed)
     bench.fill()
     bench.submit(jobs)
@@ -284,7 +285,8 @@
 
 def load(records: int, seed: int) -> tuple[float, float]:
     """Return the seconds in which a controller takes a list of all records, as after its start,
-    and the megabytes that it holds them in: of ten jobs nine are over, one has 35 tasks bound."""
+    and the megabytes that it holds them in: of ten jobs nine are over, one has 35 tasks bound.
+    """
     rng = random.Random(seed)
     rows: list[tuple[str, Any, int]] = []
     for number in range(records):
--- a/tools/regress.py
+++ b/tools/regress.py
@@ -170,7 +170,8 @@
 
 def newest(journal: Path, since: set[str] = frozenset()) -> list[dict[str, Any]]:  # type: ignore[assignment]
     """Return the newest score of each site and kind of run, and every newer hunt or real run
-    whose file's name is not in `since`."""
+    whose file's name is not in `since`.
+    """
     latest: dict[tuple, dict[str, Any]] = {}
     for path in sorted(journal.glob("*.json")):
         if path.name in since:
@@ -288,7 +289,8 @@
 @click.pass_obj
 def full(obj: tuple, why: str, days: int) -> None:
     """Play all sites in full, then hunt where two troubles meet, on fleet and ops, as at every
-    third landing."""
+    third landing.
+    """
     kit = _kit(obj)
     hunts = [
         ["hunt", site, "--days", str(days), "--why", why]
--- a/tools/scale/cloud.py
+++ b/tools/scale/cloud.py
@@ -1,5 +1,6 @@
 """The cloud as a process: rents hollow machines, lists them late, lets racks and zones fail; also
-the hub where gangs' tasks find each other."""
+the hub where gangs' tasks find each other.
+"""
 
 import asyncio
 import random
@@ -9,7 +10,7 @@
 
 from oakmux.codec.cbor import decode, encode
 from oakmux.codec.cloud import PATH_CATALOGUE, PATH_INSTANCES, PATH_RETURN
-from oakmux.transport.http_client import Client, NoResponse, RequestNotSent
+from oakmux.transport.http_client import Client, NoResponseError, RequestNotSentError
 from oakmux.transport.http_server import Request
 from oakmux.transport.rate_limit import TokenBucket
 from tools.scale.config import RunConfig
@@ -168,7 +169,7 @@
             await self.client.request(
                 self.plan.hollow[process], "POST", "/machines", encode(order), HOLLOW_S
             )
-        except (RequestNotSent, NoResponse) as error:
+        except (RequestNotSentError, NoResponseError) as error:
             self.counts[f"hollow process {process}: {error}"] += 1
 
     async def _remove(self, boxes: list[Box]) -> None:
--- a/tools/scale/hollow.py
+++ b/tools/scale/hollow.py
@@ -8,9 +8,9 @@
 from hdrh.histogram import HdrHistogram
 
 from oakmux import settings
-from oakmux.codec.cbor import Malformed, decode, encode
+from oakmux.codec.cbor import MalformedError, decode, encode
 from oakmux.codec.workers import PATH_COMMANDS, PATH_HEARTBEAT
-from oakmux.transport.http_client import Client, NoResponse, RequestNotSent
+from oakmux.transport.http_client import Client, NoResponseError, RequestNotSentError
 from oakmux.transport.http_server import Request
 from tools.scale.gangs import GangEvent, GangOrder
 from tools.scale.histograms import new_histogram, record_s
@@ -81,7 +81,7 @@
             )
             process.counts["answer_bytes"] += len(data)
             value = decode(data) if data else {}
-        except (RequestNotSent, NoResponse, Malformed):
+        except (RequestNotSentError, NoResponseError, MalformedError):
             process.counts["reports_unanswered"] += 1
         if self.gone:
             return
@@ -257,7 +257,7 @@
                 _, data = await self.hub.request(
                     self.plan.cloud, "POST", "/gangs", body, ANSWER_S, 4 * 1024 * 1024
                 )
-            except (RequestNotSent, NoResponse):
+            except (RequestNotSentError, NoResponseError):
                 self.gang_events = events + self.gang_events
                 continue
             for row in decode(data)["orders"]:
--- a/tools/scale/jobs.py
+++ b/tools/scale/jobs.py
@@ -108,7 +108,8 @@
 
 def team_limits(config: RunConfig) -> list[float]:
     """Return the most CPUs that each team may use: twice its even part of all machines, and of a
-    hot team what its share of the starts needs as well."""
+    hot team what its share of the starts needs as well.
+    """
     total = config.sizes.workers * config.machines.cpus
     even = 2 * total / config.sizes.teams
     limits = [min(total, even)] * config.sizes.teams
--- a/tools/scale/ledger.py
+++ b/tools/scale/ledger.py
@@ -199,7 +199,8 @@
 
     def waits(self, kind: Kind, whole: bool) -> list[float]:
         """Return how long the jobs of a kind waited for their first task, or for all of them, in
-        seconds from when users first asked."""
+        seconds from when users first asked.
+        """
         found = []
         for job_id, times in self.begun.items():
             job = parse_job(job_id)
--- a/tools/scale/processes.py
+++ b/tools/scale/processes.py
@@ -31,7 +31,8 @@
 
 def end_with_parent(parent: int) -> None:
     """Run in the child before it becomes the program: it ends when the run does, also if that
-    ended before the kernel was asked to see to it."""
+    ended before the kernel was asked to see to it.
+    """
     LIBC.prctl(PDEATHSIG, signal.SIGKILL)
     if os.getppid() != parent:
         os._exit(1)
--- a/tools/scale/report.py
+++ b/tools/scale/report.py
@@ -16,7 +16,8 @@
 
 class Role(msgspec.Struct, frozen=True):
     """What the processes of a role used while the load lasted: cores (mean of all, busiest second
-    of one), MB and sockets (most of one), how many processes."""
+    of one), MB and sockets (most of one), how many processes.
+    """
 
     processes: int
     cores: float
--- a/tools/scale/runner.py
+++ b/tools/scale/runner.py
@@ -11,7 +11,7 @@
 
 from oakmux.codec.cbor import encode
 from oakmux.codec.users import PATH_HEALTH
-from oakmux.transport.http_client import Client, NoResponse, RequestNotSent
+from oakmux.transport.http_client import Client, NoResponseError, RequestNotSentError
 from tools.scale.config import RunConfig, Trouble
 from tools.scale.plan import Plan, make_plan
 from tools.scale.processes import (
@@ -121,7 +121,7 @@
     async def _healthy(self, address: str) -> bool:
         try:
             status, _ = await self.client.request(address, "GET", PATH_HEALTH, b"", 1.0)
-        except (RequestNotSent, NoResponse):
+        except (RequestNotSentError, NoResponseError):
             return False
         return status == 200
 
@@ -229,7 +229,7 @@
         body = encode(msgspec.to_builtins(trouble))
         try:
             await self.client.request(address, "POST", path, body, CONTROL_S)
-        except (RequestNotSent, NoResponse) as error:
+        except (RequestNotSentError, NoResponseError) as error:
             self.say(f"trouble {trouble.kind} not brought about: {error}")
 
 
--- a/tools/scale/state_service.py
+++ b/tools/scale/state_service.py
@@ -5,7 +5,7 @@
 from functools import partial
 from urllib.parse import parse_qs, unquote, urlsplit
 
-from oakmux.codec.cbor import Malformed, decode
+from oakmux.codec.cbor import MalformedError, decode
 from oakmux.codec.store import PATH_ITEMS, PATH_LEASES, PATH_TRANSACTIONS, PATH_WATCH
 from oakmux.transport.http_server import Request
 from tools.scale.plan import Plan
@@ -130,7 +130,7 @@
             self._route(label, request, now)
         except Refused as refusal:
             answer(request, refusal.status, refusal.body)
-        except (KeyError, TypeError, ValueError, Malformed) as error:
+        except (KeyError, TypeError, ValueError, MalformedError) as error:
             answer(request, 400, {"error": repr(error)})
 
     def _route(self, label: str, request: Request, now: float) -> None:
--- a/tools/scale/users.py
+++ b/tools/scale/users.py
@@ -6,9 +6,9 @@
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
-from oakmux.codec.cbor import Malformed, decode, encode
+from oakmux.codec.cbor import MalformedError, decode, encode
 from oakmux.codec.users import CANCEL_SUFFIX, PATH_HEALTH, PATH_JOBS
-from oakmux.transport.http_client import Client, NoResponse, RequestNotSent
+from oakmux.transport.http_client import Client, NoResponseError, RequestNotSentError
 from tools.scale.config import RunConfig
 from tools.scale.histograms import new_histogram, record_s
 from tools.scale.jobs import Job, Kind, submission
@@ -122,7 +122,7 @@
     async def _probe(self, node: str) -> None:
         try:
             status, _ = await self.client.request(node, "GET", PATH_HEALTH, b"", 1.0)
-        except (RequestNotSent, NoResponse):
+        except (RequestNotSentError, NoResponseError):
             status = 0
         self.failed[node] = 0 if status == 200 else self.failed.get(node, 0) + 1
 
@@ -262,7 +262,7 @@
                 self.balancer.choose(), method, path, body, timeout
             )
             value = decode(data) if data else {}
-        except (RequestNotSent, NoResponse, Malformed):
+        except (RequestNotSentError, NoResponseError, MalformedError):
             status, value = 0, {}
         self.counts[f"{name} {status}"] += 1
         if status in final:
--- a/tools/spread.py
+++ b/tools/spread.py
@@ -100,7 +100,8 @@
 
     def served(self) -> Iterator[tuple[str, int, int, float]]:
         """Yield (group, jobs, of these begun in time, longest wait in s) of classes, teams, and
-        the largest jobs of each class, but for what was cancelled or came too late to judge."""
+        the largest jobs of each class, but for what was cancelled or came too late to judge.
+        """
         groups: dict[str, list[str]] = defaultdict(list)
         due = {job: self.accepted[job] + constants.START_LIMIT_S for job in self.jobs}
         jobs = [job for job in self.jobs if self.cancelled.get(job, self.last) >= due[job]]
