--- a/oakmux/codec/peers.py
+++ b/oakmux/codec/peers.py
@@ -52,7 +52,7 @@
     until: int = -1
 
 
-def encode_message(message: PeerMessage) -> list:
+def encode_message(message: PeerMessage) -> list[Any]:
     """Return a message as it is on the wire."""
     row = [message.TAG, *msgspec.structs.astuple(message)]
     if isinstance(message, peer_messages.Reserve) and not message.preempt:
--- a/oakmux/core/agents/heartbeats.py
+++ b/oakmux/core/agents/heartbeats.py
@@ -201,7 +201,9 @@
         note_task_results(context, machine, before)
 
 
-def note_task_results(context: Context, machine: Machine, before: dict[Task, tuple]) -> None:
+def note_task_results(
+    context: Context, machine: Machine, before: dict[Task, tuple[str, str, bool]]
+) -> None:
     """Update images, failures, run times and idleness of a machine by its tasks' status."""
     live = []
     for task, (state, why, _) in machine.tasks.items():
--- a/oakmux/core/agents/worker_commands.py
+++ b/oakmux/core/agents/worker_commands.py
@@ -1,7 +1,7 @@
 """Reconciliation: commands that bring a worker's tasks in line with the records."""
 
 from collections.abc import Callable
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 from oakmux import constants
 from oakmux.codec.workers import command_body
@@ -21,7 +21,7 @@
 class CommandBatch(NamedTuple):
     """Commands for one worker, and the tasks that they start."""
 
-    commands: list[dict]
+    commands: list[dict[str, Any]]
     starts: list[Task]
 
 
@@ -119,7 +119,7 @@
 
     def stop_cancelled(
         self, tracked: TrackedWorker, machine: Machine, excluded: set[Task]
-    ) -> list[dict]:
+    ) -> list[dict[str, Any]]:
         """Return stops of all other tasks of cancelled jobs on a machine (R ran_cancelled).
 
         Our records may lack their bindings: they were made after the store had refused us, and the
@@ -128,7 +128,7 @@
         worker's lease is renewed all the while. Stopping a cancelled task does no harm, whichever
         controller may command the worker besides.
         """
-        commands: list[dict] = []
+        commands: list[dict[str, Any]] = []
         for task, state in machine.tasks.items():
             job_id = task[0].partition("/")[0]
             if (
@@ -227,7 +227,7 @@
         self,
         tracked: TrackedWorker,
         machine: Machine,
-        commands: list[dict],
+        commands: list[dict[str, Any]],
         task: Task,
         state: str,
         job: Job | None,
@@ -245,7 +245,7 @@
         self,
         tracked: TrackedWorker,
         machine: Machine,
-        commands: list[dict],
+        commands: list[dict[str, Any]],
         bound_tasks: set[Task],
     ) -> None:
         """End tasks without a binding: let the worker forget exited ones, stop the others."""
--- a/oakmux/service.py
+++ b/oakmux/service.py
@@ -8,7 +8,7 @@
 import sys
 import time
 from collections.abc import Callable, Coroutine, Sequence
-from typing import Protocol
+from typing import Any, Protocol
 
 import msgspec
 
@@ -58,7 +58,7 @@
         )
         self.commands: list[Command] = []
         self.scheduled = False
-        self.tasks: set[asyncio.Task] = set()
+        self.tasks: set[asyncio.Task[None]] = set()
         self.front = RequestRouter(self.offer)
         for plugin in plugins:
             self.front.prefix_routes.update(plugin.paths(self.offer))
@@ -127,7 +127,7 @@
         if lent and effect.controller_id in self.peers:
             self.peers[effect.controller_id].send(LendChanges(lent))
 
-    def spawn(self, work: Coroutine) -> None:
+    def spawn(self, work: Coroutine[Any, Any, None]) -> None:
         """Run something in the background and keep it from being collected."""
         task = self.loop.create_task(work)
         self.tasks.add(task)
--- a/oakmux/transport/http_client.py
+++ b/oakmux/transport/http_client.py
@@ -29,7 +29,7 @@
         self.limit = limit
         self.transport: Any = None
         self.parser: Any = None
-        self.waiter: asyncio.Future | None = None
+        self.waiter: asyncio.Future[tuple[int, bytes]] | None = None
         self.chunks: list[bytes] = []
         self.size = 0
         self.usable = True
@@ -71,7 +71,7 @@
         self.usable = self.usable and self.parser.should_keep_alive()
         self.waiter.set_result((self.parser.get_status_code(), b"".join(self.chunks)))
 
-    def start(self, data: bytes) -> asyncio.Future:
+    def start(self, data: bytes) -> asyncio.Future[tuple[int, bytes]]:
         """Send one request; the future brings (status, body)."""
         self.parser = httptools.HttpResponseParser(self)
         self.chunks, self.size = [], 0
--- a/oakmux/transport/request_router.py
+++ b/oakmux/transport/request_router.py
@@ -2,7 +2,7 @@
 
 import logging
 from collections.abc import Callable
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 from oakmux import constants
 from oakmux.codec.answers import answer_body
@@ -59,7 +59,7 @@
             constants.RETRY_AFTER_S if status == 503 else None,
         )
 
-    def answer(self, request: Request, status: int, answer: tuple) -> None:
+    def answer(self, request: Request, status: int, answer: tuple[Any, ...]) -> None:
         """Send the core's answer to a request."""
         request.respond(
             status,
--- a/oakmux/transport/store_client.py
+++ b/oakmux/transport/store_client.py
@@ -65,7 +65,7 @@
         self.watch_gap = max(
             constants.WATCH_MIN_INTERVAL_S, 1.0 / (limits.rps * share * constants.WATCH_RATE_SHARE)
         )
-        self.tasks: set[asyncio.Task] = set()
+        self.tasks: set[asyncio.Task[None]] = set()
         self.refused: set[tuple[int, str]] = set()
         self._handlers: dict[
             type[messages.StoreOperation], Callable[[Any], Awaitable[tuple[int, Any]]]
@@ -217,7 +217,7 @@
             self._log_refusal(status, guards, writes, answer)
         return (status if status == 400 else 503 if status in (429, 503) else 0), None
 
-    def _log_refusal(self, status: int, guards: list, writes: list, answer: Any) -> None:
+    def _log_refusal(self, status: int, guards: list[Any], writes: list[Any], answer: Any) -> None:
         """Log once a key that a transaction was refused; values are the users' and not logged."""
         key = writes[0][0] if writes else guards[0][0] if guards else "none"
         if (status, key) in self.refused or len(self.refused) >= constants.MAX_REMEMBERED:
