--- a/oakmux/core/autoscaling/consolidation.py
+++ b/oakmux/core/autoscaling/consolidation.py
@@ -140,7 +140,7 @@
                 machine.idle_since is None
                 and spec.image in machine.images
                 and fits_resources(free[slot.name], spec)
-                and self.context.fits(spec, machine)
+                and self.context.is_eligible(spec, machine)
                 and zone_allowed(spec, zones, slot.kind.zone)
             ):
                 return slot
--- a/oakmux/core/context.py
+++ b/oakmux/core/context.py
@@ -175,7 +175,7 @@
         """Return the nominal seconds in which a machine fetches the job's image."""
         return spec.image_gb / (self.types[type_name].fetch_gb_per_s or 1.0)
 
-    def fits(self, spec: JobSpec, machine: Machine) -> bool:
+    def is_eligible(self, spec: JobSpec, machine: Machine) -> bool:
         """Whether a task of the job may run on this machine if it is empty."""
         return (
             self.fits_type(spec, machine.type)
--- a/oakmux/core/scheduling/binding.py
+++ b/oakmux/core/scheduling/binding.py
@@ -141,7 +141,7 @@
             machine.agent_epoch != offer.agent_epoch
             or not is_schedulable(context, machine)
             or machine.name in state.excluded_machines
-            or not context.fits(job.spec, machine)
+            or not context.is_eligible(job.spec, machine)
             or context.now < state.retry_at
         ):
             return False
--- a/tests/test_machine_index.py
+++ b/tests/test_machine_index.py
@@ -168,7 +168,7 @@
         m.name
         for m in context.machines.values()
         if is_schedulable(context, m)
-        and context.fits(job, m)
+        and context.is_eligible(job, m)
         and m.zone in zones
         and m.name != "m5"
         and fits_resources(free_resources(context, m), job)
