--- a/oakmux/codec/cbor.py
+++ b/oakmux/codec/cbor.py
@@ -25,7 +25,7 @@
 
 
 def decode(body: bytes) -> Any:
-    """Decode a body; raises Malformed."""
+    """Decode a body; raises MalformedError."""
     try:
         return cbor2.loads(body)
     except Exception as error:  # the decoder raises many kinds for hostile bytes
--- a/oakmux/codec/cloud.py
+++ b/oakmux/codec/cloud.py
@@ -22,7 +22,7 @@
 
 
 def parse_catalogue(answer: Any) -> list[MachineType]:
-    """Return the cloud's machine types; raises Malformed."""
+    """Return the cloud's machine types; raises MalformedError."""
     try:
         return [_parse_machine_type(row) for row in answer["flavours"]]
     except (TypeError, KeyError, ValueError):
@@ -63,7 +63,7 @@
 
 
 def parse_rental(answer: Any) -> list[str]:
-    """Return the names of the rented instances; raises Malformed."""
+    """Return the names of the rented instances; raises MalformedError."""
     try:
         return [str(name) for name in answer["boxes"]]
     except (TypeError, KeyError):
@@ -71,7 +71,7 @@
 
 
 def parse_instance_page(answer: Any) -> InstancePage:
-    """Read a page of the list of instances; raises Malformed."""
+    """Read a page of the list of instances; raises MalformedError."""
     try:
         instances = [_parse_instance(row) for row in answer["boxes"]]
         return InstancePage(instances, bool(answer["has_next"]))
--- a/oakmux/codec/peers.py
+++ b/oakmux/codec/peers.py
@@ -61,7 +61,7 @@
 
 
 def decode_message(row: Sequence[Any]) -> PeerMessage:
-    """Return the message of a row; raises Malformed."""
+    """Return the message of a row; raises MalformedError."""
     try:
         return _TYPES[row[0]](*row[1:])
     except (IndexError, KeyError, TypeError) as error:
@@ -74,7 +74,7 @@
 
 
 def decode_batch(body: bytes) -> MessageBatch:
-    """Return the messages of a request; raises Malformed.
+    """Return the messages of a request; raises MalformedError.
 
     A single message that can't be read, such as one of a later version, is logged and left out.
     """
@@ -92,7 +92,7 @@
 
 
 def decode_answer(body: bytes) -> PeerAnswer:
-    """Return a peer's answer; raises Malformed."""
+    """Return a peer's answer; raises MalformedError."""
     try:
         return msgspec.convert(decode(body), PeerAnswer)
     except msgspec.ValidationError as error:
--- a/oakmux/codec/store.py
+++ b/oakmux/codec/store.py
@@ -69,7 +69,7 @@
 
 
 def parse_transaction_result(answer: Any) -> TransactionResult:
-    """Read the answer to a transaction; raises Malformed."""
+    """Read the answer to a transaction; raises MalformedError."""
     try:
         failed_keys = [str(key) for key in answer.get("failed", ())]
         return TransactionResult(int(answer["epoch"]), failed_keys)
@@ -78,7 +78,7 @@
 
 
 def parse_item_page(answer: Any) -> ItemPage:
-    """Read a page of a list; raises Malformed."""
+    """Read a page of a list; raises MalformedError."""
     try:
         items = [(row["path"], row["v"], row["stamp"]) for row in answer["rows"]]
         return ItemPage(items, bool(answer["has_next"]), int(answer["epoch"]))
@@ -87,7 +87,7 @@
 
 
 def parse_value(answer: Any) -> VersionedValue:
-    """Read the answer to a read of one key; raises Malformed."""
+    """Read the answer to a read of one key; raises MalformedError."""
     try:
         return VersionedValue(answer["v"], int(answer["stamp"]))
     except (TypeError, KeyError, ValueError):
@@ -95,7 +95,7 @@
 
 
 def parse_watch_events(answer: Any) -> WatchEvents:
-    """Read the answer to a watch; raises Malformed."""
+    """Read the answer to a watch; raises MalformedError."""
     try:
         events: list[Item] = []
         for event in answer["events"]:
@@ -109,7 +109,7 @@
 
 
 def parse_missing_key(answer: Any) -> int:
-    """Return the revision at which a read found no such key; raises Malformed."""
+    """Return the revision at which a read found no such key; raises MalformedError."""
     return parse_transaction_result(answer).revision
 
 
@@ -119,7 +119,7 @@
 
 
 def parse_lease(answer: Any) -> int:
-    """Return the lease that was granted; raises Malformed."""
+    """Return the lease that was granted; raises MalformedError."""
     try:
         return int(answer["permit"])
     except (TypeError, KeyError, ValueError):
--- a/oakmux/codec/users.py
+++ b/oakmux/codec/users.py
@@ -153,7 +153,7 @@
 
 
 def parse_job_id(value: Any) -> str:
-    """Return the job id of a submission; raises Malformed."""
+    """Return the job id of a submission; raises MalformedError."""
     if not isinstance(value, dict):
         raise MalformedError("not a map")
     job_id = value.get("id")
@@ -163,7 +163,7 @@
 
 
 def parse_job(value: dict[str, Any]) -> JobSpec:
-    """Return the job that a submission describes; raises Malformed with a short reason."""
+    """Return the job that a submission describes; raises MalformedError with a short reason."""
     submission = _read_submission(value)
     for field, accepts, reason in _CHECKS:
         if not accepts(getattr(submission, field)):
--- a/oakmux/codec/workers.py
+++ b/oakmux/codec/workers.py
@@ -82,7 +82,7 @@
 
 
 def parse_heartbeat(value: Any) -> Heartbeat:
-    """Check a worker's heartbeat; raises Malformed."""
+    """Check a worker's heartbeat; raises MalformedError."""
     try:
         body = msgspec.convert(value, _HeartbeatBody)
     except (msgspec.ValidationError, TypeError, OverflowError) as error:
--- a/oakmux/schedules/dav/tokens.py
+++ b/oakmux/schedules/dav/tokens.py
@@ -67,7 +67,7 @@
 
 
 def load(path: str) -> Tokens:
-    """Read a file of tokens: TEAM SALT HASH a line, # for comments; raises BadTokens."""
+    """Read a file of tokens: TEAM SALT HASH a line, # for comments; raises TokenFileError."""
     try:
         lines = Path(path).read_text(encoding="utf-8").splitlines()
     except (OSError, UnicodeDecodeError) as error:
--- a/oakmux/schedules/firings.py
+++ b/oakmux/schedules/firings.py
@@ -65,7 +65,7 @@
 
 
 def cron_rule(text: str, zone: str) -> Rule:
-    """Return the rule of a cron expression or alias; raises BadRule."""
+    """Return the rule of a cron expression or alias; raises RuleError."""
     fields = ALIASES.get(text.strip().lower(), text).split()
     if fields == ["@reboot"]:
         raise RuleError("@reboot: nothing is booted here; submit a job instead")
@@ -171,7 +171,7 @@
 
 
 def check_recurrence(text: str, start: int) -> None:
-    """Refuse a RRULE that we can't keep; raises BadRule."""
+    """Refuse a RRULE that we can't keep; raises RuleError."""
     if not text:
         return
     parts = _parts(text)
@@ -201,7 +201,7 @@
 
 
 def _parts(text: str) -> dict[str, str]:
-    """Return the parts of a RRULE; raises BadRule."""
+    """Return the parts of a RRULE; raises RuleError."""
     parts = {}
     for part in text.upper().split(";"):
         match = RULE_PART.match(part)
--- a/oakmux/schedules/templates.py
+++ b/oakmux/schedules/templates.py
@@ -22,7 +22,7 @@
 
 
 def from_steps(rows: Any, team: str) -> Template:
-    """Return a template from rows of [name, submission, needed names]; raises BadTemplate.
+    """Return a template from rows of [name, submission, needed names]; raises TemplateError.
 
     A step may wait only on steps before it, so that no chain can come back to itself.
     """
@@ -65,7 +65,7 @@
 
 
 def check(context: Context, template: Template) -> None:
-    """Refuse a template that could never run here; raises BadTemplate.
+    """Refuse a template that could never run here; raises TemplateError.
 
     The firing's record and all its jobs go into one transaction; should earlier jobs have to give
     way, so do their cancellations.
--- a/oakmux/schedules/zones.py
+++ b/oakmux/schedules/zones.py
@@ -15,7 +15,7 @@
 
 @lru_cache(maxsize=constants.CACHED_TIME_ZONES)
 def zone(name: str) -> tzinfo:
-    """Return the time zone of a name like `Africa/Nairobi`; raises UnknownZone."""
+    """Return the time zone of a name like `Africa/Nairobi`; raises UnknownZoneError."""
     if name == "UTC":
         return UTC
     try:
--- a/oakmux/transport/http_client.py
+++ b/oakmux/transport/http_client.py
@@ -146,8 +146,8 @@
             limit: Size of the largest accepted response body, in bytes.
 
         Raises:
-            RequestNotSent: No connection came about.
-            NoResponse: The response is missing, late or malformed.
+            RequestNotSentError: No connection came about.
+            NoResponseError: The response is missing, late or malformed.
             ValueError: The address is not one.
         """
         data = (
