--- a/oakmux/core/agents/cancellation_log.py
+++ b/oakmux/core/agents/cancellation_log.py
@@ -105,7 +105,7 @@
                     -constants.CANCELLATIONS_SENT_UNASKED :
                 ]
             ], -1
-        found = self.context.replica.cancellations.since(since)
+        found = self.context.replica.cancellations.cancelled_after(since)
         return ([], -1) if found is None else (found, self.context.replica.revision)
 
     def peer_answered(self, answer: PeerAnswered) -> None:
--- a/oakmux/core/agents/reservation_queue.py
+++ b/oakmux/core/agents/reservation_queue.py
@@ -186,7 +186,7 @@
             # By the age of the job, not of the reservation: of two gangs that wait for the same
             # machines, one must come first at all of them.
             rank = queue_rank(context, job, spec, usage)
-            ranked.append(RankedReservation(rank, job.since, job.id, reservation, job, spec))
+            ranked.append(RankedReservation(rank, job.eligible_ms, job.id, reservation, job, spec))
         ranked.sort(key=lambda row: row[:3])
         return ranked
 
--- a/oakmux/core/agents/worker_commands.py
+++ b/oakmux/core/agents/worker_commands.py
@@ -189,7 +189,7 @@
         if context.now - tracked.delayed_since.setdefault(task, context.now) >= patience:
             return False
         for block in job.blocks.values():
-            for index, other in block.bound.items():
+            for index, other in block.bindings.items():
                 if other.attempt != binding.attempt or other.machine == machine.name:
                     continue
                 other_machine = context.machines.get(other.machine)
--- a/oakmux/core/api/answers.py
+++ b/oakmux/core/api/answers.py
@@ -64,7 +64,7 @@
         machines = self.context.machines
         running = 0
         for block in job.blocks.values():
-            for index, binding in block.bound.items():
+            for index, binding in block.bindings.items():
                 machine = machines.get(binding.machine)
                 task = (f"{job.id}/{index}", binding.attempt)
                 if machine is not None and machine.tasks.get(task, ("",))[0] == RUNNING:
--- a/oakmux/core/api/cancellation.py
+++ b/oakmux/core/api/cancellation.py
@@ -121,4 +121,4 @@
 
 
 def _cancelled_value(job: Job) -> list[Any]:
-    return encode_job("cancelled", job.team, job.spec, job.order, job.tasks)
+    return encode_job("cancelled", job.team, job.spec, job.submitted_ms, job.tasks)
--- a/oakmux/core/autoscaling/scale_out.py
+++ b/oakmux/core/autoscaling/scale_out.py
@@ -62,7 +62,7 @@
             and job.spec is not None
             and not job.final
             and job.ready
-            and job.unbound() > 0
+            and job.unbound_count() > 0
         ):
             self.queues.put(job, job.spec)
         else:
@@ -109,7 +109,7 @@
         *_, job_id = queue[position]
         job, spec = self._pending(job_id)
         rank = queue_rank(self.context, job, spec, usage)
-        return _QueueHead(rank, job.since, job_id, shape, position)
+        return _QueueHead(rank, job.eligible_ms, job_id, shape, position)
 
     def _pending(self, job_id: str) -> tuple[Job, JobSpec]:
         """Return a queued job and its specification, which queued jobs always have."""
@@ -123,7 +123,9 @@
         """Return how many tasks of a job were placed, and whether to go on with its queue."""
         context = self.context
         job, spec = self._pending(job_id)
-        wanted = min(job.unbound(), budget, quotas.tasks_left(context, job.team, spec, usage))
+        wanted = min(
+            job.unbound_count(), budget, quotas.tasks_left(context, job.team, spec, usage)
+        )
         if context.failures.is_suspect(job):
             wanted = min(wanted, 1)  # tasks of a job that is suspected to fail start one by one
         if wanted <= 0:
--- a/oakmux/core/controller.py
+++ b/oakmux/core/controller.py
@@ -169,7 +169,7 @@
         context, replica = self.context, self.context.replica
         ready, replica.changes.released_jobs = replica.changes.released_jobs, []
         for job_id in ready:
-            replica.jobs[job_id].since = context.wall_clock_ms
+            replica.jobs[job_id].eligible_ms = context.wall_clock_ms
             event("job_ready", job=job_id)
 
     def _propagate_changes(self) -> bool:
--- a/oakmux/core/leadership/controller_lease.py
+++ b/oakmux/core/leadership/controller_lease.py
@@ -36,16 +36,16 @@
 
     def settled(self) -> bool:
         """Whether the key has stood for long enough that all controllers count this one."""
-        held_s = self.context.now - self.granted_at
+        lease_age_s = self.context.now - self.granted_at
         return (
             self.lease_id is not None
             and self.key_written
-            and held_s > constants.ROLE_CLAIM_DELAY_S
+            and lease_age_s > constants.ROLE_CLAIM_DELAY_S
         )
 
-    def lost(self, why: str) -> None:
+    def on_lost(self, reason: str) -> None:
         """Note that the lease is gone, and all keys with it."""
-        event("lease_lost", why=why, roles=len(self.context.held_roles))
+        event("lease_lost", why=reason, roles=len(self.context.held_roles))
         self.lease_id = None
         self.key_written = False
 
@@ -73,7 +73,7 @@
     def _on_renewed(self, status: int, _: Any) -> None:
         self.renewing = False
         if status == 404:
-            self.lost("lease_ended")
+            self.on_lost("lease_ended")
 
     def _check_key(self) -> None:
         """Have the key written again if the records show another incarnation in it.
@@ -108,6 +108,6 @@
             self.key_written = True
             self.key_written_at = self.context.now
         elif status == 400:
-            self.lost("no_such_lease")
+            self.on_lost("no_such_lease")
         else:
             self.retry.back_off()
--- a/oakmux/core/leadership/format_negotiation.py
+++ b/oakmux/core/leadership/format_negotiation.py
@@ -25,21 +25,26 @@
 
     def tick(self) -> None:
         """Write what is due."""
-        replica, label = self.context.replica, self.context.controller_id
+        replica, controller_id = self.context.replica, self.context.controller_id
         if self.in_flight or replica.format >= replica.known_format:
             return
-        if replica.versions.get(label, 0) < replica.known_format:
-            self._write((version_key(label), replica.known_format, None), [])
+        if replica.versions.get(controller_id, 0) < replica.known_format:
+            self._write((version_key(controller_id), replica.known_format, None), [])
             return
-        labels = [label, *(member.controller_id for member in self.context.settings.peers)]
-        common = min(replica.versions.get(name, 0) for name in labels)
-        if common > replica.format and label == min([label, *replica.live_controllers]):
+        controller_ids = [
+            controller_id,
+            *(member.controller_id for member in self.context.settings.peers),
+        ]
+        common_format = min(replica.versions.get(other_id, 0) for other_id in controller_ids)
+        if common_format > replica.format and controller_id == min(
+            [controller_id, *replica.live_controllers]
+        ):
             # The number of tasks in a block stays as it was first recorded.
             tasks_per_record = replica.tasks_per_record or tasks_per_block(
                 self.context.facts.store.value_kb
             )
             condition = (FORMAT_KEY, replica.format_revision)
-            self._write((FORMAT_KEY, [common, tasks_per_record], None), [condition])
+            self._write((FORMAT_KEY, [common_format, tasks_per_record], None), [condition])
 
     def _write(self, write: Write, conditions: list[tuple[str, int]]) -> None:
         self.in_flight = True
--- a/oakmux/core/leadership/roles.py
+++ b/oakmux/core/leadership/roles.py
@@ -20,17 +20,19 @@
     Ties are broken by hash. All controllers come to the same result from the same records, and
     claims are conditional.
     """
-    load = Counter(label for label in held.values() if label in controllers)
+    role_counts = Counter(
+        controller_id for controller_id in held.values() if controller_id in controllers
+    )
     assigned = {}
     for role in sorted(free):
         assigned[role] = min(
             controllers,
-            key=lambda label: (
-                load[label],
-                hashlib.blake2b(f"{role}|{label}".encode()).digest(),
+            key=lambda controller_id: (
+                role_counts[controller_id],
+                hashlib.blake2b(f"{role}|{controller_id}".encode()).digest(),
             ),
         )
-        load[assigned[role]] += 1
+        role_counts[assigned[role]] += 1
     return assigned
 
 
@@ -53,7 +55,7 @@
         """Claim free roles that are assigned to us, or rebalance if there are none."""
         context = self.context
         controllers = sorted({*context.replica.live_controllers, context.controller_id})
-        held = {role: row[0] for role, row in context.replica.roles.items()}
+        held = {role: holder[0] for role, holder in context.replica.roles.items()}
         free = [role for role in (*context.teams, FLEET) if role not in held]
         assigned = assign_roles(free, held, controllers)
         # Roles of subsystems are no part of that count, in which all controllers must agree: one
@@ -63,34 +65,36 @@
             (role, context.controller_id) for role in context.extra_roles if role not in held
         )
         for role in (*context.teams, FLEET, *context.extra_roles):
-            mine = assigned.get(role) == context.controller_id or self._is_predecessors(role)
-            if mine and role not in self.claiming:
+            claim = assigned.get(role) == context.controller_id or self._held_by_predecessor(role)
+            if claim and role not in self.claiming:
                 self._claim(role)
         if not assigned and context.now >= self.next_rebalance_at:
             self.next_rebalance_at = context.now + constants.ROLE_REBALANCE_S
             self._rebalance(held, controllers)
 
-    def _is_predecessors(self, role: str) -> bool:
+    def _held_by_predecessor(self, role: str) -> bool:
         """Whether a role's key is of the process before this one.
 
         That process is gone; writes of it that are still on their way fail once the key is
         replaced, since they are conditional on the old key's mod revision.
         """
         context = self.context
-        row = context.replica.roles.get(role)
+        holder = context.replica.roles.get(role)
         return (
-            row is not None and row[0] == context.controller_id and row[1] != context.incarnation
+            holder is not None
+            and holder[0] == context.controller_id
+            and holder[1] != context.incarnation
         )
 
     def _claim(self, role: str) -> None:
         context = self.context
-        row = context.replica.roles.get(role)
+        holder = context.replica.roles.get(role)
         key, value = role_key(role), [context.controller_id, context.incarnation]
         self.claiming.add(role)
         context.call(
             lambda status, result: self._on_claimed(role, value, status, result),
             Transaction,
-            [(key, row[2] if row else 0)],
+            [(key, holder[2] if holder else 0)],
             [(key, value, self.lease.lease_id)],
             constants.LEADERSHIP_WRITE_PRIORITY,
         )
@@ -101,24 +105,28 @@
             self.context.replica.apply(role_key(role), value, result[0])
             event("role_acquired", role=role, revision=result[0])
         elif status == 400:
-            self.lease.lost("no_such_lease")
+            self.lease.on_lost("no_such_lease")
 
     def _rebalance(self, held: dict[str, str], controllers: list[str]) -> None:
         """Release a role when another controller has two fewer, so that it is claimed there."""
         context = self.context
-        load = Counter(
-            label for role, label in held.items() if role == FLEET or role in context.teams
+        role_counts = Counter(
+            controller_id
+            for role, controller_id in held.items()
+            if role == FLEET or role in context.teams
         )
-        mine = sorted(role for role in context.held_roles if role in context.teams)
-        if not mine or load[context.controller_id] < 2 + min(load[label] for label in controllers):
+        held_teams = sorted(role for role in context.held_roles if role in context.teams)
+        if not held_teams or role_counts[context.controller_id] < 2 + min(
+            role_counts[controller_id] for controller_id in controllers
+        ):
             return
         # Writes of ours that come late are conditional on the key's mod revision.
-        event("role_released", role=mine[0], roles=len(mine))
-        key = role_key(mine[0])
+        event("role_released", role=held_teams[0], roles=len(held_teams))
+        key = role_key(held_teams[0])
         context.call(
             lambda status, result: self._on_released(key, status, result),
             Transaction,
-            [(key, context.held_roles[mine[0]])],
+            [(key, context.held_roles[held_teams[0]])],
             [(key,)],
             1,
         )
@@ -145,8 +153,8 @@
         self.computed_from = (*changes, replica.revision if self.awaiting_claims else 0)
         held = {
             role: mod_revision
-            for role, (label, incarnation, mod_revision) in replica.roles.items()
-            if label == context.controller_id
+            for role, (controller_id, incarnation, mod_revision) in replica.roles.items()
+            if controller_id == context.controller_id
             and incarnation == context.incarnation
             and replica.revision >= mod_revision
         }
--- a/oakmux/core/leadership/terms.py
+++ b/oakmux/core/leadership/terms.py
@@ -17,39 +17,39 @@
         self.context = context
         self.retry = retry
         self.in_flight = False
-        self.wanted = True
-        self.above = 0
+        self.raise_needed = True
+        self.highest_token = 0
 
     def need_above(self, fencing_token: int) -> None:
         """Have a term above a token that a worker obeys."""
         if fencing_token >= self.context.term:
-            self.above = max(self.above, fencing_token)
-            self.wanted = True
+            self.highest_token = max(self.highest_token, fencing_token)
+            self.raise_needed = True
 
     def tick(self) -> None:
         """Raise the term if that is wanted."""
-        if not self.wanted or self.in_flight:
+        if not self.raise_needed or self.in_flight:
             return
-        value, mod_revision = self.context.replica.term
-        new = max(value, self.above, self.context.term) + 1
+        recorded, mod_revision = self.context.replica.term
+        new_term = max(recorded, self.highest_token, self.context.term) + 1
         self.in_flight = True
         self.context.call(
-            lambda status, result: self._on_raised(new, status, result),
+            lambda status, result: self._on_raised(new_term, status, result),
             Transaction,
             [(TERM_KEY, mod_revision)],
-            [(TERM_KEY, new, None)],
+            [(TERM_KEY, new_term, None)],
             constants.LEADERSHIP_WRITE_PRIORITY,
         )
 
-    def _on_raised(self, new: int, status: int, result: Any) -> None:
+    def _on_raised(self, new_term: int, status: int, result: Any) -> None:
         context = self.context
         self.in_flight = False
         if status == 200:
-            context.replica.apply(TERM_KEY, new, result[0])
-            context.term = new
-            context.incarnation = context.incarnation or new
-            self.wanted = new <= self.above
-            event("term_raised", term=new)
+            context.replica.apply(TERM_KEY, new_term, result[0])
+            context.term = new_term
+            context.incarnation = context.incarnation or new_term
+            self.raise_needed = new_term <= self.highest_token
+            event("term_raised", term=new_term)
         elif status == 409:
             # Others raise it too, as all do at a cold start; failed transactions count as changes.
             spread_s = constants.TERM_RETRY_SPREAD_S * context.settings.size
--- a/oakmux/core/scheduling/backfill_planner.py
+++ b/oakmux/core/scheduling/backfill_planner.py
@@ -84,7 +84,8 @@
             and self.context.replica.format >= FORMAT_COMPACT
             and spec.tasks >= constants.BACKFILL_MIN_TASKS
             and not spec.spread
-            and self.context.wall_clock_ms - job.since >= 1000 * constants.BACKFILL_MIN_WAIT_S
+            and self.context.wall_clock_ms - job.eligible_ms
+            >= 1000 * constants.BACKFILL_MIN_WAIT_S
         )
 
     def _plan(self, job: Job, spec: JobSpec, state: PendingJob) -> BackfillPlan | None:
@@ -132,5 +133,5 @@
             *(peer.controller_id for peer in self.context.settings.peers),
         ):
             self.context.send(
-                label, AnnounceBackfill(job.id, job.priority, job.since, machines, ready_s)
+                label, AnnounceBackfill(job.id, job.priority, job.eligible_ms, machines, ready_s)
             )
--- a/oakmux/core/scheduling/backfill_reservations.py
+++ b/oakmux/core/scheduling/backfill_reservations.py
@@ -83,7 +83,7 @@
         """Whether a job comes before a gang with a reservation."""
         if job.priority != reservation.priority:
             return job.priority > reservation.priority
-        if (job.since, job.id) >= (reservation.submitted_ms, gang_id):
+        if (job.eligible_ms, job.id) >= (reservation.submitted_ms, gang_id):
             return False
         # An older job does, but not for ever: once some of it has started, a starving gang is not
         # kept waiting by the rest.
@@ -101,7 +101,7 @@
         It may take those of later ones. Otherwise the oldest gang finds no machines where several
         smaller ones wait.
         """
-        own_rank = (job.priority, -job.since, job.id)
+        own_rank = (job.priority, -job.eligible_ms, job.id)
         earlier = {
             gang_id
             for gang_id, row in self.by_job.items()
--- a/oakmux/core/scheduling/binding.py
+++ b/oakmux/core/scheduling/binding.py
@@ -94,9 +94,9 @@
             self.release(state)
         self.buffer.finished_jobs.pop(job.id, None)
         for number in list(job.blocks):
-            if not self.buffer.block(job, number).bound and number not in self.buffer.changed.get(
-                job.id, ()
-            ):
+            if not self.buffer.block(
+                job, number
+            ).bindings and number not in self.buffer.changed.get(job.id, ()):
                 in_batch = job.blocks[number].batch is not None
                 due = self.context.now + self.buffer.coalesce_s if in_batch else 0.0
                 self.buffer.edit(job, number, due)
@@ -225,8 +225,8 @@
         attempt = self.buffer.next_attempt(job)
         for index, offer in zip(indexes, offers, strict=True):
             block = self.buffer.edit(job, index // self.buffer.tasks_per_record)
-            block.last = attempt
-            block.bound[index] = Binding(
+            block.last_attempt = attempt
+            block.bindings[index] = Binding(
                 attempt, offer.machine, offer.agent_epoch, offer.term, offer.zone
             )
             event("task_bound", task=f"{job.id}/{index}", attempt=attempt, machine=offer.machine)
@@ -248,7 +248,7 @@
             if job is None or not self.buffer.owns(job):
                 continue
             block = self.buffer.block(job, index // self.buffer.tasks_per_record)
-            current = block.bound.get(index)
+            current = block.bindings.get(index)
             if current is None or current.attempt != binding.attempt:
                 continue
             task = (f"{job_id}/{index}", binding.attempt)
@@ -280,7 +280,7 @@
         number = index // self.buffer.tasks_per_record
         due = self._unbind_due(job, number, reason)
         block = self.buffer.edit(job, number, due)
-        del block.bound[index]
+        del block.bindings[index]
         event(
             "task_unbound",
             task=f"{job.id}/{index}",
@@ -316,8 +316,11 @@
         size = self.buffer.tasks_per_record
         for completed in range(spec.tasks) if spec.kind == "gang" else (index,):
             block = self.buffer.edit(job, completed // size, due)
-            block.done |= 1 << completed % size
-        if sum(block.done.bit_count() for block in self.buffer.blocks(job)) >= spec.tasks:
+            block.completed_mask |= 1 << completed % size
+        if (
+            sum(block.completed_mask.bit_count() for block in self.buffer.blocks(job))
+            >= spec.tasks
+        ):
             self.buffer.finished_jobs[job.id] = None
             number = index // size
             in_batch = self.buffer.block(job, number).batch is not None
--- a/oakmux/core/scheduling/gangs.py
+++ b/oakmux/core/scheduling/gangs.py
@@ -184,7 +184,7 @@
     def _precedes_holder(self, job: Job) -> bool:
         """Whether a starving gang comes before the one that holds capacity now."""
         candidate, holder = (
-            (-other.priority, not is_starving(self.context, other), other.since, other.id)
+            (-other.priority, not is_starving(self.context, other), other.eligible_ms, other.id)
             for other in (job, self.context.replica.jobs[self.holder])
         )
         return candidate < holder
@@ -291,6 +291,6 @@
     """Stop the remaining tasks of a gang's attempt, of which a task was lost."""
     for index in range(spec.tasks):
         number = index // buffer.tasks_per_record
-        binding = buffer.block(job, number).bound.get(index)
+        binding = buffer.block(job, number).bindings.get(index)
         if binding is not None and binding.attempt == attempt and not binding.stop:
-            buffer.edit(job, number).bound[index] = binding._replace(stop=True)
+            buffer.edit(job, number).bindings[index] = binding._replace(stop=True)
--- a/oakmux/core/scheduling/minimum_share.py
+++ b/oakmux/core/scheduling/minimum_share.py
@@ -51,7 +51,7 @@
             and fits_resources(free, job.spec)
             and is_aged(self.context, job, job.spec)
         ]
-        oldest = min(aged, key=lambda job: (job.since, job.id), default=None)
+        oldest = min(aged, key=lambda job: (job.eligible_ms, job.id), default=None)
         if oldest is None or oldest.spec is None or machine_share(oldest.spec, kind) > self.debt:
             return None
         return oldest
--- a/oakmux/core/scheduling/pending_queues.py
+++ b/oakmux/core/scheduling/pending_queues.py
@@ -175,9 +175,9 @@
         """Queue a job, or move it to its current position; return the shape of its queue."""
         shape = shape_of(self.context, job, spec)
         position = position_of(self.context, job, spec)
-        if self.entries.get(job.id) != (shape, position, job.since):
+        if self.entries.get(job.id) != (shape, position, job.eligible_ms):
             self.drop(job.id)
-            self._insert(QueueEntry(shape, position, job.since))
+            self._insert(QueueEntry(shape, position, job.eligible_ms))
             self._watch_starvation(job)
         return shape
 
@@ -193,7 +193,7 @@
 
     def _watch_starvation(self, job: Job) -> None:
         """Have `promote_starving` move the job once it begins to starve."""
-        at_ms = job.since + 1000 * starvation_s(job)
+        at_ms = job.eligible_ms + 1000 * starvation_s(job)
         if at_ms >= self.context.wall_clock_ms and job.id not in self.in_starving_heap:
             self.in_starving_heap.add(job.id)
             heapq.heappush(self.starving_at, (at_ms, job.id))
--- a/oakmux/core/scheduling/queue_order.py
+++ b/oakmux/core/scheduling/queue_order.py
@@ -25,7 +25,7 @@
     largest included, must have started.
     """
     return (
-        context.wall_clock_ms - job.since > 1000 * starvation_s(job)
+        context.wall_clock_ms - job.eligible_ms > 1000 * starvation_s(job)
         and not job.begun
         and not context.failures.is_suspect(job)
     )
@@ -46,9 +46,11 @@
 def effective_submission_ms(context: Context, job: Job, spec: JobSpec) -> float:
     """Return the time (ms) that a job's age counts from: later for an array with much work."""
     if spec.kind != "array" or is_starving(context, job):
-        return job.since
+        return job.eligible_ms
     work = spec.tasks * spec.estimate_s * max(spec.gpus, constants.CPU_TASK_GPUS)
-    return job.since + 1000 * min(constants.ARRAY_AGE_CUT_MAX_S, work / context.array_share_gpus)
+    return job.eligible_ms + 1000 * min(
+        constants.ARRAY_AGE_CUT_MAX_S, work / context.array_share_gpus
+    )
 
 
 def misses_objective(context: Context, job: Job, spec: JobSpec) -> bool:
@@ -57,7 +59,7 @@
     return (
         spec.kind == "array"
         and within_s is not None
-        and context.wall_clock_ms > job.since + 1000 * (within_s - spec.estimate_s)
+        and context.wall_clock_ms > job.eligible_ms + 1000 * (within_s - spec.estimate_s)
         and not is_starving(context, job)
     )
 
@@ -68,7 +70,7 @@
     patience_s = (
         constants.AGED_OBJECTIVES * max(objectives_s) if objectives_s else constants.AGED_S
     )
-    return context.wall_clock_ms - job.since > 1000 * patience_s or is_starving(context, job)
+    return context.wall_clock_ms - job.eligible_ms > 1000 * patience_s or is_starving(context, job)
 
 
 def queue_rank(context: Context, job: Job, spec: JobSpec, usage: quotas.TeamUsage) -> QueueRank:
--- a/oakmux/core/scheduling/quota_claims.py
+++ b/oakmux/core/scheduling/quota_claims.py
@@ -50,7 +50,7 @@
             if (
                 claim.team == job.team
                 and other != job.id
-                and (claim.priority, -claim.since) > (job.priority, -job.since)
+                and (claim.priority, -claim.since) > (job.priority, -job.eligible_ms)
             ):
                 cpus += claim.cpus
                 gpus += claim.gpus
@@ -86,14 +86,14 @@
             self.context.now + constants.LIMIT_CLAIM_TTL_S,
             job.team,
             job.priority,
-            job.since if before_equals else math.inf,
+            job.eligible_ms if before_equals else math.inf,
             tasks * spec.cpus,
             tasks * spec.gpus,
         )
 
     def _has_waited(self, job: Job, spec: JobSpec) -> bool:
         """Whether a gang has waited so long that it goes before others of its priority."""
-        waited_ms = self.context.wall_clock_ms - job.since
+        waited_ms = self.context.wall_clock_ms - job.eligible_ms
         return spec.kind == "gang" and waited_ms > 1000 * constants.BACKFILL_MIN_WAIT_S
 
     def _usage_without_jobs_behind(self, job: Job, used: Usage, before_equals: bool) -> Usage:
--- a/oakmux/core/state/batch_allocator.py
+++ b/oakmux/core/state/batch_allocator.py
@@ -9,7 +9,7 @@
 from oakmux.core.state.binding_batches import reserved_bytes
 
 
-class PendingRow(NamedTuple):
+class RowReservation(NamedTuple):
     """Room in a batch that is reserved for a job."""
 
     batch: str
@@ -26,32 +26,32 @@
         self.context = context
         self.limit = min(constants.BATCH_BYTES, value_bytes)
         # Rows that are not known to be recorded: their batch and bytes, by job.
-        self.pending: dict[str, PendingRow] = {}
-        self.pending_bytes: Counter[str] = Counter()
+        self.reservations: dict[str, RowReservation] = {}
+        self.reserved_bytes_by_batch: Counter[str] = Counter()
 
     def choose(self, team: str, job_id: str, tasks: int) -> str:
         """Return the name of a team's first batch with room for a job's row, and reserve it."""
-        need = reserved_bytes(tasks)
+        row_bytes = reserved_bytes(tasks)
         for number in itertools.count():
             name = f"{team}/{number}"
-            if self._reserved(name) + need <= self.limit:
+            if self._reserved(name) + row_bytes <= self.limit:
                 break
-        self.pending[job_id] = PendingRow(name, need)
-        self.pending_bytes[name] += need
+        self.reservations[job_id] = RowReservation(name, row_bytes)
+        self.reserved_bytes_by_batch[name] += row_bytes
         return name
 
     def _reserved(self, name: str) -> int:
         batch = self.context.replica.job_records.batches.get(name)
-        return self.pending_bytes[name] + (batch.reserved if batch is not None else 0)
+        return self.reserved_bytes_by_batch[name] + (batch.reserved if batch is not None else 0)
 
     def release(self, job_id: str) -> None:
         """End a job's reservation.
 
         Its row is recorded and counts with its batch, or it will not be written.
         """
-        row = self.pending.pop(job_id, None)
-        if row is not None:
-            name, need = row
-            self.pending_bytes[name] -= need
-            if not self.pending_bytes[name]:
-                del self.pending_bytes[name]
+        reservation = self.reservations.pop(job_id, None)
+        if reservation is not None:
+            name, row_bytes = reservation
+            self.reserved_bytes_by_batch[name] -= row_bytes
+            if not self.reserved_bytes_by_batch[name]:
+                del self.reserved_bytes_by_batch[name]
--- a/oakmux/core/state/binding_index.py
+++ b/oakmux/core/state/binding_index.py
@@ -13,17 +13,17 @@
 
     def add_block(self, job_id: str, block: TaskBlock) -> None:
         """Add the bindings of a job's task block."""
-        for index, binding in block.bound.items():
+        for index, binding in block.bindings.items():
             self.by_machine.setdefault(binding.machine, {})[(job_id, index)] = binding
             self._changed(binding.machine)
 
     def remove_block(self, job_id: str, block: TaskBlock) -> None:
         """Remove the bindings of a job's task block."""
-        for index, binding in block.bound.items():
-            bound = self.by_machine.get(binding.machine)
-            if bound and bound.get((job_id, index)) == binding:
-                del bound[(job_id, index)]
-                if not bound:
+        for index, binding in block.bindings.items():
+            on_machine = self.by_machine.get(binding.machine)
+            if on_machine and on_machine.get((job_id, index)) == binding:
+                del on_machine[(job_id, index)]
+                if not on_machine:
                     del self.by_machine[binding.machine]
                 self._changed(binding.machine)
 
--- a/oakmux/core/state/cancellation_index.py
+++ b/oakmux/core/state/cancellation_index.py
@@ -22,7 +22,7 @@
             self.floor = self.by_revision[constants.CANCELLATIONS_KEPT - 1][0]
             self.by_revision = self.by_revision[constants.CANCELLATIONS_KEPT :]
 
-    def since(self, revision: int) -> list[str] | None:
+    def cancelled_after(self, revision: int) -> list[str] | None:
         """Return the jobs known to be cancelled after a revision; None if it is below the floor.
 
         A controller's own cancellations are among them from the moment that their write is
@@ -30,5 +30,5 @@
         """
         if revision < self.floor:
             return None
-        first = bisect.bisect_right(self.by_revision, revision, key=lambda row: row[0])
+        first = bisect.bisect_right(self.by_revision, revision, key=lambda entry: entry[0])
         return [job_id for _, job_id in self.by_revision[first:]]
--- a/oakmux/core/state/codecs.py
+++ b/oakmux/core/state/codecs.py
@@ -25,44 +25,46 @@
     state: JobState
     team: str
     spec: JobSpec | None
-    order: int
+    submitted_ms: int
     tasks: int
 
 
-def encode_job(state: JobState, team: str, spec: JobSpec | None, order: int, tasks: int) -> Value:
-    """Return the value of a job's record; `order` is the time of its submission (ms)."""
+def encode_job(
+    state: JobState, team: str, spec: JobSpec | None, submitted_ms: int, tasks: int
+) -> Value:
+    """Return the value of a job's record; `submitted_ms` is the time of its submission (ms)."""
     if spec is None:
-        return [state, team, None, order, tasks]
+        return [state, team, None, submitted_ms, tasks]
     if state != "queued":
         # What only matters before a start is left out: it must not keep an end from fitting.
         spec = msgspec.structs.replace(spec, types=None, waits_on=())
     fields = list(msgspec.to_builtins(spec))
     # Dependencies come last; format 1 doesn't have them.
-    return [state, team, fields if spec.waits_on else fields[:-1], order, tasks]
+    return [state, team, fields if spec.waits_on else fields[:-1], submitted_ms, tasks]
 
 
 def decode_job(value: Any) -> JobRecord:
     """Read the value of a job's record."""
     try:
-        state, team, fields, order, tasks = value
+        state, team, fields, submitted_ms, tasks = value
         spec = None if fields is None else msgspec.convert(fields, JobSpec)
     except CONVERSION_ERRORS as error:
         raise MalformedValueError("job", error) from error
-    return JobRecord(state, team, spec, order, tasks)
+    return JobRecord(state, team, spec, submitted_ms, tasks)
 
 
 def encode_block(block: TaskBlock, record_format: int) -> Value:
     """Return the value of a task block."""
-    head = [block.last, f"{block.done:x}"]
+    counters = [block.last_attempt, f"{block.completed_mask:x}"]
     if record_format < FORMAT_COMPACT:
-        return [*head, _encode_bindings(block)]
-    return [*head, *_encode_bindings_compactly(block)]
+        return [*counters, _encode_bindings(block)]
+    return [*counters, *_encode_bindings_compactly(block)]
 
 
 def _encode_bindings(block: TaskBlock) -> list[Value]:
     return [
         [index, b.attempt, b.machine, b.agent_epoch, b.term, b.zone, b.stop]
-        for index, b in sorted(block.bound.items())
+        for index, b in sorted(block.bindings.items())
     ]
 
 
@@ -72,41 +74,41 @@
     These are a list of heads (agent epoch, term, zone, stop), and groups of (machine, index of
     its head, task, attempt, task, ...).
     """
-    heads: dict[tuple[int, int, str, int], int] = {}
+    origins: dict[tuple[int, int, str, int], int] = {}
     groups: dict[tuple[str, int], Value] = {}
-    for index, b in sorted(block.bound.items()):
-        head = heads.setdefault((b.agent_epoch, b.term, b.zone, int(b.stop)), len(heads))
-        groups.setdefault((b.machine, head), [b.machine, head]).extend((index, b.attempt))
-    return [list(head) for head in heads], list(groups.values())
+    for index, b in sorted(block.bindings.items()):
+        origin = origins.setdefault((b.agent_epoch, b.term, b.zone, int(b.stop)), len(origins))
+        groups.setdefault((b.machine, origin), [b.machine, origin]).extend((index, b.attempt))
+    return [list(origin) for origin in origins], list(groups.values())
 
 
 def decode_block(value: Any, mod_revision: int) -> TaskBlock:
     """Read the value of a task block, of any format."""
     try:
-        last, done, *bindings = value
-        compact = len(bindings) > 1
-        bound = _decode_compact_bindings(*bindings) if compact else _decode_bindings(*bindings)
-        return TaskBlock(mod_revision, last, int(done, 16), bound, compact)
+        last_attempt, completed_hex, *fields = value
+        compact = len(fields) > 1
+        bindings = _decode_compact_bindings(*fields) if compact else _decode_bindings(*fields)
+        return TaskBlock(mod_revision, last_attempt, int(completed_hex, 16), bindings, compact)
     except CONVERSION_ERRORS as error:
         raise MalformedValueError("task block", error) from error
 
 
-def _decode_bindings(rows: list[Value]) -> dict[int, Binding]:
-    return {row[0]: Binding(*row[1:]) for row in rows}
+def _decode_bindings(values: list[Value]) -> dict[int, Binding]:
+    return {value[0]: Binding(*value[1:]) for value in values}
 
 
-def _decode_compact_bindings(heads: list[Value], groups: list[Value]) -> dict[int, Binding]:
-    bound: dict[int, Binding] = {}
-    for machine, head, *pairs in groups:
-        agent_epoch, term, zone, stop = heads[head]
+def _decode_compact_bindings(origins: list[Value], groups: list[Value]) -> dict[int, Binding]:
+    bindings: dict[int, Binding] = {}
+    for machine, origin, *pairs in groups:
+        agent_epoch, term, zone, stop = origins[origin]
         for index, attempt in zip(pairs[::2], pairs[1::2], strict=True):
-            bound[index] = Binding(attempt, machine, agent_epoch, term, zone, bool(stop))
-    return bound
+            bindings[index] = Binding(attempt, machine, agent_epoch, term, zone, bool(stop))
+    return bindings
 
 
 def decode_machine_types(value: Any) -> dict[str, MachineType]:
     """Read the recorded machine types, by name."""
     try:
-        return {row[0]: msgspec.convert(row, MachineType) for row in value}
+        return {fields[0]: msgspec.convert(fields, MachineType) for fields in value}
     except CONVERSION_ERRORS as error:
         raise MalformedValueError("list of machine types", error) from error
--- a/oakmux/core/state/dependencies.py
+++ b/oakmux/core/state/dependencies.py
@@ -26,13 +26,13 @@
     def add(self, job: Job, spec: JobSpec) -> None:
         """Add an unfinished job with its dependencies."""
         for name in spec.waits_on:
-            other = self.jobs.get(name)
-            if other is not None and other.state == "done":
+            dependency = self.jobs.get(name)
+            if dependency is not None and dependency.state == "done":
                 continue
             job.unmet_dependencies.add(name)
             self.dependents.setdefault(name, set()).add(job.id)
-            if other is not None and (
-                other.state == "cancelled" or name in self.cascade_cancelled
+            if dependency is not None and (
+                dependency.state == "cancelled" or name in self.cascade_cancelled
             ):
                 self._cascade(job.id)
         self._propagate_urgency(job.id, *job.unmet_dependencies)
@@ -61,9 +61,9 @@
     def _remove_edges(self, job: Job) -> None:
         """Remove the edges from a job to its dependencies."""
         for name in job.unmet_dependencies:
-            others = self.dependents.get(name, set())
-            others.discard(job.id)
-            if not others:
+            dependents = self.dependents.get(name, set())
+            dependents.discard(job.id)
+            if not dependents:
                 self.dependents.pop(name, None)
         self._propagate_urgency(*job.unmet_dependencies)
         job.unmet_dependencies = set()
@@ -87,10 +87,10 @@
                 continue
             priority, due_ms = self._urgency(job, job.spec)
             if (priority, due_ms) != (job.priority, job.due_ms):
-                bound = job.bound_count()
-                self.usage.add(job, -bound)
+                bound_tasks = job.bound_count()
+                self.usage.add(job, -bound_tasks)
                 job.priority, job.due_ms = priority, due_ms
-                self.usage.add(job, bound)
+                self.usage.add(job, bound_tasks)
                 self.changes.jobs.add(job.id)
                 stack += job.unmet_dependencies
 
@@ -101,7 +101,7 @@
         """
         priority, due_ms = spec.priority, math.inf
         if spec.deadline_s is not None:
-            due_ms = job.order + spec.deadline_s * 1000
+            due_ms = job.submitted_ms + spec.deadline_s * 1000
         for name in self.dependents.get(job.id, ()):
             priority = max(priority, self.jobs[name].priority)
             due_ms = min(due_ms, self.jobs[name].latest_start_ms)
--- a/oakmux/core/state/errors.py
+++ b/oakmux/core/state/errors.py
@@ -8,8 +8,8 @@
 class MalformedKeyError(RecordError):
     """A key whose parts after the kind don't have the expected form."""
 
-    def __init__(self, kind: str, rest: str) -> None:
-        super().__init__(f"malformed key of a {kind}: {rest!r}")
+    def __init__(self, kind: str, suffix: str) -> None:
+        super().__init__(f"malformed key of a {kind}: {suffix!r}")
 
 
 class MalformedValueError(RecordError):
--- a/oakmux/core/state/job_records.py
+++ b/oakmux/core/state/job_records.py
@@ -87,7 +87,7 @@
             record.state,
             mod_revision,
             record.spec,
-            record.order,
+            record.submitted_ms,
             record.tasks,
         )
         job.blocks.update(self.orphan_blocks.pop(job_id, {}))
@@ -99,7 +99,7 @@
 
     def _update_active(self, job: Job) -> None:
         """Update the sets of active jobs; a job that is over drops its specification."""
-        if job.final and not any(block.bound for block in job.blocks.values()):
+        if job.final and not any(block.bindings for block in job.blocks.values()):
             self.active.pop(job.id, None)
             self.jobs_without_gpus.discard(job.id)
             job.spec = None
@@ -108,11 +108,11 @@
             if job.spec is not None and not job.spec.gpus and job.ready:
                 self.jobs_without_gpus.add(job.id)
 
-    def apply_block(self, rest: str, value: Any, mod_revision: int) -> None:
-        """Apply a change of a task block with a record of its own; `rest` is job/number."""
-        job_id, _, number = rest.partition("/")
+    def apply_block(self, suffix: str, value: Any, mod_revision: int) -> None:
+        """Apply a change of a task block with a record of its own; `suffix` is job/number."""
+        job_id, _, number = suffix.partition("/")
         if not number.isdecimal():
-            raise MalformedKeyError("task block", rest)
+            raise MalformedKeyError("task block", suffix)
         block = None if value is None else decode_block(value, mod_revision)
         self._set_block(job_id, int(number), block, mod_revision)
 
@@ -149,20 +149,20 @@
         key = f"{job_id}/{number}"
         if old is None and self.deleted_blocks.get(key, -1) >= mod_revision:
             return  # it was deleted at a later revision
-        added = 0
+        added_bindings = 0
         if old is not None:
-            added -= len(old.bound)
+            added_bindings -= len(old.bindings)
             self.bindings.remove_block(job_id, old)
         if block is None:
             blocks.pop(number, None)
             self._note_deleted(key, mod_revision)
         else:
             blocks[number] = block
-            added += len(block.bound)
+            added_bindings += len(block.bindings)
             self.bindings.add_block(job_id, block)
         self.changes.jobs.add(job_id)
         if job is not None:
-            self.usage.add(job, added)
+            self.usage.add(job, added_bindings)
             self._update_active(job)
 
     def _note_deleted(self, key: str, mod_revision: int) -> None:
--- a/oakmux/core/state/keys.py
+++ b/oakmux/core/state/keys.py
@@ -35,8 +35,8 @@
 
 def split_key(key: str) -> tuple[str, str]:
     """Split a key into the kind of its record and what follows the kind."""
-    kind, _, rest = key.removeprefix(PREFIX).partition("/")
-    return kind, rest
+    kind, _, suffix = key.removeprefix(PREFIX).partition("/")
+    return kind, suffix
 
 
 def job_key(job_id: str) -> str:
--- a/oakmux/core/state/record_writer.py
+++ b/oakmux/core/state/record_writer.py
@@ -89,7 +89,7 @@
         for write in transaction.writes:
             value = write.value if isinstance(write, Put) else None
             self.context.replica.apply(write.key, value, revision)
-        for job_id in transaction.finishing:
+        for job_id in transaction.completed_jobs:
             self.buffer.finished_jobs.pop(job_id, None)
             event("job_done", job=job_id)
         for block in transaction.blocks:
@@ -100,7 +100,10 @@
         """Read records whose state in the store is not known."""
         for key in keys:
             self.context.call(
-                lambda s, r, key=key: self._on_record(key, s, r), messages.ReadKey, key, 1
+                lambda status, record, key=key: self._on_record(key, status, record),
+                messages.ReadKey,
+                key,
+                1,
             )
 
     def _on_record(self, key: str, status: int, result: Any) -> None:
--- a/oakmux/core/state/records.py
+++ b/oakmux/core/state/records.py
@@ -24,23 +24,23 @@
 class TaskBlock:
     """A run of a job's tasks: their bindings, which of them completed, the last attempt."""
 
-    __slots__ = ("batch", "bound", "compact", "done", "last", "mod_revision")
+    __slots__ = ("batch", "bindings", "compact", "completed_mask", "last_attempt", "mod_revision")
 
     def __init__(
         self,
         mod_revision: int = 0,
-        last: int = 0,
-        done: int = 0,
-        bound: dict[int, Binding] | None = None,
+        last_attempt: int = 0,
+        completed_mask: int = 0,
+        bindings: dict[int, Binding] | None = None,
         compact: bool = True,
     ) -> None:
         self.mod_revision = mod_revision
         # The highest attempt number in use.
-        self.last = last
+        self.last_attempt = last_attempt
         # A bit for each completed task.
-        self.done = done
+        self.completed_mask = completed_mask
         # Bindings by the index of the task in its job.
-        self.bound = bound if bound is not None else {}
+        self.bindings = bindings if bindings is not None else {}
         # Whether it was read from a compact value (format 2 or later).
         self.compact = compact
         # The name of the binding batch that holds it; None if it has a record of its own.
@@ -48,16 +48,22 @@
 
     def copy(self) -> "TaskBlock":
         """Return a copy that can be changed without changing this one."""
-        copied = TaskBlock(self.mod_revision, self.last, self.done, dict(self.bound), self.compact)
-        copied.batch = self.batch
-        return copied
+        copy = TaskBlock(
+            self.mod_revision,
+            self.last_attempt,
+            self.completed_mask,
+            dict(self.bindings),
+            self.compact,
+        )
+        copy.batch = self.batch
+        return copy
 
     def adds_bindings_to(self, old: "TaskBlock | None") -> bool:
         """Whether it has a binding that an older state of it lacks."""
-        before = old.bound if old is not None else {}
+        old_bindings = old.bindings if old is not None else {}
         return any(
-            index not in before or before[index].attempt != binding.attempt
-            for index, binding in self.bound.items()
+            index not in old_bindings or old_bindings[index].attempt != binding.attempt
+            for index, binding in self.bindings.items()
         )
 
 
@@ -67,15 +73,15 @@
     __slots__ = (
         "blocks",
         "due_ms",
+        "eligible_ms",
         "id",
         "mod_revision",
-        "order",
         "priority",
         "resources",
         "service",
-        "since",
         "spec",
         "state",
+        "submitted_ms",
         "tasks",
         "team",
         "unmet_dependencies",
@@ -88,7 +94,7 @@
         state: JobState,
         mod_revision: int,
         spec: JobSpec | None,
-        order: int,
+        submitted_ms: int,
         tasks: int,
     ) -> None:
         self.id = job_id
@@ -98,7 +104,7 @@
         self.spec: JobSpec | None = None
         self.blocks: dict[int, TaskBlock] = {}
         # The time of its submission (ms).
-        self.order = order
+        self.submitted_ms = submitted_ms
         self.tasks = tasks
         self.service = spec is not None and spec.kind == "service"
         self.resources = NO_RESOURCES
@@ -106,7 +112,7 @@
         # Dependencies that are not done; it may not start before there are none.
         self.unmet_dependencies: set[str] = set()
         # The time (ms) from which it could start; its age counts from then.
-        self.since = order
+        self.eligible_ms = submitted_ms
         # The highest priority among itself and the jobs that depend on it.
         self.priority = 0 if spec is None else spec.priority
         # The time (ms) by which it must end to meet the earliest deadline among these.
@@ -143,22 +149,22 @@
     @property
     def begun(self) -> bool:
         """Whether a task is bound or completed."""
-        return any(block.bound or block.done for block in self.blocks.values())
+        return any(block.bindings or block.completed_mask for block in self.blocks.values())
 
     def bindings(self) -> list[Binding]:
         """Return all recorded bindings."""
-        return [b for block in self.blocks.values() for b in block.bound.values()]
+        return [b for block in self.blocks.values() for b in block.bindings.values()]
 
     def bound_count(self) -> int:
         """Count the recorded bindings."""
-        return sum(len(block.bound) for block in self.blocks.values())
+        return sum(len(block.bindings) for block in self.blocks.values())
 
     def done_count(self) -> int:
         """Count the completed tasks."""
         if self.state == "done":
             return self.tasks
-        return sum(block.done.bit_count() for block in self.blocks.values())
+        return sum(block.completed_mask.bit_count() for block in self.blocks.values())
 
-    def unbound(self) -> int:
+    def unbound_count(self) -> int:
         """Count the tasks that are neither completed nor bound."""
         return self.tasks - self.done_count() - self.bound_count()
--- a/oakmux/core/state/replica.py
+++ b/oakmux/core/state/replica.py
@@ -25,8 +25,8 @@
     def keys(self) -> set[str]:
         """Return the keys of all its records."""
 
-    def apply(self, rest: str, value: Any, mod_revision: int) -> None:
-        """Apply one change; `rest` is the key without what is common to its kind."""
+    def apply(self, suffix: str, value: Any, mod_revision: int) -> None:
+        """Apply one change; `suffix` is the key without what is common to its kind."""
 
 
 class RoleHolder(NamedTuple):
@@ -110,23 +110,23 @@
 
     def _keys(self) -> set[str]:
         """Return the keys of all records that may be deleted, and of all jobs."""
-        found = self.job_records.keys()
-        found.update(keys.role_key(role) for role in self.roles)
-        found.update(keys.controller_key(name) for name in self.live_controllers)
-        found.update(keys.termination_key(machine) for machine in self.terminated_machines)
+        record_keys = self.job_records.keys()
+        record_keys.update(keys.role_key(role) for role in self.roles)
+        record_keys.update(keys.controller_key(name) for name in self.live_controllers)
+        record_keys.update(keys.termination_key(machine) for machine in self.terminated_machines)
         for namespace in self.namespaces.values():
-            found.update(namespace.keys())
-        return found
+            record_keys.update(namespace.keys())
+        return record_keys
 
     def apply(self, key: str, value: Any, mod_revision: int) -> None:
         """Apply one change; one that is older than what is known of the key is ignored."""
-        kind, rest = keys.split_key(key)
+        kind, suffix = keys.split_key(key)
         try:
             handler = self._handlers.get(kind)
             if handler is not None:
-                handler(rest, value, mod_revision)
+                handler(suffix, value, mod_revision)
             elif kind in self.namespaces:
-                self.namespaces[kind].apply(rest, value, mod_revision)
+                self.namespaces[kind].apply(suffix, value, mod_revision)
         except CONVERSION_ERRORS as error:  # with all RecordErrors
             # Of a version that we don't know: logged once a key, not at each change.
             if key not in self.unreadable and len(self.unreadable) < constants.MAX_REMEMBERED:
@@ -156,11 +156,11 @@
             self.changes.touch(machine)
             self.changes.machines.add(machine)
 
-    def _apply_machine_types(self, _rest: str, value: Any, _mod_revision: int) -> None:
+    def _apply_machine_types(self, _suffix: str, value: Any, _mod_revision: int) -> None:
         if value is not None:
             self.types = decode_machine_types(value)
 
-    def _apply_term(self, _rest: str, value: Any, mod_revision: int) -> None:
+    def _apply_term(self, _suffix: str, value: Any, mod_revision: int) -> None:
         if value is not None and mod_revision > self.term.mod_revision:
             self.term = RecordedTerm(value, mod_revision)
 
@@ -168,7 +168,7 @@
         if value is not None:
             self.versions[controller_id] = value
 
-    def _apply_format(self, _rest: str, value: Any, mod_revision: int) -> None:
+    def _apply_format(self, _suffix: str, value: Any, mod_revision: int) -> None:
         if value is None or mod_revision <= self.format_revision:
             return
         self.format, self.format_revision = value[0], mod_revision
--- a/oakmux/core/state/transaction_builder.py
+++ b/oakmux/core/state/transaction_builder.py
@@ -44,7 +44,7 @@
         self.busy_jobs: set[str] = set()
         self.busy_batches: set[str] = set()
         # Keys of records that have outgrown the limit, to log each once.
-        self.outgrown: set[str] = set()
+        self.too_large_keys: set[str] = set()
         limits = context.facts.store.strictest
         # A transaction far above our share of the rate would hold up all that comes after it.
         share = int(constants.TRANSACTION_RATE_S * limits.write_rps / context.settings.size)
@@ -83,10 +83,10 @@
             numbers.setdefault(job_id, []).append(number)
             due[job_id] = min(block_due, due.get(job_id, math.inf))
         jobs = self.context.replica.jobs
-        found = [
+        dirty_jobs = [
             DirtyJob(due[job_id], jobs[job_id], changed) for job_id, changed in numbers.items()
         ]
-        return sorted(found, key=lambda entry: entry.due)
+        return sorted(dirty_jobs, key=lambda entry: entry.due)
 
     def _is_busy(self, transaction: Transaction, job: Job) -> bool:
         """Whether a job is in a transaction without an outcome, or in this one."""
@@ -111,70 +111,70 @@
         changed = self.buffer.changed[job.id]
         values = {number: encode_block(changed[number], record_format) for number in numbers}
         numbers = [n for n in numbers if not self._postpone_too_large(job.id, n, values[n])]
-        numbers = self._within_bytes(transaction, numbers, values)
+        numbers = self._fitting_blocks(transaction, numbers, values)
         if not numbers:
             return
-        part = Transaction()
-        part.bytes = sum(value_bytes(values[number]) for number in numbers)
+        partial = Transaction()
+        partial.bytes = sum(value_bytes(values[number]) for number in numbers)
         finishing = (
             job.id in self.buffer.finished_jobs
             and not job.final
             and len(numbers) == len(entry.numbers)
         )
-        self._add_job_conditions(part, job)
+        self._add_job_conditions(partial, job)
         if finishing:
-            self._finish(part, job)
+            self._record_completion(partial, job)
         for number in numbers:
-            self._add_block(part, job, number, values[number], finishing)
-        part.jobs.add(job.id)
-        transaction.merge(part)
+            self._add_block(partial, job, number, values[number], finishing)
+        partial.jobs.add(job.id)
+        transaction.merge(partial)
 
     def _add_block(
-        self, part: Transaction, job: Job, number: int, value: Value, finishing: bool
+        self, partial: Transaction, job: Job, number: int, value: Value, finishing: bool
     ) -> None:
         """Add one block: its value, or its removal if nothing of it is needed any more."""
         key, old = block_key(job.id, number), job.blocks.get(number)
-        part.conditions[key] = old.mod_revision if old is not None else 0
-        part.blocks.append(BlockId(job.id, number))
-        if not self._is_over(job, self.buffer.changed[job.id][number], finishing):
-            part.writes.append(Put(key, value))
+        partial.conditions[key] = old.mod_revision if old is not None else 0
+        partial.blocks.append(BlockId(job.id, number))
+        if not self._is_obsolete(job, self.buffer.changed[job.id][number], finishing):
+            partial.writes.append(Put(key, value))
         elif old is not None:
-            part.writes.append(Delete(key))
+            partial.writes.append(Delete(key))
 
     @staticmethod
-    def _within_bytes(
+    def _fitting_blocks(
         transaction: Transaction, numbers: list[int], values: dict[int, Value]
     ) -> list[int]:
         """Return the blocks that fit into the transaction: all, or none while it holds others.
 
         Of a job that alone is too large, as many as fit.
         """
-        left = constants.TRANSACTION_BYTES - transaction.bytes
+        remaining_bytes = constants.TRANSACTION_BYTES - transaction.bytes
         fitting: list[int] = []
         for number in numbers:
-            left -= value_bytes(values[number])
-            if left < 0 and (transaction.writes or fitting):
+            remaining_bytes -= value_bytes(values[number])
+            if remaining_bytes < 0 and (transaction.writes or fitting):
                 return [] if transaction.writes else fitting
             fitting.append(number)
         return fitting
 
-    def _add_job_conditions(self, part: Transaction, job: Job) -> None:
+    def _add_job_conditions(self, partial: Transaction, job: Job) -> None:
         """Add the conditions that the team's role is held and the job's record is unchanged."""
-        part.conditions[role_key(job.team)] = self.context.held_roles[job.team]
-        part.conditions[job_key(job.id)] = job.mod_revision
+        partial.conditions[role_key(job.team)] = self.context.held_roles[job.team]
+        partial.conditions[job_key(job.id)] = job.mod_revision
 
-    def _finish(self, part: Transaction, job: Job) -> None:
+    def _record_completion(self, partial: Transaction, job: Job) -> None:
         """Add that a job is done."""
         spec = job.spec if self.buffer.bindings(job) else None
-        value = encode_job("done", job.team, spec, job.order, job.tasks)
-        part.writes.append(Put(job_key(job.id), value))
-        part.bytes += value_bytes(value)
-        part.finishing.add(job.id)
+        value = encode_job("done", job.team, spec, job.submitted_ms, job.tasks)
+        partial.writes.append(Put(job_key(job.id), value))
+        partial.bytes += value_bytes(value)
+        partial.completed_jobs.add(job.id)
 
     @staticmethod
-    def _is_over(job: Job, block: TaskBlock, finishing: bool) -> bool:
+    def _is_obsolete(job: Job, block: TaskBlock, finishing: bool) -> bool:
         """Whether nothing of a block is needed any more."""
-        return (job.final or finishing) and not block.bound
+        return (job.final or finishing) and not block.bindings
 
     def _postpone_too_large(self, job_id: str, number: int, value: Value) -> bool:
         """Postpone a block whose value exceeds the limit; return whether it does.
@@ -182,16 +182,16 @@
         It is tried again once more of its tasks have ended.
         """
         limit = self.buffer.max_value_bytes()
-        bound = len(self.buffer.changed[job_id][number].bound)
-        if bound * constants.BINDING_BYTES <= limit or value_bytes(value) <= limit:
+        bound_tasks = len(self.buffer.changed[job_id][number].bindings)
+        if bound_tasks * constants.BINDING_BYTES <= limit or value_bytes(value) <= limit:
             return False
         self._postpone(block_key(job_id, number), value_bytes(value), [BlockId(job_id, number)])
         return True
 
     def _postpone(self, key: str, size: int, blocks: Iterable[BlockId]) -> None:
         """Try the blocks of a record that has outgrown the limit again later."""
-        if key not in self.outgrown:
-            self.outgrown.add(key)
+        if key not in self.too_large_keys:
+            self.too_large_keys.add(key)
             limit = self.buffer.max_value_bytes()
             log.error("event=record_too_large key=%s bytes=%s limit=%s", key, size, limit)
         for block in blocks:
@@ -221,7 +221,7 @@
                 continue
             self._add_job_conditions(transaction, job)
             transaction.jobs.add(job_id)
-            self._finish(transaction, job)
+            self._record_completion(transaction, job)
 
     def _add_batch(
         self, transaction: Transaction, name: str, team: str, dirty: list[DirtyJob]
@@ -233,45 +233,45 @@
         """
         batch = self.context.replica.job_records.batches.get(name) or BindingBatch(0, {})
         rows = dict(batch.rows)
-        part = Transaction()
-        part.batches.add(name)
-        part.conditions[role_key(team)] = self.context.held_roles[team]
-        part.conditions[batch_key(name)] = batch.mod_revision
+        partial = Transaction()
+        partial.batches.add(name)
+        partial.conditions[role_key(team)] = self.context.held_roles[team]
+        partial.conditions[batch_key(name)] = batch.mod_revision
         for entry in dirty:
-            if not self._has_room_for_condition(transaction, part):
+            if not self._has_room_for_condition(transaction, partial):
                 break
             if not self._is_busy(transaction, entry.job):
-                self._update_row(part, rows, entry.job)
+                self._update_row(partial, rows, entry.job)
         if rows == batch.rows:
-            transaction.blocks += part.blocks  # nothing of it has to be written
+            transaction.blocks += partial.blocks  # nothing of it has to be written
             return
         value = [row.to_value() for row in rows.values()]
         size = value_bytes(value)
         if size > self.buffer.max_value_bytes():
-            self._postpone(batch_key(name), size, part.blocks)
+            self._postpone(batch_key(name), size, partial.blocks)
             return
         if transaction.writes and (
             transaction.bytes + size > constants.TRANSACTION_BYTES
             or len(transaction.writes) >= self.max_writes
         ):
             return
-        part.writes.append(Put(batch_key(name), value))
-        part.bytes = size
-        transaction.merge(part)
+        partial.writes.append(Put(batch_key(name), value))
+        partial.bytes = size
+        transaction.merge(partial)
 
-    def _has_room_for_condition(self, transaction: Transaction, part: Transaction) -> bool:
+    def _has_room_for_condition(self, transaction: Transaction, partial: Transaction) -> bool:
         """Whether the condition of one more row may be added."""
-        return len(transaction.conditions.keys() | part.conditions.keys()) < self.max_conditions
+        return len(transaction.conditions.keys() | partial.conditions.keys()) < self.max_conditions
 
-    def _update_row(self, part: Transaction, rows: dict[str, BatchRow], job: Job) -> None:
+    def _update_row(self, partial: Transaction, rows: dict[str, BatchRow], job: Job) -> None:
         """Update the row of one job."""
         block = self.buffer.changed[job.id][ONLY_BLOCK]
         if block.adds_bindings_to(job.blocks.get(ONLY_BLOCK)):
-            part.conditions[job_key(job.id)] = job.mod_revision
-        if self._is_over(job, block, finishing=False):
+            partial.conditions[job_key(job.id)] = job.mod_revision
+        if self._is_obsolete(job, block, finishing=False):
             rows.pop(job.id, None)
         else:
             value = encode_block(block, self.buffer.record_format())
             rows[job.id] = BatchRow(job.id, job.tasks, value)
-        part.blocks.append(BlockId(job.id, ONLY_BLOCK))
-        part.jobs.add(job.id)
+        partial.blocks.append(BlockId(job.id, ONLY_BLOCK))
+        partial.jobs.add(job.id)
--- a/oakmux/core/state/transactions.py
+++ b/oakmux/core/state/transactions.py
@@ -39,7 +39,7 @@
         self.jobs: set[str] = set()
         self.batches: set[str] = set()
         # Jobs that it records as done.
-        self.finishing: set[str] = set()
+        self.completed_jobs: set[str] = set()
         self.bytes = 0
 
     def merge(self, other: "Transaction") -> None:
@@ -49,5 +49,5 @@
         self.blocks += other.blocks
         self.jobs |= other.jobs
         self.batches |= other.batches
-        self.finishing |= other.finishing
+        self.completed_jobs |= other.completed_jobs
         self.bytes += other.bytes
--- a/oakmux/core/state/usage_accounting.py
+++ b/oakmux/core/state/usage_accounting.py
@@ -16,10 +16,10 @@
         """Add bound tasks of a job; a negative number subtracts."""
         if not tasks:
             return
-        more_cpus, more_gpus = tasks * job.resources.cpus, tasks * job.resources.gpus
+        added_cpus, added_gpus = tasks * job.resources.cpus, tasks * job.resources.gpus
         cpus, gpus = self.by_team.get(job.team, NO_USAGE)
-        self.by_team[job.team] = Usage(cpus + more_cpus, gpus + more_gpus)
+        self.by_team[job.team] = Usage(cpus + added_cpus, gpus + added_gpus)
         if not job.service:
             by_priority = self.preemptible.setdefault(job.team, {})
             cpus, gpus = by_priority.get(job.priority, NO_USAGE)
-            by_priority[job.priority] = Usage(cpus + more_cpus, gpus + more_gpus)
+            by_priority[job.priority] = Usage(cpus + added_cpus, gpus + added_gpus)
--- a/oakmux/core/state/write_buffer.py
+++ b/oakmux/core/state/write_buffer.py
@@ -100,21 +100,21 @@
         if block.batch is not None:
             return True  # its batch has room for all of the job's bindings
         if (
-            len(block.bound) + len(offers)
+            len(block.bindings) + len(offers)
         ) * constants.BINDING_BYTES <= self.strictest_value_bytes:
             return True
         trial = block.copy()
-        trial.last = self.next_attempt(job)
+        trial.last_attempt = self.next_attempt(job)
         first = (number + 1) * self.tasks_per_record  # no index of a task in it has more digits
         for index, offer in enumerate(offers, first):
-            trial.bound[index] = Binding(
-                trial.last, offer.machine, offer.agent_epoch, offer.term, offer.zone
+            trial.bindings[index] = Binding(
+                trial.last_attempt, offer.machine, offer.agent_epoch, offer.term, offer.zone
             )
         return value_bytes(encode_block(trial, self.record_format())) <= self.strictest_value_bytes
 
     def next_attempt(self, job: Job) -> int:
         """Return an attempt number that no task of the job has used."""
-        return 1 + max((block.last for block in self.blocks(job)), default=0)
+        return 1 + max((block.last_attempt for block in self.blocks(job)), default=0)
 
     def on_format_change(self) -> None:
         """Write again, in the new format, what earlier versions left larger than the limits."""
@@ -128,7 +128,7 @@
             if (
                 not block.compact
                 and number not in self.changed.get(job.id, ())
-                and len(block.bound) * constants.BINDING_BYTES > self.strictest_value_bytes
+                and len(block.bindings) * constants.BINDING_BYTES > self.strictest_value_bytes
                 and value_bytes(encode_block(block, FORMAT_FIRST)) > self.strictest_value_bytes
             ):
                 self.edit(job, number)
@@ -177,18 +177,20 @@
 
     def bindings(self, job: Job) -> list[Binding]:
         """Return all bindings of a job as they will be recorded."""
-        return [b for block in self.blocks(job) for b in block.bound.values()]
+        return [b for block in self.blocks(job) for b in block.bindings.values()]
 
     def unbound_tasks(self, job: Job) -> int:
         """Count the tasks that are neither done nor bound."""
         if job.spec is None or job.final:
             return 0
-        left, size = job.spec.tasks, self.tasks_per_record
+        unbound, block_size = job.spec.tasks, self.tasks_per_record
         for block in self.blocks(job):  # hundreds, of a huge array: most have no bindings
-            left -= block.done.bit_count()
-            if block.bound:
-                left -= sum(1 for i in block.bound if not block.done >> (i % size) & 1)
-        return left
+            unbound -= block.completed_mask.bit_count()
+            if block.bindings:
+                unbound -= sum(
+                    1 for i in block.bindings if not block.completed_mask >> (i % block_size) & 1
+                )
+        return unbound
 
     def next_unbound_task(self, job: Job, first: int, offer: OfferedCapacity) -> int | None:
         """Return the index of a task that may be bound to an offer, or None.
@@ -205,17 +207,17 @@
     def _unbound_task_from(
         self, job: Job, start: int, end: int, offer: OfferedCapacity
     ) -> int | None:
-        size = self.tasks_per_record
+        block_size = self.tasks_per_record
         index = start
         while index < end:
-            number, bit = divmod(index, size)
+            number, bit = divmod(index, block_size)
             block = self.block(job, number)
-            if index in block.bound or block.done >> bit & 1:
+            if index in block.bindings or block.completed_mask >> bit & 1:
                 index += 1
             elif self.block_fits(job, number, [offer]):
                 return index
             else:  # wait until other tasks of this block have ended
-                index = (number + 1) * size
+                index = (number + 1) * block_size
         return None
 
     def team_usage(self, team: str) -> Usage:
@@ -227,11 +229,11 @@
         for job_id, changed in self.changed.items():
             job = self.context.replica.jobs[job_id]
             if job.team == team:
-                more = sum(len(block.bound) for block in changed.values()) - sum(
-                    len(job.blocks[number].bound) for number in changed if number in job.blocks
+                added_bindings = sum(len(block.bindings) for block in changed.values()) - sum(
+                    len(job.blocks[number].bindings) for number in changed if number in job.blocks
                 )
-                cpus += more * job.resources.cpus
-                gpus += more * job.resources.gpus
+                cpus += added_bindings * job.resources.cpus
+                gpus += added_bindings * job.resources.gpus
         return Usage(cpus, gpus)
 
     def drop_lost(self, held: set[str]) -> None:
--- a/oakmux/schedules/dispatcher.py
+++ b/oakmux/schedules/dispatcher.py
@@ -321,7 +321,9 @@
                     writes.append(
                         (
                             job_key(job.id),
-                            encode_job("cancelled", job.team, job.spec, job.order, job.tasks),
+                            encode_job(
+                                "cancelled", job.team, job.spec, job.submitted_ms, job.tasks
+                            ),
                             None,
                         )
                     )
--- a/tests/recorded.py
+++ b/tests/recorded.py
@@ -336,11 +336,11 @@
             job.state,
             job.mod_revision,
             job.spec,
-            job.order,
+            job.submitted_ms,
             job.tasks,
             job.service,
         ]
-        + [job.unmet_dependencies, job.since, job.priority, job.due_ms]
+        + [job.unmet_dependencies, job.eligible_ms, job.priority, job.due_ms]
         + [list(msgspec.structs.astuple(job.resources)), job.final]
         for job in replica.jobs.values()
     ]
@@ -377,7 +377,14 @@
 
 def plain_chunk(block: TaskBlock) -> list:
     """Return all that a chunk holds."""
-    return [block.mod_revision, block.last, block.done, block.bound, block.compact, block.batch]
+    return [
+        block.mod_revision,
+        block.last_attempt,
+        block.completed_mask,
+        block.bindings,
+        block.compact,
+        block.batch,
+    ]
 
 
 # --- whole runs -------------------------------------------------------------------------------
--- a/tests/test_backfill.py
+++ b/tests/test_backfill.py
@@ -196,7 +196,7 @@
 
     def job(name: str, since: int, **more) -> Job:
         found = Job(name, "red", "queued", 1, spec(**more), 0, 1)
-        found.since = since
+        found.eligible_ms = since
         return found
 
     def blocked(other: Job) -> bool:
@@ -244,7 +244,7 @@
         ("job-4", 60, 1),
     ):
         jobs[name] = Job(name, "red", "queued", 1, spec("gang", 4, priority=priority), 0, 4)
-        jobs[name].since = since
+        jobs[name].eligible_ms = since
     reservations.announced(AnnounceBackfill("job-1", 2, 40.0, ["m1"], 30.0))
     reservations.announced(AnnounceBackfill("job-3", 2, 60.0, ["m2", "m3"], 30.0))
     assert reservations.reserved_before(jobs["job-1"]) == set()
--- a/tests/test_binding_batches.py
+++ b/tests/test_binding_batches.py
@@ -60,7 +60,7 @@
 
 def row(job_id: str, machine: str = "m1", attempt: int = 1, tasks: int = 1) -> list:
     """Return a page's row with one task bound."""
-    block = TaskBlock(last=attempt, bound={0: Binding(attempt, machine, 1, 1, "a")})
+    block = TaskBlock(last_attempt=attempt, bindings={0: Binding(attempt, machine, 1, 1, "a")})
     return BatchRow(job_id, tasks, encode_block(block, FORMAT)).to_value()
 
 
--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -231,14 +231,21 @@
             job_key(f"job-{number}"), encode_job("cancelled", "red", None, 0, 1), 10 * mod_revision
         )
     replica.apply(job_key("job-9"), encode_job("done", "red", None, 0, 1), 25)
-    assert replica.cancellations.since(0) == ["job-4", "job-2", "job-7", "job-5", "job-1"]
-    assert replica.cancellations.since(30) == ["job-5", "job-1"]
+    assert replica.cancellations.cancelled_after(0) == [
+        "job-4",
+        "job-2",
+        "job-7",
+        "job-5",
+        "job-1",
+    ]
+    assert replica.cancellations.cancelled_after(30) == ["job-5", "job-1"]
     for mod_revision, number in enumerate((11, 12), 6):
         replica.apply(
             job_key(f"job-{number}"), encode_job("cancelled", "red", None, 0, 1), 10 * mod_revision
         )
-    assert replica.cancellations.since(29) is None  # what was dropped must not look like nothing
-    assert replica.cancellations.since(30) == ["job-5", "job-1", "job-11", "job-12"]
+    # What was dropped must not look like nothing.
+    assert replica.cancellations.cancelled_after(29) is None
+    assert replica.cancellations.cancelled_after(30) == ["job-5", "job-1", "job-11", "job-12"]
 
 
 @pytest.mark.parametrize("first", ["written", "asked"])
--- a/tests/test_capacity_claims.py
+++ b/tests/test_capacity_claims.py
@@ -45,7 +45,7 @@
     if end == "time":
         context.now += constants.RESAMPLE_S
     else:
-        block = TaskBlock(last=1, bound={0: Binding(1, "m1", 1, 1, "a")})
+        block = TaskBlock(last_attempt=1, bindings={0: Binding(1, "m1", 1, 1, "a")})
         context.replica.apply(block_key("job-1", 0), encode_block(block, 2), 2)
     assert claims.remaining("job-2", machine, WHOLE) == WHOLE
     assert not claims.by_machine["m1"]
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -263,7 +263,7 @@
         (3, dict(estimate_s=5.0, team="blue", priority=2, deadline_s=100.0, waits_on=("job-2",))),
     )
     jobs = sim.cores["h0"].context.replica.jobs
-    order = jobs["job-3"].order
+    order = jobs["job-3"].submitted_ms
     assert [jobs[f"job-{n}"].priority for n in (1, 2, 3)] == [2, 2, 2]
     assert [jobs[f"job-{n}"].due_ms - order for n in (1, 2, 3)] == [75e3, 95e3, 100e3]
     assert jobs["job-1"].latest_start_ms - order == 25e3
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -113,7 +113,7 @@
     while not core.scheduler.buffer.changed.get("job-1"):
         sim.run(0.2)
     sim.stuck = {owner}
-    [binding] = core.scheduler.buffer.changed["job-1"][0].bound.values()
+    [binding] = core.scheduler.buffer.changed["job-1"][0].bindings.values()
     theirs = binding._replace(attempt=5, agent_epoch=binding.agent_epoch + 1)
     block = TaskBlock(0, 5, 0, {0: theirs})
     state = sim.state
@@ -135,7 +135,7 @@
     core.scheduler.writer.write_after = 0.0
     sim.run(2)
     assert not [row for row in sim.start_log if row[1] == "job-1/0"]
-    assert decode_block(*state.rows[block_key("job-1", 0)][:2]).bound == {0: theirs}
+    assert decode_block(*state.rows[block_key("job-1", 0)][:2]).bindings == {0: theirs}
 
 
 @pytest.mark.parametrize("outage", [False, True])
--- a/tests/test_pending_queues.py
+++ b/tests/test_pending_queues.py
@@ -37,7 +37,7 @@
             expected.pop(name, None)
             continue
         job = Job(name, "red", "queued", 1, spec(cpus=cpus, priority=priority), 0, 1)
-        job.since, job.due_ms = move * 10, 100.0 - move
+        job.eligible_ms, job.due_ms = move * 10, 100.0 - move
         shape = queues.put(job, job.spec)
         expected[name] = (
             shape,
@@ -174,7 +174,7 @@
     context = Context(settings_for("h0"), random.Random(1), 0)
     minimum = MinimumShare(context)
     old = Job("job-1", "red", "queued", 1, spec(priority=0, gpus=1.0), 0, 1)
-    old.since = -1000 * (constants.AGED_S + 1)
+    old.eligible_ms = -1000 * (constants.AGED_S + 1)
     by_age = by_rank = 0.0
     for gpus, waiting in offers:
         if waiting and minimum.due_job(TYPE, Resources(8.0, 4.0, 64.0), [old]) is old:
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -19,7 +19,11 @@
     block = TaskBlock(9, 7, (1 << 63) | 5, bound)
     value = decode(encode(encode_block(block, 1)))
     again = decode_block(value, 9)
-    assert (again.last, again.done, again.bound) == (block.last, block.done, block.bound)
+    assert (again.last_attempt, again.completed_mask, again.bindings) == (
+        block.last_attempt,
+        block.completed_mask,
+        block.bindings,
+    )
     assert len(json.dumps(value)) <= 8 * 1024
 
 
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -137,7 +137,7 @@
     core = sim.cores["h0"]
     job = core.context.replica.jobs["job-1"]
     assert not queue_order.is_starving(core.context, job)
-    job.since -= 1000 * queue_order.starvation_s(job)
+    job.eligible_ms -= 1000 * queue_order.starvation_s(job)
     assert queue_order.is_starving(core.context, job) == (not job.begun)
 
 
@@ -195,7 +195,7 @@
         gang=(70.0, dict(kind="gang", tasks=8)), older=(80.0, dict(tasks=40, estimate_s=60.0))
     )
     reservations = BackfillReservations(context)
-    reservations.announced(AnnounceBackfill("gang", 1, jobs["gang"].since, ["m1"], 10.0))
+    reservations.announced(AnnounceBackfill("gang", 1, jobs["gang"].eligible_ms, ["m1"], 10.0))
     assert not reservations.blocks_job("m1", jobs["older"], jobs["older"].spec)
     jobs["older"].blocks[0] = TaskBlock(1, 1, 0, {0: Binding(1, "m2", 1, 1, "a")})
     assert reservations.blocks_job("m1", jobs["older"], jobs["older"].spec)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -75,14 +75,18 @@
         "job-5": "cancelled",
     }
     for job in replica.active.values():
-        written = encode_job(job.state, job.team, job.spec, job.order, job.tasks)
+        written = encode_job(job.state, job.team, job.spec, job.submitted_ms, job.tasks)
         assert written == FIRST["rows"][job_key(job.id)][0]
         assert job.ready
         for number, block in job.blocks.items():
             assert encode_block(block, 1) == FIRST["rows"][block_key(job.id, number)][0]
             again = decode_block(encode_block(block, 2), block.mod_revision)
-            assert (again.bound, again.done, again.last) == (block.bound, block.done, block.last)
-    assert len(replica.jobs["job-2"].blocks[0].bound) == 30
+            assert (again.bindings, again.completed_mask, again.last_attempt) == (
+                block.bindings,
+                block.completed_mask,
+                block.last_attempt,
+            )
+    assert len(replica.jobs["job-2"].blocks[0].bindings) == 30
 
 
 def test_messages_of_the_first_version_are_understood_and_ours_have_their_form(caplog):
--- a/tools/capacity/measurements.py
+++ b/tools/capacity/measurements.py
@@ -455,7 +455,7 @@
         rows.append(
             (
                 block_key(job_id, 0),
-                encode_block(TaskBlock(last=10, bound=bound), 2),
+                encode_block(TaskBlock(last_attempt=10, bindings=bound), 2),
                 2 * number + 2,
             )
         )
--- a/tools/cost.py
+++ b/tools/cost.py
@@ -208,7 +208,9 @@
             )
             job_id = f"job-9{number:06}"
             rows.append((job_key(job_id), encode_job("queued", "red", spec, 0, 1), self.revision))
-            block = TaskBlock(last=1, bound={0: Binding(1, name, 1, 1, ZONES[number % 3])})
+            block = TaskBlock(
+                last_attempt=1, bindings={0: Binding(1, name, 1, 1, ZONES[number % 3])}
+            )
             rows.append((block_key(job_id, 0), encode_block(block, 2), self.revision))
         self.step([messages.ApplyWatchEvents(rows, self.revision, self.now)])
 
@@ -296,8 +298,8 @@
         rows.append((job_key(job_id), encode_job(state, "red", spec, number, 35), number + 1))
         if spec is not None:
             block = TaskBlock(
-                last=35,
-                bound={
+                last_attempt=35,
+                bindings={
                     index: Binding(index + 1, f"n-{rng.randrange(600):06}", 1, 1, "a")
                     for index in range(35)
                 },
