--- a/oakmux/constants/controller.py
+++ b/oakmux/constants/controller.py
@@ -10,11 +10,11 @@
 # Seconds between two ticks.
 TICK_S = 0.1
 # Rounds of consequences that are followed within one step (count).
-SETTLE_ROUNDS = 8
+PROPAGATION_ROUNDS = 8
 # Commands that may be queued before users' requests are refused (count).
 MAX_QUEUED_COMMANDS = 2000
 # Entries that the controller's smaller caches and sets of past events hold at most (count).
-MAX_REMEMBERED = 2000
+MAX_CACHE_ENTRIES = 2000
 # A time before all others (s), for what has not happened yet. It is finite because peers are sent
 # ages that are computed from such times.
 NEVER = -1e9
--- a/oakmux/constants/scheduling.py
+++ b/oakmux/constants/scheduling.py
@@ -122,7 +122,7 @@
 # Share of all teams' guarantees that one array is taken to have to itself. It counts as younger by
 # the time that its work takes there, by so many seconds at most.
 ARRAY_SHARE = 0.04
-ARRAY_AGE_CUT_MAX_S = 300.0
+ARRAY_AGE_REDUCTION_MAX_S = 300.0
 # GPUs that a task without any counts for in that (count).
 CPU_TASK_GPUS = 0.1
 # Share of the offered capacity that goes to the jobs that waited longest, whatever their priority.
--- a/oakmux/core/agents/cancellation_log.py
+++ b/oakmux/core/agents/cancellation_log.py
@@ -123,7 +123,7 @@
             asked: when the request was sent (s); an answer that was delayed is that old.
             until: the revision up to which the list is complete, or -1.
         """
-        label, asked, until = answer.controller_id, answer.asked_at, answer.until
+        label, asked, until = answer.controller_id, answer.requested_at, answer.complete_revision
         store_seen_at = asked - answer.store_age_s
         if answer.incarnation:
             self.peer_seen_at[label] = asked
--- a/oakmux/core/agents/capacity.py
+++ b/oakmux/core/agents/capacity.py
@@ -75,7 +75,7 @@
 
     Large gangs may wait for machines that are being rented; other jobs hold nothing.
     """
-    if not spec.joint:
+    if not spec.gang_scheduled:
         return 0.0
     return min(
         constants.GANG_GATHER_S + spec.tasks * constants.GANG_GATHER_TASK_S,
--- a/oakmux/core/agents/heartbeats.py
+++ b/oakmux/core/agents/heartbeats.py
@@ -220,14 +220,14 @@
     for spec in live:
         hold_image(context, machine, spec.image, spec.image_gb)
     # Since when each task runs; a task that does not run yet has no work to lose.
-    machine.since = {
-        task: machine.since.get(task, context.now)
+    machine.task_started_at = {
+        task: machine.task_started_at.get(task, context.now)
         if RUNNING == state[0] == before.get(task, ("",))[0]
         else context.now
         for task, state in machine.tasks.items()
         if state[0] != EXITED
     }
-    if machine.since:
+    if machine.task_started_at:
         machine.idle_since = None
     elif machine.idle_since is None:
         machine.idle_since = context.now
--- a/oakmux/core/agents/preemption.py
+++ b/oakmux/core/agents/preemption.py
@@ -105,7 +105,7 @@
             continue
         if (
             other.spec.kind == "service"
-            or other.spec.joint
+            or other.spec.gang_scheduled
             or job_id == job.id
             or job_id in not_preemptible
         ):
@@ -123,7 +123,7 @@
     context: Context, machine: Machine, task: Task, state: str, job: Job, spec: JobSpec
 ) -> float:
     """Return the work in seconds that is lost if a task is stopped, weighed by its priority."""
-    lost_work_s = context.now - machine.since.get(task, context.now)
+    lost_work_s = context.now - machine.task_started_at.get(task, context.now)
     # A start that is undone so soon does not count for the objectives: it is needed once more.
     start_counts = lost_work_s >= constants.START_COUNTS_S
     if spec.checkpoint_s and state == RUNNING:
--- a/oakmux/core/agents/reservation_queue.py
+++ b/oakmux/core/agents/reservation_queue.py
@@ -223,7 +223,7 @@
             del tracked.queue[job.id]
         self.next_offer += 1
         hold_s = constants.OFFER_HOLD_S
-        if spec.joint:
+        if spec.gang_scheduled:
             hold_s += gang_hold_s(spec) + constants.PREEMPTION_RETRY_S
         tracked.offers[self.next_offer] = Offer(job.id, context.now + hold_s, role_claim)
         context.send(
--- a/oakmux/core/agents/worker_commands.py
+++ b/oakmux/core/agents/worker_commands.py
@@ -182,7 +182,7 @@
         the whole gang. A fetch that takes longer would be aborted and begun anew for ever.
         """
         context, spec = self.context, job.spec
-        if spec is None or not spec.joint or spec.image not in machine.images:
+        if spec is None or not spec.gang_scheduled or spec.image not in machine.images:
             return False
         slowest = context.fetch_s(spec, machine.type) * constants.FETCH_TIME_FACTOR
         patience = slowest - context.facts.workers.gang_wait_s * constants.GANG_WAIT_SHARE
--- a/oakmux/core/api/cancellation.py
+++ b/oakmux/core/api/cancellation.py
@@ -47,7 +47,7 @@
             if status == 200:
                 context.replica.apply(job_key(job_id), value, result[0])
                 event("job_cancelled", job=job_id)
-                self._hasten_cascade()
+                self._make_cascade_due()
                 self.answers.cancelled(request_id, job_id)
             elif status == CONFLICT:
                 self.reads.fetch(
@@ -64,7 +64,7 @@
             0,
         )
 
-    def _hasten_cascade(self) -> None:
+    def _make_cascade_due(self) -> None:
         """Make the whole cascade due, since this controller recorded the cancellation."""
         for job_id in self.context.replica.dependencies.cascade_cancelled:
             due = self.cascade_due.get(job_id, math.inf)
--- a/oakmux/core/autoscaling/consolidation.py
+++ b/oakmux/core/autoscaling/consolidation.py
@@ -121,7 +121,7 @@
         if machine.tasks.get(task, ("",))[0] != "running":
             return None
         now = self.context.now
-        stable = now - machine.since.get(task, now) >= constants.IDLE_KEEP_S
+        stable = now - machine.task_started_at.get(task, now) >= constants.IDLE_KEEP_S
         return job.spec if stable else None
 
     def _move_target(
--- a/oakmux/core/autoscaling/instance_inventory.py
+++ b/oakmux/core/autoscaling/instance_inventory.py
@@ -188,7 +188,7 @@
                 writes,
                 1,
             )
-        if len(self.returned) > constants.MAX_REMEMBERED:
+        if len(self.returned) > constants.MAX_CACHE_ENTRIES:
             self._forget_oldest()
 
     def _changed_types(self) -> list[StoreWrite]:
@@ -228,7 +228,7 @@
         return writes
 
     def _forget_oldest(self) -> None:
-        for name in list(self.returned)[: constants.MAX_REMEMBERED // 2]:
+        for name in list(self.returned)[: constants.MAX_CACHE_ENTRIES // 2]:
             if name not in self.context.replica.bindings.by_machine:
                 del self.returned[name]
                 self.record_touched_at.pop(name, None)
--- a/oakmux/core/context.py
+++ b/oakmux/core/context.py
@@ -42,13 +42,13 @@
     since 1970.
     """
 
-    def __init__(self, settings: Settings, rng: random.Random, wall: int) -> None:
+    def __init__(self, settings: Settings, rng: random.Random, wall_start_ms: int) -> None:
         self.settings = settings
         self.facts = settings.facts
         self.controller_id = settings.controller_id
         self.rng = rng
         self.now = 0.0
-        self.wall_start_ms = wall
+        self.wall_start_ms = wall_start_ms
         self.replica = Replica()
         self.failures = FailureAttribution(self.replica)
         self.types: dict[str, MachineType] = {}
@@ -101,13 +101,13 @@
         else:
             self.effects.append(SendToPeer(controller_id, message))
 
-    def call(self, then: Callable[..., None], operation: type[Effect], *args: Any) -> None:
-        """Start an operation; `then` gets its status and result when it is done.
+    def call(self, callback: Callable[..., None], operation: type[Effect], *args: Any) -> None:
+        """Start an operation; `callback` gets its status and result when it is done.
 
         `args` are the operation's fields after its number.
         """
         self._last_operation += 1
-        self.operations[self._last_operation] = then
+        self.operations[self._last_operation] = callback
         self.effects.append(operation(self._last_operation, *args))
 
     # --- time ---
@@ -117,11 +117,11 @@
         """The time of day in milliseconds, by which jobs' ages are recorded."""
         return self.wall_start_ms + int(self.now * 1000)
 
-    def note_store_answer(self, asked_at: float) -> None:
+    def note_store_answer(self, requested_at: float) -> None:
         """Note that the store answered a request for all changes that was sent at a time."""
         if self.now - self.store_seen_at >= constants.STORE_STALE_S:
             self.store_recovered_at = self.now
-        self.store_seen_at = max(self.store_seen_at, asked_at)
+        self.store_seen_at = max(self.store_seen_at, requested_at)
 
     # --- machines ---
 
@@ -150,7 +150,7 @@
         self.unresponsive.discard(name)
         self.replica.changes.touch(name)
         self.terminated[name] = None
-        while len(self.terminated) > constants.MAX_REMEMBERED:
+        while len(self.terminated) > constants.MAX_CACHE_ENTRIES:
             del self.terminated[next(iter(self.terminated))]
 
     # --- machine types ---
@@ -162,13 +162,13 @@
 
     def fits_type(self, spec: JobSpec, type_name: str) -> bool:
         """Whether a task of the job fits an empty machine of an allowed type."""
-        kind = self.types.get(type_name)
+        machine_type = self.types.get(type_name)
         return (
-            kind is not None
+            machine_type is not None
             and (spec.types is None or type_name in spec.types)
-            and spec.cpus <= kind.cpus
-            and spec.gpus <= kind.gpus
-            and spec.memory_gb <= kind.memory_gb
+            and spec.cpus <= machine_type.cpus
+            and spec.gpus <= machine_type.gpus
+            and spec.memory_gb <= machine_type.memory_gb
         )
 
     def fetch_s(self, spec: JobSpec, type_name: str) -> float:
--- a/oakmux/core/controller.py
+++ b/oakmux/core/controller.py
@@ -41,10 +41,10 @@
         self,
         settings: Settings,
         rng: random.Random,
-        wall: int,
+        wall_start_ms: int,
         subsystems: Sequence[Callable[[Context], Subsystem]] = (),
     ) -> None:
-        self.context = Context(settings, rng, wall)
+        self.context = Context(settings, rng, wall_start_ms)
         self.context.backfill = BackfillReservations(self.context)
         self.leadership = Leadership(self.context)
         self.agents = AgentManager(self.context, self.leadership)
@@ -124,7 +124,7 @@
 
     def _settle(self) -> None:
         """Propagate changes until there are no more, or for a few rounds."""
-        for _ in range(constants.SETTLE_ROUNDS):
+        for _ in range(constants.PROPAGATION_ROUNDS):
             self.peers.deliver_local()
             if not self._propagate():
                 break
@@ -194,15 +194,15 @@
     # --- news of the store and the cloud ---
 
     def _operation_done(self, command: messages.OperationDone) -> None:
-        then = self.context.operations.pop(command.operation, None)
-        if then is not None:
-            then(command.status, command.result)
+        callback = self.context.operations.pop(command.operation, None)
+        if callback is not None:
+            callback(command.status, command.result)
 
     def _load_snapshot(self, command: messages.LoadSnapshot) -> None:
         replica = self.context.replica
-        replica.load(command.rows, command.revision)
+        replica.load(command.records, command.revision)
         self._use_recorded_types()
-        self.context.note_store_answer(command.asked_at)
+        self.context.note_store_answer(command.requested_at)
         event("records_loaded", jobs=len(replica.jobs), revision=command.revision)
 
     def _apply_watch_events(self, command: messages.ApplyWatchEvents) -> None:
@@ -211,7 +211,7 @@
             replica.apply(key, value, mod_revision)
         replica.revision = max(replica.revision, command.revision)
         self._use_recorded_types()
-        self.context.note_store_answer(command.asked_at)
+        self.context.note_store_answer(command.requested_at)
 
     def _use_recorded_types(self) -> None:
         """Until the cloud answers, use the catalogue in the records."""
@@ -220,7 +220,7 @@
             self.context.types_changed()
 
     def _update_machine_types(self, command: messages.UpdateMachineTypes) -> None:
-        self.context.types = {kind.name: kind for kind in command.types}
+        self.context.types = {machine_type.name: machine_type for machine_type in command.types}
         self.context.types_changed()
 
     # --- health ---
--- a/oakmux/core/machine.py
+++ b/oakmux/core/machine.py
@@ -26,8 +26,8 @@
         "name",
         "notice_at",
         "sequence",
-        "since",
         "spot",
+        "task_started_at",
         "tasks",
         "type",
         "unreachable_signs",
@@ -42,7 +42,7 @@
         self.errors: list[str] = []
         self.idle_since: float | None = now
         self.first_heartbeat_at = now
-        self.since: dict[Task, float] = {}
+        self.task_started_at: dict[Task, float] = {}
         # When the cloud takes a spot instance back, if it has said so.
         self.notice_at: float | None = None
         # The controller that it reports to, and the term of that controller.
--- a/oakmux/core/messages.py
+++ b/oakmux/core/messages.py
@@ -73,13 +73,14 @@
 class ReceivePeerMessages(Command, frozen=True):
     """A peer sent messages.
 
-    `since` is the revision up to which it knows all cancellations; -1 if it does not say.
+    `known_revision` is the revision up to which the sender has all cancellations; -1 if it is not
+    in the request.
     """
 
     request: Any
     sender: str
     messages: list[PeerMessage]
-    since: int = -1
+    known_revision: int = -1
 
 
 # --- commands: news of the store, the cloud and the peers ---------------------------------------
@@ -97,19 +98,19 @@
 
 
 class LoadSnapshot(Command, frozen=True):
-    """All records of the store, as (key, value, mod revision), read from `asked_at` on."""
+    """All records of the store, as (key, value, mod revision), read from `requested_at` on."""
 
-    rows: list[tuple[str, Any, int]]
+    records: list[tuple[str, Any, int]]
     revision: int
-    asked_at: float
+    requested_at: float
 
 
 class ApplyWatchEvents(Command, frozen=True):
-    """Changes in the store, as (key, value or None, mod revision), asked for at `asked_at`."""
+    """Changes in the store, as (key, value or None, mod revision), asked for at `requested_at`."""
 
     events: list[tuple[str, Any, int]]
     revision: int
-    asked_at: float
+    requested_at: float
 
 
 class UpdateMachineTypes(Command, frozen=True):
@@ -119,18 +120,19 @@
 
 
 class PeerAnswered(Command, frozen=True):
-    """A peer answered a request sent at `asked_at`.
+    """A peer answered a request sent at `requested_at`.
 
-    It names the jobs cancelled since the revision that the request named, up to `until`; -1 if it
-    can't say up to where its list is complete. `store_age_s` is how old its records are.
+    `cancelled` lists the jobs cancelled after the known revision of the request, completely up to
+    `complete_revision`; -1 if the list may be incomplete. `store_age_s` is the age of the peer's
+    records.
     """
 
     controller_id: str
     incarnation: int
     store_age_s: float
     cancelled: list[str]
-    asked_at: float
-    until: int = -1
+    requested_at: float
+    complete_revision: int = -1
 
 
 class PeerRestarted(Command, frozen=True):
--- a/oakmux/core/model.py
+++ b/oakmux/core/model.py
@@ -43,7 +43,7 @@
     waits_on: tuple[str, ...] = ()
 
     @property
-    def joint(self) -> bool:
+    def gang_scheduled(self) -> bool:
         """Whether several tasks must start at once; a gang of one is placed like any task."""
         return self.kind == "gang" and self.tasks > 1
 
--- a/oakmux/core/peers/link.py
+++ b/oakmux/core/peers/link.py
@@ -40,8 +40,8 @@
         }
         # Handlers that need to know which controller sent the message.
         self.sender_handlers: dict[type[PeerMessage], Callable[[str, Any], None]] = {
-            peer_messages.MachinesAlive: self.views.take_alive,
-            peer_messages.MachineView: self.views.take,
+            peer_messages.MachinesAlive: self.views.receive_alive,
+            peer_messages.MachineView: self.views.receive_view,
         }
 
     def receive(self, command: messages.ReceivePeerMessages) -> None:
@@ -49,7 +49,7 @@
         for message in command.messages:
             self._handle(command.sender, message)
         context = self.context
-        cancelled, until = self.agents.cancellations.answer(command.since)
+        cancelled, until = self.agents.cancellations.answer(command.known_revision)
         context.answer(
             command.request,
             200,
@@ -66,7 +66,7 @@
     def deliver_local(self) -> None:
         """Handle the messages that we sent to ourselves, and those that they lead to."""
         context = self.context
-        for _ in range(constants.SETTLE_ROUNDS):
+        for _ in range(constants.PROPAGATION_ROUNDS):
             if not context.inbox:
                 return
             received, context.inbox = context.inbox, []
--- a/oakmux/core/peers/machine_views.py
+++ b/oakmux/core/peers/machine_views.py
@@ -25,7 +25,7 @@
         self.heartbeats = heartbeats
         self.peers = [member.controller_id for member in context.settings.peers]
         # The machine whose view was repeated last; the next ones by name are next.
-        self.last_repeated = ""
+        self.last_resent = ""
 
     def send(self, name: str, peers: Sequence[str], with_images: bool = False) -> None:
         """Send the view of a machine, if it reports to us."""
@@ -85,29 +85,29 @@
         message = MachinesAlive(alive)
         for peer in self.peers:
             context.send(peer, message)
-        self._repeat(sorted(alive))
+        self._resend_next(sorted(alive))
 
-    def _repeat(self, names: list[str]) -> None:
+    def _resend_next(self, names: list[str]) -> None:
         """Send some views again, in turn, also where nothing changed.
 
         A peer that heard a machine for a moment, of which we knew nothing then, would take it for
         one that does not receive our answers, and leave its capacity unused for ever.
         """
         count = math.ceil(len(names) * constants.PEER_HEARTBEAT_S / constants.VIEW_RESEND_S)
-        first = bisect.bisect_right(names, self.last_repeated)
+        first = bisect.bisect_right(names, self.last_resent)
         chosen = names[first : first + count]
         for name in chosen:
             self.send_to_all(name)
-        self.last_repeated = chosen[-1] if len(chosen) == count and chosen else ""
+        self.last_resent = chosen[-1] if len(chosen) == count and chosen else ""
 
-    def take_alive(self, sender: str, message: MachinesAlive) -> None:
+    def receive_alive(self, sender: str, message: MachinesAlive) -> None:
         """Note that machines reported to a peer of late."""
         for name in message.machines:
             machine = self.context.machines.get(name)
             if machine is not None and machine.manager == sender:
                 self.context.note_heartbeat(machine)
 
-    def take(self, sender: str, view: MachineView) -> None:
+    def receive_view(self, sender: str, view: MachineView) -> None:
         """Take over a peer's view of a machine unless it is older than what we know."""
         context = self.context
         machine = context.machines.get(view.machine)
--- a/oakmux/core/resources.py
+++ b/oakmux/core/resources.py
@@ -51,11 +51,11 @@
 
 def task_capacity(free: Resources, need: JobSpec | Resources) -> int:
     """Return how many tasks fit into the free resources; 1 if a task needs nothing."""
-    most = math.inf
+    capacity = math.inf
     if need.gpus > 0:
-        most = (free.gpus + constants.EPSILON) / need.gpus
+        capacity = (free.gpus + constants.EPSILON) / need.gpus
     if need.cpus > 0:
-        most = min(most, (free.cpus + constants.EPSILON) / need.cpus)
+        capacity = min(capacity, (free.cpus + constants.EPSILON) / need.cpus)
     if need.memory_gb > 0:
-        most = min(most, (free.memory_gb + constants.EPSILON) / need.memory_gb)
-    return 1 if most == math.inf else max(0, math.floor(most))
+        capacity = min(capacity, (free.memory_gb + constants.EPSILON) / need.memory_gb)
+    return 1 if capacity == math.inf else max(0, math.floor(capacity))
--- a/oakmux/core/scheduling/backfill_candidates.py
+++ b/oakmux/core/scheduling/backfill_candidates.py
@@ -37,7 +37,7 @@
     state = machine.tasks.get(task, ("",))[0]
     if state != RUNNING:  # it has yet to fetch its image, or waits for the rest of its gang
         return spec.estimate_s + context.fetch_s(spec, machine.type)
-    ran_s = context.now - machine.since.get(task, context.now)
+    ran_s = context.now - machine.task_started_at.get(task, context.now)
     overrun_s = max(constants.OVERRUN_MIN_S, constants.OVERRUN_SHARE * ran_s)
     return max(spec.estimate_s - ran_s, overrun_s if ran_s > spec.estimate_s else 0.0)
 
@@ -71,10 +71,10 @@
         return CandidateTask(resources, 0.0, 0.0)
     is_preemptible = (
         spec.kind != "service"
-        and not spec.joint
+        and not spec.gang_scheduled
         and (other.priority < job.priority or other.team in over_guarantee)
     )
     if not is_preemptible:
         return CandidateTask(resources, remaining_s(context, machine, bound.task, spec), 0.0)
-    ran_s = context.now - machine.since.get(bound.task, context.now)
+    ran_s = context.now - machine.task_started_at.get(bound.task, context.now)
     return CandidateTask(resources, 0.0, min(ran_s, spec.save_s) if spec.checkpoint_s else ran_s)
--- a/oakmux/core/scheduling/backfill_reservations.py
+++ b/oakmux/core/scheduling/backfill_reservations.py
@@ -71,7 +71,11 @@
         ):
             return False
         left_s = reservation.ready_at - self.context.now
-        if job.priority < reservation.priority and spec.kind != "service" and not spec.joint:
+        if (
+            job.priority < reservation.priority
+            and spec.kind != "service"
+            and not spec.gang_scheduled
+        ):
             return left_s < constants.BACKFILL_FREEZE_S
         fetch_s = max(
             (self.context.fetch_s(spec, name) for name in self.context.types), default=0.0
--- a/oakmux/core/scheduling/binding.py
+++ b/oakmux/core/scheduling/binding.py
@@ -145,9 +145,11 @@
             or context.now < state.retry_at
         ):
             return False
-        if self.quota_claims.exceeds_limit(job, job.spec, job.spec.tasks if job.spec.joint else 1):
+        if self.quota_claims.exceeds_limit(
+            job, job.spec, job.spec.tasks if job.spec.gang_scheduled else 1
+        ):
             return False
-        if job.spec.joint:
+        if job.spec.gang_scheduled:
             return self._accept_gang_offer(job, job.spec, state, offer)
         return self._collect_offer(job, job.spec, state, offer)
 
@@ -268,7 +270,7 @@
         spec = job.spec
         if (
             spec is not None
-            and spec.joint
+            and spec.gang_scheduled
             and spec.checkpoint_s
             and visible_tasks.get(task, ("",))[0] == RUNNING
         ):
--- a/oakmux/core/scheduling/failure_attribution.py
+++ b/oakmux/core/scheduling/failure_attribution.py
@@ -21,7 +21,7 @@
         machines = self.failed_on.setdefault(job_id, set())
         if len(machines) < constants.SUSPECT_MACHINES + 1:
             machines.add(machine)
-        if len(self.failed_on) > constants.MAX_REMEMBERED:
+        if len(self.failed_on) > constants.MAX_CACHE_ENTRIES:
             self.failed_on = {
                 other: machines
                 for other, machines in self.failed_on.items()
--- a/oakmux/core/scheduling/machine_index.py
+++ b/oakmux/core/scheduling/machine_index.py
@@ -279,7 +279,7 @@
                 job is not None
                 and job.spec is not None
                 and job.spec.kind != "service"
-                and not job.spec.joint
+                and not job.spec.gang_scheduled
             ):
                 work.priorities.add(job.priority)
                 work.teams.add(job.team)
@@ -303,7 +303,7 @@
         )
         order = self.class_orders.get(key)
         if order is None:
-            if len(self.class_orders) >= constants.MAX_REMEMBERED:
+            if len(self.class_orders) >= constants.MAX_CACHE_ENTRIES:
                 self.class_orders.clear()
             ranked = [
                 (rank, capacity)
--- a/oakmux/core/scheduling/minimum_share.py
+++ b/oakmux/core/scheduling/minimum_share.py
@@ -47,7 +47,7 @@
             job
             for job in jobs
             if job.spec is not None
-            and not job.spec.joint
+            and not job.spec.gang_scheduled
             and fits_resources(free, job.spec)
             and is_aged(self.context, job, job.spec)
         ]
--- a/oakmux/core/scheduling/pending_queues.py
+++ b/oakmux/core/scheduling/pending_queues.py
@@ -115,7 +115,7 @@
         job.team,
         job.priority,
         spec.kind,
-        spec.tasks if spec.joint else 0,
+        spec.tasks if spec.gang_scheduled else 0,
         requirements_of(context, spec),
         spec.gpus,
         spec.zone,
--- a/oakmux/core/scheduling/queue_order.py
+++ b/oakmux/core/scheduling/queue_order.py
@@ -37,7 +37,7 @@
     Gangs starve earlier: they need capacity for all tasks at once, and most of the work that runs
     on it has to end first.
     """
-    joint = job.spec is not None and job.spec.joint
+    joint = job.spec is not None and job.spec.gang_scheduled
     return constants.START_LIMIT_S * (
         constants.STARVATION_GANG_SHARE if joint else constants.STARVATION_SHARE
     )
@@ -48,7 +48,9 @@
     if spec.kind != "array" or is_starving(context, job):
         return job.since
     work = spec.tasks * spec.estimate_s * max(spec.gpus, constants.CPU_TASK_GPUS)
-    return job.since + 1000 * min(constants.ARRAY_AGE_CUT_MAX_S, work / context.array_share_gpus)
+    return job.since + 1000 * min(
+        constants.ARRAY_AGE_REDUCTION_MAX_S, work / context.array_share_gpus
+    )
 
 
 def misses_objective(context: Context, job: Job, spec: JobSpec) -> bool:
--- a/oakmux/core/scheduling/sampling.py
+++ b/oakmux/core/scheduling/sampling.py
@@ -161,7 +161,7 @@
         state.next_sample_at = context.now + constants.RESAMPLE_S
         probes = min(math.ceil(constants.PROBE_RATIO * wanted), constants.MAX_RESERVATIONS_PER_JOB)
         sample = Sample(job, spec, state, shape, allowed, wanted, probes)
-        if spec.joint:
+        if spec.gang_scheduled:
             self._sample_gang(sample)
         else:
             self._sample_tasks(sample)
@@ -179,7 +179,7 @@
         wanted = self.buffer.unbound_tasks(job)
         if spec.kind == "gang" and bound:
             return 0  # a new attempt waits until every task of the old one has ended
-        if not spec.joint and self.context.failures.is_suspect(job):
+        if not spec.gang_scheduled and self.context.failures.is_suspect(job):
             # It fails on every machine: one task at a time. An array with a mistake would
             # otherwise take hundreds of places, and as many image fetches, at each attempt.
             return min(wanted, 0 if bound else 1)
--- a/oakmux/core/state/job_records.py
+++ b/oakmux/core/state/job_records.py
@@ -167,5 +167,5 @@
 
     def _note_deleted(self, key: str, mod_revision: int) -> None:
         self.deleted_blocks[key] = mod_revision
-        if len(self.deleted_blocks) > constants.MAX_REMEMBERED:
+        if len(self.deleted_blocks) > constants.MAX_CACHE_ENTRIES:
             del self.deleted_blocks[next(iter(self.deleted_blocks))]
--- a/oakmux/core/state/replica.py
+++ b/oakmux/core/state/replica.py
@@ -129,7 +129,7 @@
                 self.namespaces[kind].apply(rest, value, mod_revision)
         except CONVERSION_ERRORS as error:  # with all RecordErrors
             # Of a version that we don't know: logged once a key, not at each change.
-            if key not in self.unreadable and len(self.unreadable) < constants.MAX_REMEMBERED:
+            if key not in self.unreadable and len(self.unreadable) < constants.MAX_CACHE_ENTRIES:
                 self.unreadable.add(key)
                 log.error("event=unreadable_record key=%s why=%r", key, str(error))
 
--- a/oakmux/transport/store_client.py
+++ b/oakmux/transport/store_client.py
@@ -220,7 +220,7 @@
     def _log_refusal(self, status: int, guards: list[Any], writes: list[Any], answer: Any) -> None:
         """Log once a key that a transaction was refused; values are the users' and not logged."""
         key = writes[0][0] if writes else guards[0][0] if guards else "none"
-        if (status, key) in self.refused or len(self.refused) >= constants.MAX_REMEMBERED:
+        if (status, key) in self.refused or len(self.refused) >= constants.MAX_CACHE_ENTRIES:
             return
         self.refused.add((status, key))
         size = max((value_bytes(write[1]) for write in writes if len(write) > 1), default=0)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -83,7 +83,7 @@
     context = core.context
     first, second = (context.machines[name] for name in sorted(context.machines)[:2])
     for machine in (first, second):
-        machine.tasks, machine.images, machine.since = {}, {}, {}
+        machine.tasks, machine.images, machine.task_started_at = {}, {}, {}
         context.replica.changes.touch(machine.name)
     bound = Binding(1, first.name, first.agent_epoch, 1, first.zone)
     context.replica.bindings.by_machine = {first.name: {("job-1", 0): bound}}
