--- a/oakmux/core/scheduling/queue_order.py
+++ b/oakmux/core/scheduling/queue_order.py
@@ -37,7 +37,7 @@
     Gangs starve earlier: they need capacity for all tasks at once, and most of the work that runs
     on it has to end first.
     """
-    joint = job.spec is not None and job.spec.joint
+    joint = job.spec is not None and job.spec.gang_scheduled
     return constants.START_LIMIT_S * (
         constants.STARVATION_GANG_SHARE if joint else constants.STARVATION_SHARE
     )
@@ -49,7 +49,7 @@
         return job.eligible_ms
     work = spec.tasks * spec.estimate_s * max(spec.gpus, constants.CPU_TASK_GPUS)
     return job.eligible_ms + 1000 * min(
-        constants.ARRAY_AGE_CUT_MAX_S, work / context.array_share_gpus
+        constants.ARRAY_AGE_REDUCTION_MAX_S, work / context.array_share_gpus
     )
 
 
