--- a/oakmux/core/agents/cancellation_log.py
+++ b/oakmux/core/agents/cancellation_log.py
@@ -35,7 +35,7 @@
         # cancellations; and the time up to which each peer named all that it told users.
         self.replicated_revision = 0
         self.replicated_at = constants.NEVER
-        self.acknowledged_at: dict[str, float] = {}
+        self.peer_complete_until: dict[str, float] = {}
 
     @property
     def revision(self) -> int:
@@ -47,11 +47,14 @@
         context = self.context
         known = max(context.store_seen_at, self.replicated_at)
         members = context.settings.peers
-        if all(m.controller_id in self.acknowledged_at for m in members):
+        if all(m.controller_id in self.peer_complete_until for m in members):
             # Each of them has named all cancellations that it told users of until then.
             known = max(
                 known,
-                min((self.acknowledged_at[m.controller_id] for m in members), default=context.now),
+                min(
+                    (self.peer_complete_until[m.controller_id] for m in members),
+                    default=context.now,
+                ),
             )
         return known
 
@@ -84,29 +87,29 @@
         job = self.context.replica.jobs.get(job_id)
         return job_id in self.cancelled or (job is not None and job.state == "cancelled")
 
-    def cancelled_unseen_for(self, seconds: float) -> bool:
+    def has_unrecorded_older_than(self, seconds: float) -> bool:
         """Whether a cancellation that our records lack may be that old.
 
         Bindings of the job made in the meantime are then missing in our records too.
         """
         return any(self.context.now - at >= seconds for at in self.cancelled.values())
 
-    def answer(self, since: int) -> tuple[list[str], int]:
+    def list_for_peer(self, after_revision: int) -> tuple[list[str], int]:
         """Answer a peer that knows all cancellations up to a revision.
 
         Returns:
             The jobs cancelled after it, and the revision up to which these are complete; -1 if
             they may be incomplete.
         """
-        if since < 0:  # an earlier version, which does not say up to where it knows them
+        if after_revision < 0:  # an earlier version, which does not say up to where it knows them
             return [
                 job
                 for _, job in self.context.replica.cancellations.by_revision[
                     -constants.CANCELLATIONS_SENT_UNASKED :
                 ]
             ], -1
-        found = self.context.replica.cancellations.since(since)
-        return ([], -1) if found is None else (found, self.context.replica.revision)
+        job_ids = self.context.replica.cancellations.since(after_revision)
+        return ([], -1) if job_ids is None else (job_ids, self.context.replica.revision)
 
     def peer_answered(self, answer: PeerAnswered) -> None:
         """Take a peer's answer: it lives, and what was cancelled.
@@ -123,15 +126,15 @@
             asked: when the request was sent (s); an answer that was delayed is that old.
             until: the revision up to which the list is complete, or -1.
         """
-        label, asked, until = answer.controller_id, answer.asked_at, answer.until
-        store_seen_at = asked - answer.store_age_s
+        peer, asked_at, complete_revision = answer.controller_id, answer.asked_at, answer.until
+        store_seen_at = asked_at - answer.store_age_s
         if answer.incarnation:
-            self.peer_seen_at[label] = asked
-            self.peer_store_seen_at[label] = max(
-                self.peer_store_seen_at.get(label, constants.NEVER), store_seen_at
+            self.peer_seen_at[peer] = asked_at
+            self.peer_store_seen_at[peer] = max(
+                self.peer_store_seen_at.get(peer, constants.NEVER), store_seen_at
             )
         not_before = self.cancels_known_until()
-        complete = bool(answer.incarnation) and until >= 0
+        complete = bool(answer.incarnation) and complete_revision >= 0
         for job_id in answer.cancelled:
             job = self.context.replica.jobs.get(job_id)
             if job_id in self.cancelled or (job is not None and job.final):
@@ -142,13 +145,13 @@
             self.cancelled[job_id] = not_before
             self.reconcile_job(job_id)
         if complete:
-            self.replicated_revision = max(self.replicated_revision, until)
+            self.replicated_revision = max(self.replicated_revision, complete_revision)
             self.replicated_at = max(self.replicated_at, store_seen_at)
-            self.acknowledged_at[label] = max(
-                self.acknowledged_at.get(label, constants.NEVER), asked
+            self.peer_complete_until[peer] = max(
+                self.peer_complete_until.get(peer, constants.NEVER), asked_at
             )
 
-    def forget(self) -> None:
+    def drop_recorded(self) -> None:
         """Drop cancellations that our own records show by now."""
         jobs = self.context.replica.jobs
         for job_id in [j for j in self.cancelled if j in jobs and jobs[j].final]:
--- a/oakmux/core/agents/heartbeats.py
+++ b/oakmux/core/agents/heartbeats.py
@@ -62,7 +62,7 @@
         tracked.answered_starts.clear()
         if machine is None or machine.manager != context.controller_id:
             tracked.attached_at = context.now
-        machine = self.take(tracked, heartbeat)
+        machine = self.accept_heartbeat(tracked, heartbeat)
         peer = self._peer_with_store()
         if peer is not None:
             context.answer(request, 421, ("report_to", peer))
@@ -119,14 +119,14 @@
     def _answer_commands(self, request: Any, tracked: TrackedWorker, machine: Machine) -> None:
         """Answer with the commands that a worker needs, and offer what is free on its machine."""
         context = self.context
-        commands, starts = self.commands.commands(tracked, machine, forget=True)
+        commands, starts = self.commands.commands(tracked, machine, end_unbound=True)
         tracked.answered_starts.update(starts)
         context.answer(request, 200, ("orders", context.term, commands))
         if starts:
             context.changed_workers.add(machine.name)
         self.queue.offer(machine.name)
 
-    def take(self, tracked: TrackedWorker, heartbeat: Heartbeat) -> Machine:
+    def accept_heartbeat(self, tracked: TrackedWorker, heartbeat: Heartbeat) -> Machine:
         """Apply a heartbeat newer than the last, and resolve the start commands that it shows."""
         context = self.context
         for task, term in list(tracked.unresolved_starts.items()):
@@ -198,14 +198,14 @@
     if changed:
         context.changed_workers.add(machine.name)
         context.replica.changes.touch(machine.name)
-        note_task_results(context, machine, before)
+        record_task_results(context, machine, before)
 
 
-def note_task_results(
+def record_task_results(
     context: Context, machine: Machine, before: dict[Task, tuple[str, str, bool]]
 ) -> None:
     """Update images, failures, run times and idleness of a machine by its tasks' status."""
-    live = []
+    live_specs = []
     for task, (state, why, _) in machine.tasks.items():
         job_id = task[0].partition("/")[0]
         job = context.replica.jobs.get(job_id)
@@ -214,11 +214,11 @@
         if state == RUNNING and old[0] != RUNNING and machine.manager == context.controller_id:
             event("task_running", task=task[0], attempt=task[1], machine=machine.name)
         if state != EXITED and spec is not None:
-            live.append(spec)
+            live_specs.append(spec)
         if state == EXITED and old[0] != EXITED:
-            _note_exit(context, machine, task, why, spec, old[0])
-    for spec in live:
-        hold_image(context, machine, spec.image, spec.image_gb)
+            _record_exit(context, machine, task, why, spec, old[0])
+    for spec in live_specs:
+        record_image_use(context, machine, spec.image, spec.image_gb)
     # Since when each task runs; a task that does not run yet has no work to lose.
     machine.since = {
         task: machine.since.get(task, context.now)
@@ -233,7 +233,7 @@
         machine.idle_since = context.now
 
 
-def _note_exit(
+def _record_exit(
     context: Context, machine: Machine, task: Task, why: str, spec: JobSpec | None, old_state: str
 ) -> None:
     """Record whether a task failed on a machine, and whether its image was fetched."""
@@ -251,8 +251,8 @@
         machine.images.pop(spec.image, None)  # a fetch that no task needs is aborted
 
 
-def hold_image(context: Context, machine: Machine, image: str, size_gb: float) -> None:
+def record_image_use(context: Context, machine: Machine, image: str, size_gb: float) -> None:
     """Note that a machine uses an image now, which may evict others from its cache."""
-    kind = context.types.get(machine.type)
+    machine_type = context.types.get(machine.type)
     context.replica.changes.stale_machines.add(machine.name)  # no `touch`: its room stays as it is
-    machine.use_image(image, size_gb, math.inf if kind is None else kind.cache_gb)
+    machine.use_image(image, size_gb, math.inf if machine_type is None else machine_type.cache_gb)
--- a/oakmux/core/agents/manager.py
+++ b/oakmux/core/agents/manager.py
@@ -22,15 +22,18 @@
         self.heartbeats = HeartbeatHandler(
             context, self.workers, self.cancellations, leadership, self.commands, self.queue
         )
-        self.commands.take = self.heartbeats.take
+        self.commands.accept_heartbeat = self.heartbeats.accept_heartbeat
         self.next_delayed_check_at = 0.0
 
     def tick(self) -> None:
         """Reconcile the machines that need it, and check delayed starts once a tick."""
-        if self.commands.with_delayed_starts and self.context.now >= self.next_delayed_check_at:
+        if (
+            self.commands.machines_with_delayed_starts
+            and self.context.now >= self.next_delayed_check_at
+        ):
             self.next_delayed_check_at = self.context.now + constants.TICK_S
-            self.workers.to_reconcile |= self.commands.with_delayed_starts
-            self.commands.with_delayed_starts = set()
+            self.workers.to_reconcile |= self.commands.machines_with_delayed_starts
+            self.commands.machines_with_delayed_starts = set()
         to_reconcile, self.workers.to_reconcile = self.workers.to_reconcile, set()
         for name in to_reconcile:
             self.commands.reconcile(name)
--- a/oakmux/core/agents/preemption.py
+++ b/oakmux/core/agents/preemption.py
@@ -81,7 +81,7 @@
         lost_work_s += candidate.lost_work_s
     if not chosen or not fits_resources(free, spec):
         return None
-    return _without_needless(chosen, lost_work_s, free, spec)
+    return _drop_unneeded(chosen, lost_work_s, free, spec)
 
 
 def _candidates(
@@ -132,7 +132,7 @@
     return lost_work_s + job.priority**2 * constants.VICTIM_PRIORITY_COST_S * weight
 
 
-def _without_needless(
+def _drop_unneeded(
     chosen: list[PreemptionCandidate], lost_work_s: float, free: Resources, spec: JobSpec
 ) -> Preemption:
     """Drop tasks whose end is not needed beside that of the tasks chosen after them."""
--- a/oakmux/core/agents/reachability.py
+++ b/oakmux/core/agents/reachability.py
@@ -13,13 +13,13 @@
 from oakmux.core.model import Heartbeat
 
 
-def assess_new_machine(context: Context, machine: Machine, ours: bool, term: int) -> None:
+def assess_new_machine(context: Context, machine: Machine, sent_here: bool, term: int) -> None:
     """Set the reachability of a machine that this controller did not know.
 
     A heartbeat to us proves nothing, whatever it says. One to a peer proves that the worker
     received an answer of that peer if it shows the peer's term.
     """
-    if ours or machine.fencing_token != term:
+    if sent_here or machine.fencing_token != term:
         machine.unreachable_signs = constants.UNREACHABLE_SIGNS
         machine.unreachable_since = context.now
 
--- a/oakmux/core/agents/reservation_queue.py
+++ b/oakmux/core/agents/reservation_queue.py
@@ -51,9 +51,9 @@
         machine = self.context.machines.get(name)
         if tracked is None or machine is None or machine.manager != self.context.controller_id:
             return
-        known = tracked.queue.get(job_id)
-        if known is not None:
-            known.count = max(known.count, count)
+        queued = tracked.queue.get(job_id)
+        if queued is not None:
+            queued.count = max(queued.count, count)
         elif len(tracked.queue) < constants.MAX_RESERVATIONS_PER_MACHINE:
             tracked.queue[job_id] = Reservation(job_id, count, self.context.now)
         if request.preempt:
@@ -147,12 +147,12 @@
         ranked = self._rank(tracked, name, free)
         free = self._grant_aged(tracked, machine, ranked, free)
         machine_type = context.types[machine.type]
-        for row in ranked:
-            if row.job.team not in context.replica.roles:
+        for entry in ranked:
+            if entry.job.team not in context.replica.roles:
                 continue
-            while row.reservation.count > 0 and fits_resources(free, row.spec):
-                free = self._grant(tracked, machine, row.job, row.spec, free)
-                self.minimum_share.granted_by_rank(row.spec, machine_type)
+            while entry.reservation.count > 0 and fits_resources(free, entry.spec):
+                free = self._grant(tracked, machine, entry.job, entry.spec, free)
+                self.minimum_share.granted_by_rank(entry.spec, machine_type)
 
     def _may_offer(self, machine: Machine) -> bool:
         """Whether tasks that are bound to a machine now could be started by us."""
@@ -176,7 +176,7 @@
                 job is None
                 or job.final
                 or job.spec is None
-                or context.now - reservation.since > constants.RETRY_MAX_S
+                or context.now - reservation.queued_at > constants.RETRY_MAX_S
             ):
                 del tracked.queue[reservation.job_id]
                 continue
@@ -187,7 +187,7 @@
             # machines, one must come first at all of them.
             rank = queue_rank(context, job, spec, usage)
             ranked.append(RankedReservation(rank, job.since, job.id, reservation, job, spec))
-        ranked.sort(key=lambda row: row[:3])
+        ranked.sort(key=lambda entry: entry[:3])
         return ranked
 
     def _grant_aged(
@@ -201,7 +201,7 @@
         roles = self.context.replica.roles
         machine_type = self.context.types[machine.type]
         oldest = self.minimum_share.due_job(
-            machine_type, free, (row.job for row in ranked if row.job.team in roles)
+            machine_type, free, (entry.job for entry in ranked if entry.job.team in roles)
         )
         if oldest is None or oldest.spec is None:
             return free
--- a/oakmux/core/agents/tracked_workers.py
+++ b/oakmux/core/agents/tracked_workers.py
@@ -9,12 +9,12 @@
 class Reservation:
     """A job's place in a machine's queue."""
 
-    __slots__ = ("count", "job_id", "since")
+    __slots__ = ("count", "job_id", "queued_at")
 
-    def __init__(self, job_id: str, count: int, since: float) -> None:
+    def __init__(self, job_id: str, count: int, queued_at: float) -> None:
         self.job_id = job_id
         self.count = count  # tasks that the job would start on the machine
-        self.since = since  # when it was queued (s)
+        self.queued_at = queued_at  # when it was queued (s)
 
 
 class Offer(NamedTuple):
--- a/oakmux/core/agents/worker_commands.py
+++ b/oakmux/core/agents/worker_commands.py
@@ -40,17 +40,19 @@
         self.cancellations = cancellations
         self.leadership = leadership
         # Takes a heartbeat that answers direct commands; set by the agent manager.
-        self.take: Callable[[TrackedWorker, Heartbeat], Machine]
+        self.accept_heartbeat: Callable[[TrackedWorker, Heartbeat], Machine]
         # Machines where a start is held back until others of its gang have their image.
-        self.with_delayed_starts: set[str] = set()
+        self.machines_with_delayed_starts: set[str] = set()
 
-    def commands(self, tracked: TrackedWorker, machine: Machine, forget: bool) -> CommandBatch:
+    def commands(
+        self, tracked: TrackedWorker, machine: Machine, end_unbound: bool
+    ) -> CommandBatch:
         """Return the commands that a machine needs now.
 
         Args:
             tracked: what is remembered of the machine's worker.
             machine: the machine as last reported.
-            forget: whether to end tasks without a binding as well.
+            end_unbound: whether to end tasks without a binding as well.
         """
         replica = self.context.replica
         batch = CommandBatch([], [])
@@ -72,7 +74,7 @@
                 self._stop(tracked, machine, batch.commands, task, status[0], job, ended)
         batch.commands.extend(self.stop_cancelled(tracked, machine, bound_tasks))
         self._drop_outdated(tracked, machine, bound_tasks)
-        if forget:
+        if end_unbound:
             self._end_unbound(tracked, machine, batch.commands, bound_tasks)
         return batch
 
@@ -101,7 +103,7 @@
                 tracked.refused_starts.add(task)
                 context.changed_workers.add(machine.name)
         elif self._waits_for_gang_images(tracked, machine, job, binding, task):
-            self.with_delayed_starts.add(machine.name)
+            self.machines_with_delayed_starts.add(machine.name)
         elif task not in tracked.refused_starts and self.cancellations.store_fresh():
             batch.commands.append(command_body("start", *task))
             batch.starts.append(task)
@@ -151,7 +153,9 @@
         if (
             machine.fencing_token > context.term
             and tracked.attached_at + context.facts.workers.lease_s > context.store_seen_at
-            and self.cancellations.cancelled_unseen_for(self.cancellations.staleness_bound_s())
+            and self.cancellations.has_unrecorded_older_than(
+                self.cancellations.staleness_bound_s()
+            )
         ):
             # Its former controller, which could command it for one more lease at most, may have
             # started a task of a job that was cancelled since and whose binding we never saw.
@@ -160,9 +164,9 @@
             machine.name, {}
         ).items():
             task = (f"{job_id}/{index}", binding.attempt)
-            sent = binding.term != context.term or task in tracked.unresolved_starts
+            start_sent = binding.term != context.term or task in tracked.unresolved_starts
             if (
-                sent
+                start_sent
                 and binding.agent_epoch == machine.agent_epoch
                 and machine.fencing_token <= binding.term
                 and task not in machine.tasks
@@ -184,9 +188,11 @@
         context, spec = self.context, job.spec
         if spec is None or not spec.joint or spec.image not in machine.images:
             return False
-        slowest = context.fetch_s(spec, machine.type) * constants.FETCH_TIME_FACTOR
-        patience = slowest - context.facts.workers.gang_wait_s * constants.GANG_WAIT_SHARE
-        if context.now - tracked.delayed_since.setdefault(task, context.now) >= patience:
+        longest_fetch_s = context.fetch_s(spec, machine.type) * constants.FETCH_TIME_FACTOR
+        max_delay_s = (
+            longest_fetch_s - context.facts.workers.gang_wait_s * constants.GANG_WAIT_SHARE
+        )
+        if context.now - tracked.delayed_since.setdefault(task, context.now) >= max_delay_s:
             return False
         for block in job.blocks.values():
             for index, other in block.bound.items():
@@ -251,9 +257,9 @@
         """End tasks without a binding: let the worker forget exited ones, stop the others."""
         context = self.context
         orphans = {
-            t: tracked.unbound_since.get(t, context.now)
-            for t in machine.tasks
-            if t not in bound_tasks
+            task: tracked.unbound_since.get(task, context.now)
+            for task in machine.tasks
+            if task not in bound_tasks
         }
         tracked.unbound_since = orphans
         if not self.cancellations.store_fresh():
@@ -285,7 +291,7 @@
             or context.now - machine.last_heartbeat_at > context.facts.workers.lease_s
         ):
             return
-        commands, starts = self.commands(tracked, machine, forget=False)
+        commands, starts = self.commands(tracked, machine, end_unbound=False)
         if not commands:
             return
         term = context.term
@@ -323,7 +329,7 @@
         if heartbeat is not None and heartbeat.machine == name:
             machine = context.machines.get(name)
             if machine is None or (heartbeat.agent_epoch, heartbeat.sequence) > machine.version:
-                self.take(tracked, heartbeat)
+                self.accept_heartbeat(tracked, heartbeat)
         context.changed_workers.add(name)
         if heartbeat is not None and heartbeat.fencing_token > context.term:
             self.leadership.need_term_above(heartbeat.fencing_token)
--- a/oakmux/core/autoscaling/autoscaler.py
+++ b/oakmux/core/autoscaling/autoscaler.py
@@ -18,7 +18,7 @@
         self.inventory = InstanceInventory(context)
         self.scale_out = ScaleOut(context, cancellations, self.inventory)
         self.scale_in = ScaleIn(context, cancellations, self.inventory)
-        self.next_pass = 0.0
+        self.next_pass_at = 0.0
 
     def on_role_acquired(self) -> None:
         """Start afresh when the fleet role is acquired."""
@@ -36,8 +36,8 @@
         if FLEET not in context.held_roles or not context.types:
             return
         self.inventory.request_list()
-        if context.now >= self.next_pass and self.cancellations.store_fresh():
-            self.next_pass = context.now + constants.AUTOSCALING_INTERVAL_S
+        if context.now >= self.next_pass_at and self.cancellations.store_fresh():
+            self.next_pass_at = context.now + constants.AUTOSCALING_INTERVAL_S
             self.inventory.write_records()
             slots = self.scale_out.plan()
             if not self.scale_out.unplaced:
--- a/oakmux/core/autoscaling/demand_placement.py
+++ b/oakmux/core/autoscaling/demand_placement.py
@@ -46,7 +46,7 @@
         self.context = context
         self.rentals = rentals
         self.slots = expected.slots()
-        self.troubled = expected.troubled
+        self.unreliable_kinds = expected.unreliable_kinds
         self.pool = SlotPool(context, self.slots)
         # How many instances of each kind are to be rented.
         self.to_rent: dict[InstanceKind, int] = {}
@@ -118,7 +118,7 @@
                     if no_capacity_until.get(kind, 0.0) > now:
                         continue
                     candidate = (
-                        kind in self.troubled,
+                        kind in self.unreliable_kinds,
                         machine_type.spot_price if spot else machine_type.price,
                         self.machines_by_zone[zone],
                         context.rng.random(),
--- a/oakmux/core/autoscaling/expected_capacity.py
+++ b/oakmux/core/autoscaling/expected_capacity.py
@@ -22,7 +22,7 @@
         self.inventory = inventory
         self.rentals = rentals
         # Kinds with boot trouble of late; others are preferred.
-        self.troubled: set[InstanceKind] = set()
+        self.unreliable_kinds: set[InstanceKind] = set()
 
     def slots(self) -> list[Slot]:
         """Return the slots of all machines that are up, booting or requested."""
@@ -36,7 +36,7 @@
                 machine.name,
                 InstanceKind(machine.type, machine.zone, machine.spot),
                 free_resources(context, machine),
-                coming=False,
+                booting=False,
             )
             for machine in context.machines.values()
             if counts_as_capacity(context, machine)
@@ -51,7 +51,7 @@
             machine_type = context.types.get(instance.kind.type)
             if (
                 name in context.machines
-                or name in self.inventory.returned
+                or name in self.inventory.terminated_at
                 or machine_type is None
                 or instance.state == InstanceState.FAILED
             ):
@@ -66,7 +66,7 @@
                 if late.total() % 2:
                     continue
             slots.append(empty_slot(name, instance.kind, machine_type))
-        self._update_troubled(late)
+        self._update_unreliable_kinds(late)
         return slots
 
     def _requested(self) -> list[Slot]:
@@ -76,7 +76,7 @@
             for _ in range(request.size)
         ]
 
-    def _update_troubled(self, late: Counter[InstanceKind]) -> None:
+    def _update_unreliable_kinds(self, late: Counter[InstanceKind]) -> None:
         """Find the kinds with several late or failed boots within BOOT_TROUBLE_S."""
         inventory, now = self.inventory, self.context.now
         inventory.failed_boots = [
@@ -85,8 +85,10 @@
             if now - failed.at < constants.BOOT_TROUBLE_S
         ]
         late.update(failed.kind for failed in inventory.failed_boots)
-        troubled = {kind for kind, count in late.items() if count >= constants.BOOT_TROUBLE_COUNT}
-        for kind in troubled - self.troubled:
+        unreliable_kinds = {
+            kind for kind, count in late.items() if count >= constants.BOOT_TROUBLE_COUNT
+        }
+        for kind in unreliable_kinds - self.unreliable_kinds:
             event(
                 "slow_boots",
                 type=kind.type,
@@ -94,4 +96,4 @@
                 spot=int(kind.spot),
                 late=late[kind],
             )
-        self.troubled = troubled
+        self.unreliable_kinds = unreliable_kinds
--- a/oakmux/core/autoscaling/instance_inventory.py
+++ b/oakmux/core/autoscaling/instance_inventory.py
@@ -52,14 +52,14 @@
         self.role_acquired_at = 0.0
         self.instances: dict[str, Instance] = {}
         # Machines that are certainly terminated, and when that was found.
-        self.returned: dict[str, float] = {}
+        self.terminated_at: dict[str, float] = {}
         # Machines whose return the cloud has not confirmed yet.
         self.returning: set[str] = set()
         self.failed_boots: list[FailedBoot] = []
         # When a machine was first known; lists requested soon after may not show it yet.
         self.known_since: dict[str, float] = {}
-        self.listing = False
-        self.next_list = 0.0
+        self.list_in_flight = False
+        self.next_list_at = 0.0
         # Calls to the cloud pause until then.
         self.cloud_retry_at = 0.0
         # When the termination record of a machine was last written, needed or deleted.
@@ -71,7 +71,7 @@
         self.instances.clear()
         self.known_since.clear()
         self.returning.clear()
-        self.next_list = 0.0
+        self.next_list_at = 0.0
 
     def back_off(self) -> None:
         """Pause calls to the cloud after one that failed."""
@@ -80,47 +80,48 @@
     def request_list(self) -> None:
         """Request the cloud's list when it is due."""
         context = self.context
-        if self.listing or context.now < max(self.next_list, self.cloud_retry_at):
+        if self.list_in_flight or context.now < max(self.next_list_at, self.cloud_retry_at):
             return
-        self.listing = True
-        self.next_list = (
+        self.list_in_flight = True
+        self.next_list_at = (
             context.now + constants.LIST_INTERVAL_LAGS * context.facts.cloud.list_lag_s
         )
         requested_at = context.now
         context.call(
-            lambda status, rows: self._on_list(requested_at, status, rows), messages.ListInstances
+            lambda status, instances: self._on_list(requested_at, status, instances),
+            messages.ListInstances,
         )
 
-    def _on_list(self, requested_at: float, status: int, rows: list[ListedInstance]) -> None:
+    def _on_list(self, requested_at: float, status: int, instances: list[ListedInstance]) -> None:
         context = self.context
-        self.listing = False
+        self.list_in_flight = False
         if status != 200:
             self.back_off()
             return
         listed = set()
-        for row in rows:
-            listed.add(row.name)
-            if row.name not in self.returned:
-                self._update_listed(row, requested_at)
+        for entry in instances:
+            listed.add(entry.name)
+            if entry.name not in self.terminated_at:
+                self._update_listed(entry, requested_at)
         known = {*self.instances, *context.machines, *context.replica.bindings.by_machine}
         for name in known - listed:
             self._check_absent(name, requested_at)
 
-    def _update_listed(self, row: ListedInstance, requested_at: float) -> None:
+    def _update_listed(self, entry: ListedInstance, requested_at: float) -> None:
         # Known from here on, not from the first list that lacks it: after a takeover of the fleet
         # role, a machine that vanished would be proven terminated later than it could be.
-        self.known_since.setdefault(row.name, requested_at)
-        instance = self.instances.get(row.name)
+        self.known_since.setdefault(entry.name, requested_at)
+        instance = self.instances.get(entry.name)
         if instance is None:
-            instance = Instance(row.kind, row.state, requested_at - row.age_s)
-            self.instances[row.name] = instance
-        instance.state = row.state
+            instance = Instance(entry.kind, entry.state, requested_at - entry.age_s)
+            self.instances[entry.name] = instance
+        instance.state = entry.state
         instance.absent_lists = 0
         instance.listed = True
-        if row.state == InstanceState.RUNNING and instance.running_since is None:
+        if entry.state == InstanceState.RUNNING and instance.running_since is None:
             instance.running_since = self.context.now
-        if row.state == InstanceState.FAILED:
-            self.terminate(row.name, InstanceState.FAILED)
+        if entry.state == InstanceState.FAILED:
+            self.terminate(entry.name, InstanceState.FAILED)
 
     def _check_absent(self, name: str, requested_at: float) -> None:
         """Terminate a machine once ABSENT_LISTS lists that should show it lack it.
@@ -151,21 +152,21 @@
         if instance.absent_lists >= constants.ABSENT_LISTS:
             self.terminate(name, "absent")
 
-    def terminate(self, name: str, why: str) -> None:
+    def terminate(self, name: str, reason: str) -> None:
         """Tell all controllers that a machine and its tasks are certainly terminated.
 
         Names of machines are never used again.
         """
         context = self.context
-        if name not in self.returned:
-            event("instance_terminated", machine=name, why=why)
-        self.returned[name] = context.now
+        if name not in self.terminated_at:
+            event("instance_terminated", machine=name, why=reason)
+        self.terminated_at[name] = context.now
         self.instances.pop(name, None)
         self.known_since.pop(name, None)
         self.returning.discard(name)
         for controller_id in self.controllers():
             context.send(controller_id, MachinesTerminated([name]))
-        if why == InstanceState.FAILED:
+        if reason == InstanceState.FAILED:
             context.call(lambda _status, _result: None, messages.ReturnInstances, [name])
 
     def controllers(self) -> list[str]:
@@ -188,17 +189,19 @@
                 writes,
                 1,
             )
-        if len(self.returned) > constants.MAX_REMEMBERED:
+        if len(self.terminated_at) > constants.MAX_REMEMBERED:
             self._forget_oldest()
 
     def _changed_types(self) -> list[StoreWrite]:
         context = self.context
         if set(context.types) == set(context.replica.types):
             return []
-        rows = [list(msgspec.to_builtins(kind)) for kind in context.types.values()]
-        if value_bytes(rows) > value_limit(context.facts.store.strictest):
+        records = [
+            list(msgspec.to_builtins(machine_type)) for machine_type in context.types.values()
+        ]
+        if value_bytes(records) > value_limit(context.facts.store.strictest):
             return []
-        return [(TYPES_KEY, rows, None)]
+        return [(TYPES_KEY, records, None)]
 
     def _missing_terminations(self) -> list[StoreWrite]:
         """Return the records of terminated machines that bindings still refer to."""
@@ -206,7 +209,7 @@
         writes: list[StoreWrite] = []
         for name in replica.bindings.by_machine:
             if (
-                name in self.returned
+                name in self.terminated_at
                 and name not in replica.terminated_machines
                 and now - self.record_touched_at.get(name, constants.NEVER)
                 > constants.STORE_TIMEOUT_S
@@ -228,9 +231,9 @@
         return writes
 
     def _forget_oldest(self) -> None:
-        for name in list(self.returned)[: constants.MAX_REMEMBERED // 2]:
+        for name in list(self.terminated_at)[: constants.MAX_REMEMBERED // 2]:
             if name not in self.context.replica.bindings.by_machine:
-                del self.returned[name]
+                del self.terminated_at[name]
                 self.record_touched_at.pop(name, None)
 
     def _on_written(self, writes: list[StoreWrite], status: int, result: Any) -> None:
--- a/oakmux/core/autoscaling/scale_in.py
+++ b/oakmux/core/autoscaling/scale_in.py
@@ -31,7 +31,7 @@
         context, inventory = self.context, self.inventory
         needed = {slot.name for slot in slots if slot.needed}
         for name, machine in context.machines.items():
-            if name in inventory.returning or name in inventory.returned:
+            if name in inventory.returning or name in inventory.terminated_at:
                 continue
             drained_at = context.draining.get(name)
             if drained_at is not None:
--- a/oakmux/core/autoscaling/slot_pool.py
+++ b/oakmux/core/autoscaling/slot_pool.py
@@ -17,17 +17,17 @@
 class Slot:
     """Free resources of one machine that is up, booting, or to be rented."""
 
-    __slots__ = ("coming", "free", "kind", "name", "needed")
+    __slots__ = ("booting", "free", "kind", "name", "needed")
 
     def __init__(
-        self, name: str, kind: InstanceKind, free: Resources, *, coming: bool = True
+        self, name: str, kind: InstanceKind, free: Resources, *, booting: bool = True
     ) -> None:
         self.name = name
         self.kind = kind
         self.free = free
         # Whether the current pass has placed a task here.
         self.needed = False
-        self.coming = coming
+        self.booting = booting
 
 
 def empty_slot(name: str, kind: InstanceKind, machine_type: MachineType) -> Slot:
@@ -51,7 +51,7 @@
             return
         machine_type = self.context.types[slot.kind.type]
         capacity = capacity_class(
-            machine_type, slot.kind.zone, slot.kind.spot, slot.free, slot.coming
+            machine_type, slot.kind.zone, slot.kind.spot, slot.free, slot.booting
         )
         self.classes.setdefault(capacity, []).append(slot)
 
@@ -82,7 +82,7 @@
                     )
                 )
         ranked.sort()
-        return [row[-1] for row in ranked]
+        return [candidate[-1] for candidate in ranked]
 
     def estimate_tasks(self, spec: JobSpec, capacity: CapacityClass) -> int:
         """Return a lower bound of how many tasks of a job fit into a class."""
--- a/oakmux/core/autoscaling/unhealthy_machines.py
+++ b/oakmux/core/autoscaling/unhealthy_machines.py
@@ -87,18 +87,18 @@
         silent_s = context.now - max(
             machine.last_heartbeat_at, inventory.role_acquired_at, context.resumed_at
         )
-        patience = 2 if self._manager_unheard(machine) else 1
-        if silent_s > self._contact_timeout_s * patience:
+        timeout_factor = 2 if self._manager_out_of_contact(machine) else 1
+        if silent_s > self._contact_timeout_s * timeout_factor:
             return ReturnReason.HEARTBEAT_TIMEOUT
         unreachable_for_s = min(
             unreachable_s(context, machine), context.now - inventory.role_acquired_at
         )
-        patience = 2 if machine.zone in unreachable_zones else 1
-        if unreachable_for_s > self._contact_timeout_s * patience:
+        timeout_factor = 2 if machine.zone in unreachable_zones else 1
+        if unreachable_for_s > self._contact_timeout_s * timeout_factor:
             return ReturnReason.UNREACHABLE
         return None
 
-    def _manager_unheard(self, machine: Machine) -> bool:
+    def _manager_out_of_contact(self, machine: Machine) -> bool:
         """Whether the machine may send heartbeats to a live peer that we lost contact with."""
         context = self.context
         manager = machine.manager
--- a/oakmux/core/peers/link.py
+++ b/oakmux/core/peers/link.py
@@ -49,7 +49,7 @@
         for message in command.messages:
             self._handle(command.sender, message)
         context = self.context
-        cancelled, until = self.agents.cancellations.answer(command.since)
+        cancelled, until = self.agents.cancellations.list_for_peer(command.since)
         context.answer(
             command.request,
             200,
@@ -89,7 +89,7 @@
         if context.now < self.next_announcement_at:
             return
         self.next_announcement_at = context.now + constants.PEER_HEARTBEAT_S
-        self.agents.cancellations.forget()
+        self.agents.cancellations.drop_recorded()
         self._end_expired_drains()
         self.views.announce_alive()
 
--- a/oakmux/core/peers/machine_views.py
+++ b/oakmux/core/peers/machine_views.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 
 from oakmux import constants
-from oakmux.core.agents.heartbeats import HeartbeatHandler, apply_heartbeat, hold_image
+from oakmux.core.agents.heartbeats import HeartbeatHandler, apply_heartbeat, record_image_use
 from oakmux.core.context import Context
 from oakmux.core.machine import Machine
 from oakmux.core.messages import PeerRestarted, ResendViews
@@ -136,4 +136,4 @@
         )
         apply_heartbeat(context, heartbeat, sender, view.term)
         for image, size_gb in view.images:
-            hold_image(context, context.machines[view.machine], image, size_gb)
+            record_image_use(context, context.machines[view.machine], image, size_gb)
--- a/tests/test_autoscaling.py
+++ b/tests/test_autoscaling.py
@@ -59,8 +59,8 @@
     ] * constants.BOOT_TROUBLE_COUNT
     sim.submit("job-1", spec("array", 9, "blue", spot=True, cpus=8.0, gpus=0.0))
     sim.run(8)
-    assert bad in demand.expected.troubled
+    assert bad in demand.expected.unreliable_kinds
     assert len(sim.workers) >= 9
     assert not any(w.zone == "a" and w.spot for w in sim.workers.values())
     sim.run(constants.BOOT_TROUBLE_S)
-    assert bad not in demand.expected.troubled
+    assert bad not in demand.expected.unreliable_kinds
