--- a/oakmux/core/agents/capacity.py
+++ b/oakmux/core/agents/capacity.py
@@ -125,6 +125,9 @@
     """Whether tasks of several jobs failed on a machine for which the jobs aren't to blame."""
     return (
         len(machine.errors) >= constants.QUARANTINE_FAILED_JOBS
-        and sum(context.failures.blames(job_id, machine.name) for job_id in machine.errors)
+        and sum(
+            context.failures.counts_against_machine(job_id, machine.name)
+            for job_id in machine.errors
+        )
         >= constants.QUARANTINE_FAILED_JOBS
     )
--- a/oakmux/core/controller.py
+++ b/oakmux/core/controller.py
@@ -181,12 +181,12 @@
             job = replica.jobs.get(job_id)
             if job is not None and job.state == "cancelled" and job_id in replica.active:
                 self.agents.cancellations.reconcile_job(job_id)
-            self.scheduler.binder.changed(job_id)
+            self.scheduler.binder.on_job_changed(job_id)
             self.autoscaler.changed(job_id)
         for name in machines:
             self.agents.queue.records_changed(name)
         for name in machines | workers:
-            self.scheduler.binder.machine_changed(name)
+            self.scheduler.binder.on_machine_changed(name)
         for name in workers:
             self.peers.views.send_to_all(name)
         return bool(jobs or machines or workers)
--- a/oakmux/core/peers/link.py
+++ b/oakmux/core/peers/link.py
@@ -29,7 +29,7 @@
         self.next_announcement_at = 0.0
         self.handlers: dict[type[PeerMessage], Callable[[Any], None]] = {
             peer_messages.Reserve: agents.queue.reserve,
-            peer_messages.Offer: scheduler.binder.offer,
+            peer_messages.Offer: scheduler.binder.on_offer,
             peer_messages.DeclineOffer: agents.queue.decline,
             peer_messages.MoveTask: agents.commands.move,
             peer_messages.DrainMachines: self._drain,
--- a/oakmux/core/scheduling/binding.py
+++ b/oakmux/core/scheduling/binding.py
@@ -38,14 +38,14 @@
         agents: AgentManager,
         buffer: WriteBuffer,
         quota_claims: QuotaClaims,
-        open_jobs: dict[str, PendingJob],
+        pending_jobs: dict[str, PendingJob],
         schedule: SamplingSchedule,
     ) -> None:
         self.context = context
         self.agents = agents
         self.buffer = buffer
         self.quota_claims = quota_claims
-        self.open = open_jobs
+        self.pending_jobs = pending_jobs
         self.schedule = schedule
         # Jobs that collect offers, of which the best are taken soon, by their first offer.
         self.collecting: dict[str, None] = {}
@@ -56,20 +56,22 @@
         """Start to schedule the jobs of a team whose role was acquired."""
         for job in list(self.context.replica.active.values()):
             if self.buffer.owns(job):
-                self.changed(job.id)
+                self.on_job_changed(job.id)
                 if self.buffer.record_format() >= FORMAT_COMPACT:
                     self.buffer.shrink(job)
                 self.context.changed_workers.update(b.machine for b in job.bindings())
 
-    def drop_lost(self, held: set[str]) -> None:
+    def drop_lost(self, kept_roles: set[str]) -> None:
         """Forget the jobs of teams that are not among those held without a break."""
         jobs = self.context.replica.jobs
-        for job_id in [job_id for job_id in self.open if jobs[job_id].team not in held]:
-            self.schedule.leave(job_id)
-            del self.open[job_id]
+        for job_id in [
+            job_id for job_id in self.pending_jobs if jobs[job_id].team not in kept_roles
+        ]:
+            self.schedule.remove(job_id)
+            del self.pending_jobs[job_id]
             self.buffer.finished_jobs.pop(job_id, None)
 
-    def changed(self, job_id: str) -> None:
+    def on_job_changed(self, job_id: str) -> None:
         """Follow a change of a job's records."""
         job = self.context.replica.jobs.get(job_id)
         if job is None or not self.buffer.owns(job):
@@ -78,20 +80,20 @@
             self._close_job(job)
         elif not job.ready:
             return  # no reservations while it waits for its dependencies
-        elif job_id not in self.open:
-            self.open[job_id] = PendingJob()
-            self.schedule.due(job)
-        elif self.open[job_id].next_sample_at == math.inf:
+        elif job_id not in self.pending_jobs:
+            self.pending_jobs[job_id] = PendingJob()
+            self.schedule.enqueue(job)
+        elif self.pending_jobs[job_id].next_sample_at == math.inf:
             self.schedule.defer(job_id, self.context.now + constants.RESAMPLE_S)
         else:
             self.schedule.reposition(job)
 
     def _close_job(self, job: Job) -> None:
         """Stop scheduling a finished job, and have its task blocks without bindings deleted."""
-        self.schedule.leave(job.id)
-        state = self.open.pop(job.id, None)
+        self.schedule.remove(job.id)
+        state = self.pending_jobs.pop(job.id, None)
         if state is not None:
-            self.release(state)
+            self.decline_offers(state)
         self.buffer.finished_jobs.pop(job.id, None)
         for number in list(job.blocks):
             if not self.buffer.block(job, number).bound and number not in self.buffer.changed.get(
@@ -103,7 +105,7 @@
 
     # --- offers ---
 
-    def offer(self, offer: Offer) -> None:
+    def on_offer(self, offer: Offer) -> None:
         """Accept an agent manager's offer of capacity on a machine, or decline it."""
         context = self.context
         machine = context.machines.get(offer.machine)
@@ -126,7 +128,7 @@
         """Accept an offer unless the job or the machine can't use it any more."""
         context = self.context
         job = context.replica.jobs.get(job_id)
-        state = self.open.get(job_id)
+        state = self.pending_jobs.get(job_id)
         if job is None or job.spec is None or state is None:
             return False
         if (
@@ -180,11 +182,11 @@
             for first in range(0, spec.tasks, size)
         ):
             state.offers = [offer for offer in state.offers if offer not in chosen]
-            self.release(state)
+            self.decline_offers(state)
             self._bind(job, list(range(spec.tasks)), chosen)
         return True
 
-    def choose(self, job: Job, spec: JobSpec, state: PendingJob) -> None:
+    def bind_best_offers(self, job: Job, spec: JobSpec, state: PendingJob) -> None:
         """Bind tasks to the best of the collected offers and decline the others."""
         context = self.context
         ranked = [
@@ -206,9 +208,9 @@
             state.next_task = index + 1
             self._bind(job, [index], [offer])
             state.offers.remove(offer)
-        self.release(state)
+        self.decline_offers(state)
 
-    def release(self, state: PendingJob) -> None:
+    def decline_offers(self, state: PendingJob) -> None:
         """Decline all offers that a job holds."""
         for offer in state.offers:
             self.context.send(offer.manager, DeclineOffer(offer.machine, offer.offer_id))
@@ -233,7 +235,7 @@
 
     # --- ends of bindings ---
 
-    def machine_changed(self, name: str) -> None:
+    def on_machine_changed(self, name: str) -> None:
         """End the shard's bindings on a machine for which there is a termination proof now."""
         context = self.context
         bound = context.replica.bindings.by_machine.get(name)
@@ -289,7 +291,7 @@
             why=reason,
             saved=int(saved),
         )
-        state = self.open.get(job.id)
+        state = self.pending_jobs.get(job.id)
         spec = job.spec
         if spec is None or job.final:
             return
@@ -328,7 +330,7 @@
     ) -> None:
         """Decide when, and on which machines, a task that ended may start again."""
         if reason != DONE:
-            self.schedule.due(job)
+            self.schedule.enqueue(job)
         state.next_task = min(state.next_task, index)
         if reason == ERROR:
             self._back_off(state, machine)
--- a/oakmux/core/scheduling/failure_attribution.py
+++ b/oakmux/core/scheduling/failure_attribution.py
@@ -39,7 +39,7 @@
             and not job.done_count()
         )
 
-    def blames(self, job_id: str, machine: str) -> bool:
+    def counts_against_machine(self, job_id: str, machine: str) -> bool:
         """Whether a job's failure on a machine counts against the machine.
 
         It does not if the job has failed on other machines too and never completed a task.
--- a/oakmux/core/scheduling/gangs.py
+++ b/oakmux/core/scheduling/gangs.py
@@ -60,17 +60,17 @@
     """
 
     def __init__(
-        self, context: Context, index: MachineIndex, open_jobs: dict[str, PendingJob]
+        self, context: Context, index: MachineIndex, pending_jobs: dict[str, PendingJob]
     ) -> None:
         self.context = context
         self.index = index
-        self.open = open_jobs
+        self.pending_jobs = pending_jobs
         self.claims = CapacityClaims(context, until_bound=False)
         self.backfill_planner = BackfillPlanner(context, index)
         # The gang that may hold a part of what it needs; empty if there is none.
         self.holder = ""
 
-    def end(self, job: Job, state: PendingJob) -> None:
+    def end_gathering(self, job: Job, state: PendingJob) -> None:
         """End a gathering: the gang is bound, or starts over later."""
         if not state.backfill_machines:
             self._stop_holding(job)
@@ -128,7 +128,9 @@
             if expected >= spec.tasks:
                 return None
             sampled = self._draw(gang, zones, spec.tasks - expected)
-            counts = [(task_capacity(row.free, spec), row.has_image) for row in sampled]
+            counts = [
+                (task_capacity(candidate.free, spec), candidate.has_image) for candidate in sampled
+            ]
             with_image = sum(count for count, has_image in counts if has_image)
             groups.append(
                 Group(
@@ -150,9 +152,9 @@
             return False
         state.next_wide_sample_at = self.context.now + constants.FULL_SAMPLE_INTERVAL_S
         for group in groups:
-            sampled = (row.machine.name for row in group.sampled)
+            sampled_names = (candidate.machine.name for candidate in group.sampled)
             candidates = self.index.feasible(spec, group.zones) - self.index.bitmap(
-                [*sampled, *state.requested]
+                [*sampled_names, *state.requested]
             )
             if self._request_preemption(gang, candidates, spec.tasks - group.tasks, math.inf):
                 self._reserve(gang, group)
@@ -171,7 +173,7 @@
             and self.backfill_planner.update(job, spec, state)
         ):
             return  # several gangs may have a backfill reservation
-        holder = self.open.get(self.holder)
+        holder = self.pending_jobs.get(self.holder)
         if (
             holder is None
             or holder.next_sample_at == math.inf
@@ -207,12 +209,12 @@
         waiting. Returns whether it was requested.
         """
         spec, state = gang.spec, gang.state
-        fetching = [row for row in group.sampled if not row.has_image]
-        with_image = [row for row in group.sampled if row.has_image]
+        fetching = [candidate for candidate in group.sampled if not candidate.has_image]
+        with_image = [candidate for candidate in group.sampled if candidate.has_image]
         missing = (
             spec.tasks
             - self._expected_tasks(state, group.zones)
-            - sum(task_capacity(row.free, spec) for row in with_image)
+            - sum(task_capacity(candidate.free, spec) for candidate in with_image)
         )
         if missing <= 0 or not fetching or spec.spread:
             return False
@@ -220,7 +222,7 @@
         if state.image_wait_until is None:  # tried for no longer than the fetch would take
             state.image_wait_until = self.context.now + fetch_s(self.context, spec, first)
         image_holders = self.index.feasible_with_image(spec, group.zones) - self.index.bitmap(
-            [*(row.machine.name for row in with_image), *state.requested]
+            [*(candidate.machine.name for candidate in with_image), *state.requested]
         )
         if self.context.now > state.image_wait_until:
             return False
@@ -265,18 +267,20 @@
         excluded = {*state.excluded_machines, *state.requested}
         if not spec.spread:
             return self.index.draw(spec, zones, excluded, missing, available)
-        rows: list[SampledMachine] = []
+        sampled: list[SampledMachine] = []
         for zone in zones:
-            most = min(missing, math.ceil(spec.tasks / 2) - self._expected_tasks(state, [zone]))
-            if most <= 0:
+            max_tasks = min(
+                missing, math.ceil(spec.tasks / 2) - self._expected_tasks(state, [zone])
+            )
+            if max_tasks <= 0:
                 continue
-            for row in self.index.draw(spec, [zone], excluded, most, available):
-                count = min(most, task_capacity(row.free, spec))
+            for candidate in self.index.draw(spec, [zone], excluded, max_tasks, available):
+                count = min(max_tasks, task_capacity(candidate.free, spec))
                 if count:
-                    most -= count
+                    max_tasks -= count
                     usable = subtract(NO_RESOURCES, spec, -count)
-                    rows.append(row._replace(free=usable))
-        return rows
+                    sampled.append(candidate._replace(free=usable))
+        return sampled
 
     def _reserve(self, gang: Gang, group: Group) -> None:
         """Send reservations for what is still missing to the sampled machines of a group."""
--- a/oakmux/core/scheduling/machine_index.py
+++ b/oakmux/core/scheduling/machine_index.py
@@ -139,7 +139,7 @@
 
     def __init__(self, context: Context) -> None:
         self.context = context
-        # Machines by number; the numbers of vanished machines are used again.
+        # Machines have small integer ids; the ids of removed machines are reused.
         self.ids: dict[str, int] = {}
         self.machines: list[Machine | None] = []
         self.free_ids: list[int] = []
@@ -157,7 +157,7 @@
         self.class_orders: dict[OrderKey, list[CapacityClass]] = {}
         self.types = context.types
         # Classes that a machine has entered by gaining capacity, until the sampler resets this.
-        self.gained: set[CapacityClass] = set()
+        self.gained_classes: set[CapacityClass] = set()
 
     # --- updates ---
 
@@ -178,38 +178,38 @@
                 self._update(machine)
 
     def _remove(self, name: str) -> None:
-        """Forget a machine and free its number."""
-        number = self.ids.pop(name, None)
-        if number is not None:
-            self._withdraw(number)
-            self._update_images(number, set())
-            self.machines[number] = None
-            self.free_ids.append(number)
-
-    def _number(self, machine: Machine) -> int:
-        """Return a machine's number; a new machine gets one."""
-        number = self.ids.get(machine.name)
-        if number is None:
+        """Remove a machine and free its id."""
+        machine_id = self.ids.pop(name, None)
+        if machine_id is not None:
+            self._withdraw(machine_id)
+            self._update_images(machine_id, set())
+            self.machines[machine_id] = None
+            self.free_ids.append(machine_id)
+
+    def _machine_id(self, machine: Machine) -> int:
+        """Return a machine's id; assign one to a new machine."""
+        machine_id = self.ids.get(machine.name)
+        if machine_id is None:
             if self.free_ids:
-                number = self.free_ids.pop()
+                machine_id = self.free_ids.pop()
             else:
-                number = len(self.machines)
+                machine_id = len(self.machines)
                 self.machines.append(None)
-            self.ids[machine.name] = number
-        self.machines[number] = machine
-        return number
+            self.ids[machine.name] = machine_id
+        self.machines[machine_id] = machine
+        return machine_id
 
     def _update(self, machine: Machine) -> None:
-        number = self._number(machine)
-        self._update_images(number, set(machine.images))
+        machine_id = self._machine_id(machine)
+        self._update_images(machine_id, set(machine.images))
         if not is_schedulable(self.context, machine):
-            self._withdraw(number)
+            self._withdraw(machine_id)
             self.context.unresponsive.add(machine.name)
             return
-        self._update_preemptible(number, machine)
-        self._update_class(number, machine)
+        self._update_preemptible(machine_id, machine)
+        self._update_class(machine_id, machine)
 
-    def _update_class(self, number: int, machine: Machine) -> None:
+    def _update_class(self, machine_id: int, machine: Machine) -> None:
         new = capacity_class(
             self.context.types[machine.type],
             machine.zone,
@@ -217,58 +217,58 @@
             free_resources(self.context, machine),
             machine.idle_since is not None,
         )
-        old = self.class_of.get(number)
+        old = self.class_of.get(machine_id)
         if old == new:
             return
         if old is not None:
-            self._leave_class(number, old)
+            self._leave_class(machine_id, old)
         if old is None or new.has_more_than(old):
-            self.gained.add(new)
-        self.class_of[number] = new
+            self.gained_classes.add(new)
+        self.class_of[machine_id] = new
         members = self.classes.get(new)
         if members is None:
             members = self.classes[new] = BitMap()
             self.class_orders.clear()
-        members.add(number)
-        self.kinds.setdefault(new.kind, BitMap()).add(number)
+        members.add(machine_id)
+        self.kinds.setdefault(new.kind, BitMap()).add(machine_id)
 
-    def _leave_class(self, number: int, old: CapacityClass) -> None:
+    def _leave_class(self, machine_id: int, old: CapacityClass) -> None:
         members = self.classes[old]
-        members.discard(number)
+        members.discard(machine_id)
         if not members:
             del self.classes[old]
             self.class_orders.clear()
-        self.kinds[old.kind].discard(number)
+        self.kinds[old.kind].discard(machine_id)
 
-    def _withdraw(self, number: int) -> None:
+    def _withdraw(self, machine_id: int) -> None:
         """Take a machine out of all sets that are drawn from."""
-        old = self.class_of.pop(number, None)
+        old = self.class_of.pop(machine_id, None)
         if old is not None:
-            self._leave_class(number, old)
-        work = self.preemptible_of.pop(number, None)
+            self._leave_class(machine_id, old)
+        work = self.preemptible_of.pop(machine_id, None)
         if work is not None:
-            _discard(self.preemptible_by_priority, work.priorities, number)
-            _discard(self.preemptible_by_team, work.teams, number)
+            _discard(self.preemptible_by_priority, work.priorities, machine_id)
+            _discard(self.preemptible_by_team, work.teams, machine_id)
 
-    def _update_images(self, number: int, images: set[str]) -> None:
-        old = self.images_of.get(number, set())
+    def _update_images(self, machine_id: int, images: set[str]) -> None:
+        old = self.images_of.get(machine_id, set())
         if old != images:
-            _discard(self.image_holders, old - images, number)
-            _add(self.image_holders, images - old, number)
-            self.images_of[number] = images
+            _discard(self.image_holders, old - images, machine_id)
+            _add(self.image_holders, images - old, machine_id)
+            self.images_of[machine_id] = images
 
-    def _update_preemptible(self, number: int, machine: Machine) -> None:
+    def _update_preemptible(self, machine_id: int, machine: Machine) -> None:
         """Record which of a machine's work may be preempted at all."""
         work = self._preemptible_work(machine)
-        old = self.preemptible_of.get(number)
+        old = self.preemptible_of.get(machine_id)
         if old == work:
             return
         old = old or PreemptibleWork(set(), set())
-        _discard(self.preemptible_by_priority, old.priorities - work.priorities, number)
-        _discard(self.preemptible_by_team, old.teams - work.teams, number)
-        _add(self.preemptible_by_priority, work.priorities - old.priorities, number)
-        _add(self.preemptible_by_team, work.teams - old.teams, number)
-        self.preemptible_of[number] = work
+        _discard(self.preemptible_by_priority, old.priorities - work.priorities, machine_id)
+        _discard(self.preemptible_by_team, old.teams - work.teams, machine_id)
+        _add(self.preemptible_by_priority, work.priorities - old.priorities, machine_id)
+        _add(self.preemptible_by_team, work.teams - old.teams, machine_id)
+        self.preemptible_of[machine_id] = work
 
     def _preemptible_work(self, machine: Machine) -> PreemptibleWork:
         replica = self.context.replica
@@ -353,9 +353,9 @@
         probes_left = constants.SAMPLE_EXTRA_MACHINES + math.ceil(missing)
         drawn: list[SampledMachine] = []
         for members, has_image in self._member_sets(spec, zones):
-            for number in sample_members(self.context.rng, members, probes_left):
+            for machine_id in sample_members(self.context.rng, members, probes_left):
                 probes_left -= 1
-                machine = self._schedulable(number)
+                machine = self._schedulable(machine_id)
                 if machine is None or machine.name in excluded:
                     continue
                 free = free_resources(self.context, machine)
@@ -386,14 +386,14 @@
                     members = members & holders if has_image else members - holders
                 yield members, has_image
 
-    def _schedulable(self, number: int) -> Machine | None:
+    def _schedulable(self, machine_id: int) -> Machine | None:
         """Return a machine, or None if it is not schedulable any more.
 
         Then it is withdrawn until its next heartbeat.
         """
-        machine = self.machines[number]
+        machine = self.machines[machine_id]
         if machine is not None and not is_schedulable(self.context, machine):
-            self._withdraw(number)
+            self._withdraw(machine_id)
             self.context.unresponsive.add(machine.name)
             return None
         return machine
@@ -438,9 +438,9 @@
 
     def capacity_released(self, names: Iterable[str]) -> None:
         """Count machines as having gained capacity: claims on them have ended."""
-        for number in self.bitmap(names):
-            if number in self.class_of:
-                self.gained.add(self.class_of[number])
+        for machine_id in self.bitmap(names):
+            if machine_id in self.class_of:
+                self.gained_classes.add(self.class_of[machine_id])
 
     def bitmap(self, names: Iterable[str]) -> BitMap:
         """Return a set of machine names as a bitmap."""
@@ -450,21 +450,22 @@
         """Return up to `count` schedulable machines of a set, in random order."""
         return [
             machine
-            for number in sample_members(self.context.rng, ids, count)
-            if (machine := self._schedulable(number)) is not None and machine.name not in excluded
+            for machine_id in sample_members(self.context.rng, ids, count)
+            if (machine := self._schedulable(machine_id)) is not None
+            and machine.name not in excluded
         ]
 
 
-def _add(sets: dict[KeyT, BitMap], keys: Iterable[KeyT], number: int) -> None:
+def _add(sets: dict[KeyT, BitMap], keys: Iterable[KeyT], machine_id: int) -> None:
     """Add a machine to the sets under these keys."""
     for key in keys:
-        sets.setdefault(key, BitMap()).add(number)
+        sets.setdefault(key, BitMap()).add(machine_id)
 
 
-def _discard(sets: dict[KeyT, BitMap], keys: Iterable[KeyT], number: int) -> None:
+def _discard(sets: dict[KeyT, BitMap], keys: Iterable[KeyT], machine_id: int) -> None:
     """Take a machine out of the sets under these keys and delete those that become empty."""
     for key in keys:
         members = sets[key]
-        members.discard(number)
+        members.discard(machine_id)
         if not members:
             del sets[key]
--- a/oakmux/core/scheduling/placement.py
+++ b/oakmux/core/scheduling/placement.py
@@ -143,24 +143,28 @@
     """
     ranked = sorted(
         (
-            (preference(context, job, spec, row.machine, row.free), context.rng.random(), row)
-            for row in sampled
+            (
+                preference(context, job, spec, candidate.machine, candidate.free),
+                context.rng.random(),
+                candidate,
+            )
+            for candidate in sampled
         ),
         key=lambda entry: entry[:2],
     )
     chosen: dict[str, int] = {}
-    for _, _, row in ranked:
+    for _, _, candidate in ranked:
         if count <= 0:
             break
-        chosen[row.machine.name] = min(count, task_capacity(row.free, spec))
-        count -= chosen[row.machine.name]
+        chosen[candidate.machine.name] = min(count, task_capacity(candidate.free, spec))
+        count -= chosen[candidate.machine.name]
     return chosen
 
 
 def reserve(context: Context, job: Job, tasks_by_machine: dict[str, int]) -> None:
     """Send a reservation for each machine to the machine's agent manager."""
-    for name, number in tasks_by_machine.items():
-        context.send(context.machines[name].manager, Reserve(name, job.id, number))
+    for name, tasks in tasks_by_machine.items():
+        context.send(context.machines[name].manager, Reserve(name, job.id, tasks))
 
 
 def preemption_budget_s(context: Context, spec: JobSpec, machine: Machine) -> float:
@@ -169,11 +173,13 @@
     That is the duration of the fetch, and more if the fetch alone would miss a start objective of
     the job's class.
     """
-    fetch = fetch_s(context, spec, machine)
-    slow = fetch * constants.FETCH_TIME_FACTOR
-    if any(within < slow for within in context.objectives.start_s.get(spec.job_class, ())):
-        return fetch + constants.OBJECTIVE_WORTH_S
-    return fetch
+    estimate_s = fetch_s(context, spec, machine)
+    slow_fetch_s = estimate_s * constants.FETCH_TIME_FACTOR
+    if any(
+        within_s < slow_fetch_s for within_s in context.objectives.start_s.get(spec.job_class, ())
+    ):
+        return estimate_s + constants.OBJECTIVE_WORTH_S
+    return estimate_s
 
 
 def request_preemption(
@@ -191,9 +197,9 @@
     options = _preemption_options(context, index, request)
     if spec.kind == "gang" and len(options) < wanted:
         return []
-    for _, _, machine, saving in options[:wanted]:
+    for _, _, machine, save_s in options[:wanted]:
         state.preempt_at = max(
-            state.preempt_at, context.now + constants.PREEMPTION_RETRY_S + saving
+            state.preempt_at, context.now + constants.PREEMPTION_RETRY_S + save_s
         )
         context.send(machine.manager, Reserve(machine.name, job.id, 1, True))
     return [option.machine.name for option in options[:wanted]]
--- a/oakmux/core/scheduling/sampling.py
+++ b/oakmux/core/scheduling/sampling.py
@@ -60,7 +60,7 @@
     ) -> None:
         self.context = context
         self.index = index
-        self.open = binder.open
+        self.pending_jobs = binder.pending_jobs
         self.buffer = buffer
         self.quota_claims = binder.quota_claims
         self.binder = binder
@@ -78,8 +78,8 @@
         self._bind_collected()
         self.schedule.enqueue_due()
         self.index.refresh()
-        gained, self.index.gained = self.index.gained, set()
-        self.schedule.reopen_fitting(gained)
+        gained_classes, self.index.gained_classes = self.index.gained_classes, set()
+        self.schedule.reopen_fitting(gained_classes)
         self.schedule.reopen_limited(self._teams_with_less_usage())
         gathering, self.schedule.gathering = self.schedule.gathering, []
         for job_id in gathering:
@@ -102,13 +102,13 @@
     def _bind_collected(self) -> None:
         """Bind tasks of the jobs whose offers were collected for long enough."""
         for job_id in list(self.binder.collecting):
-            state = self.open.get(job_id)
+            state = self.pending_jobs.get(job_id)
             job = self.context.replica.jobs[job_id]
             if state is None or not state.offers or job.spec is None:
                 del self.binder.collecting[job_id]
             elif self.context.now - state.offers[0].received_at >= constants.OFFER_WINDOW_S:
                 del self.binder.collecting[job_id]
-                self.binder.choose(job, job.spec, state)
+                self.binder.bind_best_offers(job, job.spec, state)
 
     def _teams_with_less_usage(self) -> list[str]:
         """Return the shard's teams that use less than at the last tick."""
@@ -117,17 +117,17 @@
             for team in self.context.held_roles
             if team in self.context.teams
         }
-        fell = []
+        decreased = []
         for team, (cpus, gpus) in usage.items():
             old_cpus, old_gpus = self.team_usage.get(team, (cpus, gpus))
             if cpus < old_cpus or gpus < old_gpus:
-                fell.append(team)
+                decreased.append(team)
         self.team_usage = usage
-        return fell
+        return decreased
 
     def _sample(self, job_id: str) -> None:
         job = self.context.replica.jobs[job_id]
-        state = self.open.get(job_id)
+        state = self.pending_jobs.get(job_id)
         if state is not None and job.spec is not None:
             self._sample_job(job, job.spec, state)
 
@@ -146,7 +146,7 @@
         zones = [binding.zone for binding in self.buffer.bindings(job)]
         wanted = self._tasks_to_start(job, spec, bool(zones))
         if not wanted:
-            self.gangs.end(job, state)
+            self.gangs.end_gathering(job, state)
             self.gangs.end_backfill(job, state)
             schedule.defer(job.id, math.inf)  # until a task of it is proven to have ended
             return
@@ -168,8 +168,8 @@
 
     def _give_up_gathering(self, job: Job, state: PendingJob) -> None:
         """Decline what a gang has gathered; it starts over after a random backoff."""
-        self.binder.release(state)
-        self.gangs.end(job, state)
+        self.binder.decline_offers(state)
+        self.gangs.end_gathering(job, state)
         state.backoff_until = self.context.now + self.context.rng.uniform(
             0, constants.GANG_BACKOFF_S
         )
@@ -188,21 +188,23 @@
     def _wait_for_limit(self, job: Job, spec: JobSpec, state: PendingJob, shape: Shape) -> None:
         """Close the queue of a job that its team's limit keeps from starting."""
         if state.hold_until:  # what it has gathered is of use to others
-            self.binder.release(state)
-            self.gangs.end(job, state)
+            self.binder.decline_offers(state)
+            self.gangs.end_gathering(job, state)
         self.gangs.end_backfill(job, state)
         self.quota_claims.claim(job, spec, self._tasks_wanted(shape, spec))
         self.schedule.close_by_limit(shape)
 
     def _tasks_wanted(self, shape: Shape, spec: JobSpec) -> int:
         """Count the tasks that the first jobs of a queue have to start, up to a maximum."""
-        most = max(constants.MAX_RESERVATIONS_PER_JOB, spec.tasks if spec.kind == "gang" else 1)
+        max_tasks = max(
+            constants.MAX_RESERVATIONS_PER_JOB, spec.tasks if spec.kind == "gang" else 1
+        )
         wanted = 0
-        for job_id in self.schedule.queues.first(shape, most):
+        for job_id in self.schedule.queues.first(shape, max_tasks):
             wanted += self.buffer.unbound_tasks(self.context.replica.jobs[job_id])
-            if wanted >= most:
+            if wanted >= max_tasks:
                 break
-        return min(wanted, most)
+        return min(wanted, max_tasks)
 
     def _sample_gang(self, sample: Sample) -> None:
         """Look for capacity for all tasks of a gang."""
@@ -215,23 +217,23 @@
             self.schedule.defer(job.id, state.next_sample_at)
             self.schedule.capacity_requested(shape, 0, None)
         else:
-            self.gangs.end(job, state)
+            self.gangs.end_gathering(job, state)
             self._nothing_found(job, state, shape, zones)
 
     def _sample_tasks(self, sample: Sample) -> None:
         """Look for capacity for tasks that start one by one."""
         job, spec, state, shape, zones, wanted, probes = sample
-        rows = self.index.draw(
+        sampled = self.index.draw(
             spec,
             zones,
             state.excluded_machines,
             probes,
             functools.partial(self.claims.available, job, spec),
         )
-        if rows:
-            self._request_capacity(sample, rows)
+        if sampled:
+            self._request_capacity(sample, sampled)
             self.schedule.defer(job.id, state.next_sample_at)
-            found = sum(task_capacity(row.free, spec) for row in rows)
+            found = sum(task_capacity(candidate.free, spec) for candidate in sampled)
             all_drawn = found < probes * constants.SAMPLE_RATIO + constants.SAMPLE_EXTRA_TASKS
             self.schedule.capacity_requested(shape, wanted, found if all_drawn else None)
         elif self._sample_widely(sample):
@@ -290,15 +292,15 @@
             machines = self.index.sample(
                 self.index.feasible(oldest.spec, self.context.facts.zones),
                 constants.MAX_RESERVATIONS_PER_JOB,
-                self.open[oldest.id].excluded_machines,
+                self.pending_jobs[oldest.id].excluded_machines,
             )
             reserve(self.context, oldest, {machine.name: 1 for machine in machines})
 
-    def _request_capacity(self, sample: Sample, rows: list[SampledMachine]) -> None:
+    def _request_capacity(self, sample: Sample, sampled: list[SampledMachine]) -> None:
         """Reserve capacity on drawn machines, or wait for machines that hold the image."""
         job, spec, state, _, zones, wanted, probes = sample
         image_holders = self.index.feasible_with_image(spec, zones)
-        with_image = [row for row in rows if row.has_image]
+        with_image = [candidate for candidate in sampled if candidate.has_image]
         # A fetch occupies its place too: preempting young work where the image is costs less.
         if (
             image_holders
@@ -312,21 +314,21 @@
                     state,
                     image_holders,
                     wanted,
-                    preemption_budget_s(self.context, spec, rows[0].machine),
+                    preemption_budget_s(self.context, spec, sampled[0].machine),
                 ),
             )
         ):
             state.next_sample_at = state.preempt_at
             return
         if len(image_holders) >= wanted > sum(
-            task_capacity(row.free, spec) for row in with_image
-        ) and self._waits_for_image(spec, state, rows[0].machine):
+            task_capacity(candidate.free, spec) for candidate in with_image
+        ) and self._waits_for_image(spec, state, sampled[0].machine):
             state.next_sample_at = self.context.now + constants.IMAGE_WAIT_RESAMPLE_S
             full = self.index.sample(image_holders, probes, state.excluded_machines)
             chosen = {machine.name: 1 for machine in full}
             chosen.update(choose_machines(self.context, job, spec, with_image, probes))
         else:
-            chosen = choose_machines(self.context, job, spec, rows, probes)
+            chosen = choose_machines(self.context, job, spec, sampled, probes)
             until = self.context.now + constants.RESAMPLE_S
             self.claims.add(job.id, spec, chosen, until, wanted)
         reserve(self.context, job, chosen)
--- a/oakmux/core/scheduling/sampling_schedule.py
+++ b/oakmux/core/scheduling/sampling_schedule.py
@@ -44,9 +44,9 @@
 class SamplingSchedule:
     """The pending jobs of the shard by when they are sampled next."""
 
-    def __init__(self, context: Context, open_jobs: dict[str, PendingJob]) -> None:
+    def __init__(self, context: Context, pending_jobs: dict[str, PendingJob]) -> None:
         self.context = context
-        self.open = open_jobs
+        self.pending_jobs = pending_jobs
         self.queues = PendingQueues(context)
         self.closed: dict[Shape, ClosedQueue] = {}
         # Capacity that a queue's jobs have requested within RESAMPLE_S.
@@ -59,12 +59,12 @@
 
     # --- single jobs ---
 
-    def due(self, job: Job) -> None:
+    def enqueue(self, job: Job) -> None:
         """Queue a job that has a task to start for which no machine was sampled yet.
 
         If it comes first, its queue reopens: what found no capacity may have been another job.
         """
-        state = self.open.get(job.id)
+        state = self.pending_jobs.get(job.id)
         if state is not None and job.spec is not None:
             state.next_sample_at = 0.0
             shape = self.queues.put(job, job.spec)
@@ -77,13 +77,13 @@
             self.queues.put(job, job.spec)
 
     def defer(self, job_id: str, until: float) -> None:
-        """Sample a job at a time (s), or not before it is `due` if that is infinite."""
-        self.open[job_id].next_sample_at = until
-        self.leave(job_id)
+        """Sample a job at a time (s), or not before its next `enqueue` if that is infinite."""
+        self.pending_jobs[job_id].next_sample_at = until
+        self.remove(job_id)
         if until < math.inf:
             heapq.heappush(self.timers, (until, job_id))
 
-    def leave(self, job_id: str) -> None:
+    def remove(self, job_id: str) -> None:
         """Take a job out of its queue. If it was the first, the queue reopens for the next."""
         entry = self.queues.entries.get(job_id)
         if entry is None:
@@ -139,12 +139,12 @@
                 requests[0].until, constants.FULL_SAMPLE_INTERVAL_S, False
             )
 
-    def reopen_fitting(self, gained: Collection[CapacityClass]) -> None:
+    def reopen_fitting(self, gained_classes: Collection[CapacityClass]) -> None:
         """Reopen the queues that capacity gained by machines may suit."""
-        if not gained:
+        if not gained_classes:
             return
         for shape, closed in self.closed.items():
-            if not closed.by_limit and any(shape.may_fit(capacity) for capacity in gained):
+            if not closed.by_limit and any(shape.may_fit(capacity) for capacity in gained_classes):
                 closed.until = 0.0  # the pause stays as it is, in case nothing is found
 
     def reopen_limited(self, teams: Iterable[str]) -> None:
@@ -164,7 +164,7 @@
         self.queues.promote_starving()
         while self.timers and self.timers[0][0] <= self.context.now:
             at, job_id = heapq.heappop(self.timers)
-            state = self.open.get(job_id)
+            state = self.pending_jobs.get(job_id)
             if (
                 state is None
                 or state.next_sample_at != at  # it was deferred anew
--- a/oakmux/core/scheduling/scheduler.py
+++ b/oakmux/core/scheduling/scheduler.py
@@ -17,25 +17,25 @@
     """Places the jobs of the teams whose roles are held. Its parts share the open jobs."""
 
     def __init__(self, context: Context, agents: AgentManager) -> None:
-        self.open: dict[str, PendingJob] = {}
+        self.pending_jobs: dict[str, PendingJob] = {}
         self.buffer = WriteBuffer(context)
         self.writer = RecordWriter(context, self.buffer)
         self.index = MachineIndex(context)
-        self.gangs = GangScheduler(context, self.index, self.open)
-        self.schedule = SamplingSchedule(context, self.open)
+        self.gangs = GangScheduler(context, self.index, self.pending_jobs)
+        self.schedule = SamplingSchedule(context, self.pending_jobs)
         self.quota_claims = QuotaClaims(context, self.buffer)
         self.binder = Binder(
-            context, agents, self.buffer, self.quota_claims, self.open, self.schedule
+            context, agents, self.buffer, self.quota_claims, self.pending_jobs, self.schedule
         )
         self.sampler = Sampler(
             context, self.index, self.buffer, self.binder, self.gangs, self.schedule
         )
 
-    def on_roles_lost(self, held: set[str]) -> None:
-        """Drop the state of all teams but those whose roles were `held` without a break.
+    def on_roles_lost(self, kept_roles: set[str]) -> None:
+        """Drop the state of all teams but those in `kept_roles`, held without interruption.
 
         A role that was lost and won again between two reads of the records had another holder in
         between. Unwritten changes would overwrite what that controller did (R ran_twice, quota).
         """
-        self.buffer.drop_lost(held)
-        self.binder.drop_lost(held)
+        self.buffer.drop_lost(kept_roles)
+        self.binder.drop_lost(kept_roles)
--- a/tests/recorded.py
+++ b/tests/recorded.py
@@ -944,7 +944,9 @@
         [name, [[r.job_id, r.count] for r in one.queue.values()], one.offers, one.stops]
         for name, one in core.agents.workers.tracked.items()
     ]
-    offers = [[job_id, state.offers] for job_id, state in core.scheduler.binder.open.items()]
+    offers = [
+        [job_id, state.offers] for job_id, state in core.scheduler.binder.pending_jobs.items()
+    ]
     return plain(
         [
             machines,
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -85,7 +85,7 @@
         job = core.context.replica.jobs["job-2"]
         assert not job.ready
         assert not job.blocks
-        assert "job-2" not in core.scheduler.open
+        assert "job-2" not in core.scheduler.pending_jobs
         assert not any("job-2" in kept.queue for kept in core.agents.workers.tracked.values())
         assert core.context.replica.usage.by_team.get("red", (0, 0))[1] == 0
 
--- a/tests/test_gang_scheduling.py
+++ b/tests/test_gang_scheduling.py
@@ -101,12 +101,12 @@
         other.autoscaler.scale_out.rentals.rent = lambda *a: None
     sim.submit("job-2", spec("gang", 6, "blue", cpus=3.0))
     sim.run(1)
-    state, name = core.scheduler.open["job-2"], next(iter(core.context.machines))
-    core.scheduler.gangs.end(core.context.replica.jobs["job-2"], state)
+    state, name = core.scheduler.pending_jobs["job-2"], next(iter(core.context.machines))
+    core.scheduler.gangs.end_gathering(core.context.replica.jobs["job-2"], state)
     state.backoff_until = sim.now + 5
     agent_epoch = core.context.machines[name].agent_epoch
     core.context.now = sim.now
-    core.scheduler.binder.offer(Offer(name, "job-2", 7, agent_epoch, 1, "h9"))
+    core.scheduler.binder.on_offer(Offer(name, "job-2", 7, agent_epoch, 1, "h9"))
     assert messages.SendToPeer("h9", DeclineOffer(name, 7)) in core.context.effects
 
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -59,7 +59,7 @@
     real = core.scheduler.sampler._sample_job
     core.scheduler.sampler._sample_job = lambda *a: sampled.append(a) or real(*a)
     core.step(sim.now + 0.2, [])
-    assert len(core.scheduler.open) > 900
+    assert len(core.scheduler.pending_jobs) > 900
     assert len(sampled) <= 40
     assert all(
         len(k.queue) <= 64 for c in sim.cores.values() for k in c.agents.workers.tracked.values()
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -89,7 +89,9 @@
 
 
 def test_without_failure_attribution_faulty_jobs_quarantine_machines(monkeypatch, caplog):
-    monkeypatch.setattr(FailureAttribution, "blames", lambda self, job_id, machine: True)
+    monkeypatch.setattr(
+        FailureAttribution, "counts_against_machine", lambda self, job_id, machine: True
+    )
     with pytest.raises(AssertionError):
         test_jobs_that_fail_everywhere_quarantine_no_machine_and_delay_no_other_job(caplog)
 
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -107,9 +107,9 @@
         core for core in sim.cores.values() if "blue" in core.context.held_roles
     ).scheduler
     sim.run(2)
-    until = scheduler.open["job-9"].hold_until
+    until = scheduler.pending_jobs["job-9"].hold_until
     sim.run(8)
-    assert scheduler.open["job-9"].hold_until == until > sim.now  # it has not started over
+    assert scheduler.pending_jobs["job-9"].hold_until == until > sim.now  # it has not started over
     sim.run(7)
     assert sim.begun_at("job-9") is not None
 
