--- a/oakmux/core/autoscaling/scale_out.py
+++ b/oakmux/core/autoscaling/scale_out.py
@@ -72,7 +72,7 @@
         """Place pending tasks on expected capacity, rent for the rest, and return all slots."""
         placement = DemandPlacement(self.context, self.expected, self.rentals)
         self.unplaced = False
-        self.queues.resize()
+        self.queues.refresh_shapes()
         self.queues.promote_starving()
         self._place_pending(placement)
         self.rentals.rent_all(placement.to_rent)
--- a/oakmux/core/scheduling/backfill_plan.py
+++ b/oakmux/core/scheduling/backfill_plan.py
@@ -84,32 +84,32 @@
     return task_capacity(free, need)
 
 
-def task_slots(need: Resources, candidate: BackfillCandidate, most: int) -> list[TaskSlot]:
-    """Return up to `most` slots on a machine, the soonest first.
+def task_slots(need: Resources, candidate: BackfillCandidate, max_slots: int) -> list[TaskSlot]:
+    """Return up to `max_slots` slots on a machine, the soonest first.
 
     Tasks end or are preempted in the order in which that is possible. Those that turn out not to
     be needed stay.
     """
     free = candidate.free
-    found = tasks_that_fit(need, free)
-    slots = [TaskSlot(0.0, 0.0, candidate.name)] * min(found, most)
+    slot_count = tasks_that_fit(need, free)
+    slots = [TaskSlot(0.0, 0.0, candidate.name)] * min(slot_count, max_slots)
     ended: list[CandidateTask] = []
     for task in sorted(candidate.tasks, key=lambda task: (task.ready_s, task.lost_s)):
-        if len(slots) >= most or task.ready_s == math.inf:
+        if len(slots) >= max_slots or task.ready_s == math.inf:
             break
         ended.append(task)
         free_after = _released(free, ended)
         count = tasks_that_fit(need, free_after)
-        if count > found:
+        if count > slot_count:
             needed = _needed_tasks(need, ended, free_after, count)
             free = _released(free, needed)
             ended = [task for task in ended if task not in needed]
             ready_s = max(task.ready_s for task in needed)
             lost_s = sum(task.lost_s for task in needed)
             slots.append(TaskSlot(ready_s, lost_s, candidate.name))
-            slots += [TaskSlot(ready_s, 0.0, candidate.name)] * (count - found - 1)
-            found = count
-    return slots[:most]
+            slots += [TaskSlot(ready_s, 0.0, candidate.name)] * (count - slot_count - 1)
+            slot_count = count
+    return slots[:max_slots]
 
 
 def _needed_tasks(
@@ -121,14 +121,14 @@
     """
     needed = list(ended)
     for task in sorted(ended, key=lambda task: (-task.ready_s, -task.lost_s)):
-        less = Resources(
+        free_without = Resources(
             free.cpus - task.resources.cpus,
             free.gpus - task.resources.gpus,
             free.memory_gb - task.resources.memory_gb,
         )
-        if len(needed) > 1 and tasks_that_fit(need, less) >= count:
+        if len(needed) > 1 and tasks_that_fit(need, free_without) >= count:
             needed.remove(task)
-            free = less
+            free = free_without
     return needed
 
 
--- a/oakmux/core/scheduling/backfill_planner.py
+++ b/oakmux/core/scheduling/backfill_planner.py
@@ -41,12 +41,12 @@
             ),
             default=0.0,
         )
-        large = min(
+        large_machines = min(
             constants.BACKFILL_MIN_MACHINES,
             constants.BACKFILL_FLEET_SHARE
             * len(self.index.feasible(spec, self.context.facts.zones)),
         )
-        return machines >= large
+        return machines >= large_machines
 
     def update(self, job: Job, spec: JobSpec, state: PendingJob) -> bool:
         """Plan a gang's backfill reservation anew and announce it; return whether it has one.
--- a/oakmux/core/scheduling/backfill_reservations.py
+++ b/oakmux/core/scheduling/backfill_reservations.py
@@ -13,12 +13,12 @@
 class BackfillReservation(NamedTuple):
     """A gang's reservation as last announced; it expires unless it is announced again.
 
-    `submitted_ms` is the gang's submission time; `until` and `ready_at` are local times (s).
+    `submitted_ms` is the gang's submission time; `expires_at` and `ready_at` are local times (s).
     """
 
     priority: int
     submitted_ms: float
-    until: float
+    expires_at: float
     ready_at: float
     machines: frozenset[str]
 
@@ -36,8 +36,12 @@
         now = self.context.now
         job_id, machines = message.job_id, message.machines
         self.by_job.pop(job_id, None)
-        for other in [other for other, row in self.by_job.items() if row.until <= now]:
-            del self.by_job[other]
+        for gang_id in [
+            gang_id
+            for gang_id, reservation in self.by_job.items()
+            if reservation.expires_at <= now
+        ]:
+            del self.by_job[gang_id]
         if machines and len(self.by_job) < constants.BACKFILL_MAX_RESERVATIONS:
             self.by_job[job_id] = BackfillReservation(
                 message.priority,
@@ -47,11 +51,11 @@
                 frozenset(machines),
             )
         self.by_machine = {}
-        for other, row in sorted(
+        for gang_id, reservation in sorted(
             self.by_job.items(),
             key=lambda entry: (entry[1].priority, -entry[1].submitted_ms, entry[0]),
         ):
-            self.by_machine.update(dict.fromkeys(row.machines, other))
+            self.by_machine.update(dict.fromkeys(reservation.machines, gang_id))
 
     def blocks_job(self, machine: str, job: Job, spec: JobSpec) -> bool:
         """Whether a reservation keeps a job off a machine.
@@ -66,7 +70,7 @@
             gang_id is None
             or reservation is None
             or gang_id == job.id
-            or reservation.until <= self.context.now
+            or reservation.expires_at <= self.context.now
             or self._precedes(job, gang_id, reservation)
         ):
             return False
@@ -93,7 +97,7 @@
     def is_reserved(self, machine: str) -> bool:
         """Whether a machine is kept for a gang. If so, it may be idle although there is work."""
         reservation = self.by_job.get(self.by_machine.get(machine, ""))
-        return reservation is not None and reservation.until > self.context.now
+        return reservation is not None and reservation.expires_at > self.context.now
 
     def reserved_before(self, job: Job) -> set[str]:
         """Return the machines reserved for gangs that come before a job.
@@ -104,7 +108,8 @@
         own_rank = (job.priority, -job.since, job.id)
         earlier = {
             gang_id
-            for gang_id, row in self.by_job.items()
-            if gang_id != job.id and (row.priority, -row.submitted_ms, gang_id) > own_rank
+            for gang_id, reservation in self.by_job.items()
+            if gang_id != job.id
+            and (reservation.priority, -reservation.submitted_ms, gang_id) > own_rank
         }
         return {machine for machine, gang_id in self.by_machine.items() if gang_id in earlier}
--- a/oakmux/core/scheduling/pending_queues.py
+++ b/oakmux/core/scheduling/pending_queues.py
@@ -151,7 +151,7 @@
         self.starving_at: list[tuple[float, str]] = []
         self.in_starving_heap: set[str] = set()
 
-    def resize(self) -> bool:
+    def refresh_shapes(self) -> bool:
         """Queue all jobs anew if the machine types, and with them the shapes, changed.
 
         Returns whether they did.
--- a/oakmux/core/scheduling/queue_order.py
+++ b/oakmux/core/scheduling/queue_order.py
@@ -65,10 +65,10 @@
 def is_aged(context: Context, job: Job, spec: JobSpec) -> bool:
     """Whether a job has waited for so long that it is granted a minimum share of capacity."""
     objectives_s = context.objectives.start_s.get(spec.job_class)
-    patience_s = (
+    aged_after_s = (
         constants.AGED_OBJECTIVES * max(objectives_s) if objectives_s else constants.AGED_S
     )
-    return context.wall_clock_ms - job.since > 1000 * patience_s or is_starving(context, job)
+    return context.wall_clock_ms - job.since > 1000 * aged_after_s or is_starving(context, job)
 
 
 def queue_rank(context: Context, job: Job, spec: JobSpec, usage: quotas.TeamUsage) -> QueueRank:
--- a/oakmux/core/scheduling/quota_claims.py
+++ b/oakmux/core/scheduling/quota_claims.py
@@ -19,10 +19,10 @@
     It excludes jobs of lower priority, and those of the same that became ready after `since` (ms).
     """
 
-    until: float
+    expires_at: float
     team: str
     priority: int
-    since: float
+    since_ms: float
     cpus: float
     gpus: float
 
@@ -46,11 +46,11 @@
             return False
         self._drop_expired()
         cpus, gpus = self.buffer.team_usage(job.team)
-        for other, claim in self.claims.items():
+        for other_id, claim in self.claims.items():
             if (
                 claim.team == job.team
-                and other != job.id
-                and (claim.priority, -claim.since) > (job.priority, -job.since)
+                and other_id != job.id
+                and (claim.priority, -claim.since_ms) > (job.priority, -job.since)
             ):
                 cpus += claim.cpus
                 gpus += claim.gpus
@@ -60,7 +60,7 @@
 
     def _drop_expired(self) -> None:
         for job_id, claim in list(self.claims.items()):
-            if claim.until <= self.context.now:
+            if claim.expires_at <= self.context.now:
                 del self.claims[job_id]
 
     def claim(self, job: Job, spec: JobSpec, wanted: int) -> None:
@@ -72,39 +72,42 @@
         and a gang that needed it would block the rest of the limit for ever without using it.
         """
         starving = is_starving(self.context, job)
-        before_equals = starving or self._has_waited(job, spec)
+        precedes_equals = starving or self._has_waited_long(job, spec)
         used = self.buffer.team_usage(job.team)
-        left = self._usage_without_jobs_behind(job, used, before_equals)
-        least = spec.tasks if spec.kind == "gang" else 1
-        if (left == used and not starving) or quotas.exceeds_limit(
-            self.context, job.team, left.cpus + least * spec.cpus, left.gpus + least * spec.gpus
+        usage_left = self._usage_without_jobs_behind(job, used, precedes_equals)
+        min_tasks = spec.tasks if spec.kind == "gang" else 1
+        if (usage_left == used and not starving) or quotas.exceeds_limit(
+            self.context,
+            job.team,
+            usage_left.cpus + min_tasks * spec.cpus,
+            usage_left.gpus + min_tasks * spec.gpus,
         ):
             return
-        most = quotas.tasks_left(self.context, job.team, spec, {job.team: left})
-        tasks = max(least, min(wanted, constants.MAX_RESERVATIONS_PER_JOB, most))
+        max_tasks = quotas.tasks_left(self.context, job.team, spec, {job.team: usage_left})
+        tasks = max(min_tasks, min(wanted, constants.MAX_RESERVATIONS_PER_JOB, max_tasks))
         self.claims[job.id] = LimitClaim(
             self.context.now + constants.LIMIT_CLAIM_TTL_S,
             job.team,
             job.priority,
-            job.since if before_equals else math.inf,
+            job.since if precedes_equals else math.inf,
             tasks * spec.cpus,
             tasks * spec.gpus,
         )
 
-    def _has_waited(self, job: Job, spec: JobSpec) -> bool:
+    def _has_waited_long(self, job: Job, spec: JobSpec) -> bool:
         """Whether a gang has waited so long that it goes before others of its priority."""
         waited_ms = self.context.wall_clock_ms - job.since
         return spec.kind == "gang" and waited_ms > 1000 * constants.BACKFILL_MIN_WAIT_S
 
-    def _usage_without_jobs_behind(self, job: Job, used: Usage, before_equals: bool) -> Usage:
+    def _usage_without_jobs_behind(self, job: Job, used: Usage, precedes_equals: bool) -> Usage:
         """Return what a job's team will use once the tasks behind the job have ended.
 
-        Services don't end. With `before_equals`, the job goes before others of its priority.
+        Services don't end. With `precedes_equals`, the job goes before others of its priority.
         """
         cpus, gpus = used
         by_priority = self.context.replica.usage.preemptible.get(job.team, {})
         for priority, usage in by_priority.items():
-            if priority < job.priority or (priority == job.priority and before_equals):
+            if priority < job.priority or (priority == job.priority and precedes_equals):
                 cpus -= usage.cpus
                 gpus -= usage.gpus
         return Usage(cpus, gpus)
--- a/oakmux/core/scheduling/sampling_schedule.py
+++ b/oakmux/core/scheduling/sampling_schedule.py
@@ -158,7 +158,7 @@
 
     def enqueue_due(self) -> None:
         """Queue the jobs whose time has come."""
-        if self.queues.resize():
+        if self.queues.refresh_shapes():
             self.closed.clear()
             self.requested.clear()
         self.queues.promote_starving()
