--- a/oakmux/cli/client.py
+++ b/oakmux/cli/client.py
@@ -29,7 +29,7 @@
         """Print a result for people or for programs."""
         click.echo(json.dumps(value) if self.as_json else text)
 
-    def need_servers(self) -> list[str]:
+    def require_servers(self) -> list[str]:
         """Return the controllers' addresses or end with a hint."""
         if not self.servers:
             fail("no controllers: name them with --server or in the INI file", EXIT_BAD)
@@ -42,7 +42,7 @@
     sys.exit(code)
 
 
-def request_one(server: str, method: str, path: str, body: Any = None) -> tuple[int, Any]:
+def send_request(server: str, method: str, path: str, body: Any = None) -> tuple[int, Any]:
     """Make one request; raises OSError or HTTPException when there is no answer."""
     host, port = settings.split_addr(server)
     conn = HTTPConnection(host, port, timeout=constants.CLOUD_TIMEOUT_S)
@@ -57,20 +57,20 @@
 
 def request(context: CliContext, method: str, path: str, body: Any = None) -> tuple[int, Any]:
     """Ask one controller after another until one can answer."""
-    trouble = ""
+    last_error = ""
     for attempt in range(constants.CLI_ROUNDS):
-        for server in context.need_servers():
+        for server in context.require_servers():
             try:
-                status, answer = request_one(server, method, path, body)
+                status, answer = send_request(server, method, path, body)
             except (OSError, HTTPException, MalformedError) as error:
-                trouble = f"{server}: {error or 'no answer'}"
+                last_error = f"{server}: {error or 'no answer'}"
                 continue
             if status not in RETRIED_STATUSES:
                 return status, answer
-            trouble = f"{server}: status {status}"
+            last_error = f"{server}: status {status}"
         if attempt + 1 < constants.CLI_ROUNDS:
             time.sleep(constants.RETRY_AFTER_S)
-    fail(f"no controller could answer ({trouble})", EXIT_UNREACHABLE)
+    fail(f"no controller could answer ({last_error})", EXIT_UNREACHABLE)
 
 
 def refusal_reason(answer: Any) -> str:
--- a/oakmux/cli/controllers.py
+++ b/oakmux/cli/controllers.py
@@ -53,7 +53,7 @@
 def request_health(server: str) -> dict[str, Any]:
     """Return the health of one controller, or the error that kept it from answering."""
     try:
-        status, answer = client.request_one(server, "GET", PATH_HEALTH)
+        status, answer = client.send_request(server, "GET", PATH_HEALTH)
     except (OSError, HTTPException, MalformedError) as error:
         return {"server": server, "ready": False, "error": str(error) or "no answer"}
     health = answer if isinstance(answer, dict) else {}
@@ -76,7 +76,7 @@
 @click.pass_obj
 def controllers(context: CliContext) -> None:
     """Show the health of all controllers; exit 3 if none is ready."""
-    rows = [request_health(server) for server in context.need_servers()]
+    rows = [request_health(server) for server in context.require_servers()]
     context.show(rows, "\n".join(health_line(row) for row in rows))
     if not any(row["ready"] for row in rows):
         sys.exit(EXIT_UNREACHABLE)
--- a/oakmux/cli/jobs.py
+++ b/oakmux/cli/jobs.py
@@ -71,13 +71,13 @@
 
 def make_submission(job: dict[str, Any]) -> dict[str, Any]:
     """Return the submission of a job, with defaults, or end if it is malformed."""
-    made = submission_body({**DEFAULTS, **job})
+    submission = submission_body({**DEFAULTS, **job})
     try:
-        parse_job_id(made)
-        parse_job(made)
+        parse_job_id(submission)
+        parse_job(submission)
     except MalformedError as error:
         fail(f"bad job: {error}", EXIT_BAD)
-    return made
+    return submission
 
 
 @click.command()
@@ -120,14 +120,14 @@
 ) -> None:
     """Submit a job from a file, from flags, or from a file with flags on top."""
     job = read_job(path) if path else {}
-    given = {
+    options = {
         "id": job_id,
         "class": job_class,
         "types": list(types) or None,
         "waits_on": list(waits_on) or None,
         **flags,
     }
-    job.update({name: value for name, value in given.items() if value is not None})
+    job.update({name: value for name, value in options.items() if value is not None})
     for name in ("id", "team"):
         if name not in job:
             fail(f"a job needs {name}", EXIT_BAD)
@@ -174,13 +174,13 @@
 @click.pass_obj
 def wait(context: CliContext, job_id: str, timeout: float | None, every: float) -> None:
     """Wait until JOB_ID is done (exit 0) or cancelled (exit 1)."""
-    end = None if timeout is None else time.monotonic() + timeout
+    deadline = None if timeout is None else time.monotonic() + timeout
     while True:
         answer = request_job(context, job_id)
         state = parse_job_summary(answer).state
         if state in ("done", "cancelled"):
             context.show(answer, summary_line(answer))
             sys.exit(0 if state == "done" else EXIT_FAILED)
-        if end is not None and time.monotonic() >= end:
+        if deadline is not None and time.monotonic() >= deadline:
             fail(f"{job_id}: still {state} after {timeout} s", EXIT_FAILED)
         time.sleep(max(MIN_POLL_S, every))
--- a/oakmux/cli/options.py
+++ b/oakmux/cli/options.py
@@ -27,9 +27,9 @@
     return servers
 
 
-def check_server(server: str, where: str) -> None:
+def check_server(server: str, source: str) -> None:
     """End with one line if an address can't be one."""
     try:
         settings.split_addr(server)
     except ValueError as error:
-        fail(f"{where}: {error}", EXIT_BAD)
+        fail(f"{source}: {error}", EXIT_BAD)
--- a/oakmux/codec/peers.py
+++ b/oakmux/codec/peers.py
@@ -70,7 +70,7 @@
 
 def encode_batch(sender: str, messages: Sequence[PeerMessage], since: int) -> bytes:
     """Return the body of a request."""
-    return encode(["batch", sender, [encode_message(one) for one in messages], since])
+    return encode(["batch", sender, [encode_message(message) for message in messages], since])
 
 
 def decode_batch(body: bytes) -> MessageBatch:
--- a/oakmux/codec/users.py
+++ b/oakmux/codec/users.py
@@ -55,11 +55,11 @@
 """Field of a job: our name, and the protocol's."""
 
 CLI_FIELDS = {
-    "class" if ours == "job_class" else ours: theirs for ours, theirs in JOB_FIELDS.items()
+    "class" if name == "job_class" else name: wire_name for name, wire_name in JOB_FIELDS.items()
 }
 """Field of a job: the command line's name, and the protocol's."""
 
-CLI_KINDS = {ours: theirs for theirs, ours in KINDS.items()}
+CLI_KINDS = {name: wire_name for wire_name, name in KINDS.items()}
 """Kind of a job: the command line's name, which is ours, and the protocol's."""
 
 CLI_PRIORITIES = {
@@ -70,8 +70,10 @@
 }
 """Priority of a job: the command line's name, and the protocol's."""
 
-_CLI_PRIORITY_OF_LEVEL = {PRIORITIES[theirs]: name for name, theirs in CLI_PRIORITIES.items()}
-_STATE_OF_ANSWER = {theirs: ours for ours, theirs in JOB_STATES.items()}
+_CLI_PRIORITY_OF_LEVEL = {
+    PRIORITIES[wire_name]: name for name, wire_name in CLI_PRIORITIES.items()
+}
+_STATE_OF_ANSWER = {wire_name: name for name, wire_name in JOB_STATES.items()}
 
 
 class _Submission(msgspec.Struct, rename=JOB_FIELDS):
@@ -210,15 +212,15 @@
 
 def job_description(spec: JobSpec) -> dict[str, Any]:
     """Return a job in the command line's terms, without its id and its dependencies."""
-    made = {}
+    description = {}
     for name in CLI_FIELDS:
         if name not in ("id", "kind", "priority", "waits_on"):
             value = getattr(spec, "job_class" if name == "class" else name)
             if value is not None:
-                made[name] = value
-    made["kind"] = spec.kind
-    made["priority"] = _CLI_PRIORITY_OF_LEVEL[spec.priority]
-    return made
+                description[name] = value
+    description["kind"] = spec.kind
+    description["priority"] = _CLI_PRIORITY_OF_LEVEL[spec.priority]
+    return description
 
 
 class JobSummary(NamedTuple):
--- a/oakmux/settings.py
+++ b/oakmux/settings.py
@@ -167,8 +167,8 @@
 
 def check(settings: Settings) -> Settings:
     """Return the settings; raises SettingsError if they are well formed but can't work."""
-    for check_part in _CHECKS:
-        check_part(settings)
+    for run_check in _CHECKS:
+        run_check(settings)
     return settings
 
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -30,7 +30,7 @@
             }
         return 200, {"id": "job-1", "status": "done", "done": 2, "running": 0}
 
-    monkeypatch.setattr("oakmux.cli.client.request_one", answer)
+    monkeypatch.setattr("oakmux.cli.client.send_request", answer)
     ini = tmp_path / "o.ini"
     ini.write_text("[oakmux]\nservers = 127.0.0.1:1, 127.0.0.1:2\n")
     job = tmp_path / "job.toml"
