--- a/oakmux/schedules/dav/protocol.py
+++ b/oakmux/schedules/dav/protocol.py
@@ -91,9 +91,9 @@
             f"Content-Length: {len(body)}",
             *(f"{name.replace('_', '-')}: {value}" for name, value in headers.items()),
         ]
-        if not self.keep:
+        if not self.keep_alive:
             lines.append("Connection: close")
         head = "\r\n".join(lines).encode("latin-1", "replace") + b"\r\n\r\n"
         self.transport.write(head if request.method == "HEAD" else head + body)
-        if not self.keep:
+        if not self.keep_alive:
             self.transport.close()
--- a/oakmux/service.py
+++ b/oakmux/service.py
@@ -27,7 +27,7 @@
 
 log = logging.getLogger("oakmux")
 
-LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
+LOG_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 
 class Plugin(Protocol):
@@ -38,7 +38,7 @@
     def paths(self, offer: Callable[[Command], bool]) -> dict[str, Callable[[Request, str], None]]:
         """Return who serves further paths of the public address, by how they begin."""
 
-    async def start(self, offer: Callable[[Command], bool], most: int) -> None:
+    async def start(self, offer: Callable[[Command], bool], max_connections: int) -> None:
         """Open what it listens on, for at most so many connections."""
 
     def tick(self) -> list[Command]:
@@ -52,29 +52,32 @@
         self.conf = conf
         self.plugins = plugins
         self.loop = asyncio.get_running_loop()
-        wall = int(time.time() * 1000) - int(self.loop.time() * 1000)
+        wall_clock_offset_ms = int(time.time() * 1000) - int(self.loop.time() * 1000)
         self.core = Controller(
-            conf, random.Random(), wall, [make for plugin in plugins for make in plugin.subsystems]
+            conf,
+            random.Random(),
+            wall_clock_offset_ms,
+            [make for plugin in plugins for make in plugin.subsystems],
         )
         self.commands: list[Command] = []
-        self.scheduled = False
+        self.step_scheduled = False
         self.tasks: set[asyncio.Task[None]] = set()
-        self.front = RequestRouter(self.offer)
+        self.router = RequestRouter(self.offer)
         for plugin in plugins:
-            self.front.prefix_routes.update(plugin.paths(self.offer))
-        self.state = StoreClient(conf, self.put)
+            self.router.prefix_routes.update(plugin.paths(self.offer))
+        self.store = StoreClient(conf, self.put)
         self.cloud = CloudClient(conf, self.put)
         self.workers = WorkerClient(self.put)
         cancellations = self.core.agents.cancellations
         self.peers = {
-            m.controller_id: PeerClient(
+            peer.controller_id: PeerClient(
                 conf.controller_id,
-                m.controller_id,
-                m.address,
+                peer.controller_id,
+                peer.address,
                 self.put,
                 lambda: cancellations.revision,
             )
-            for m in conf.peers
+            for peer in conf.peers
         }
 
     def offer(self, command: Command) -> bool:
@@ -87,13 +90,13 @@
     def put(self, command: Command) -> None:
         """Queue a command; all that come within a moment are worked through together."""
         self.commands.append(command)
-        if not self.scheduled:
-            self.scheduled = True
-            self.loop.call_later(constants.COMMAND_BATCH_S, self.turn)
+        if not self.step_scheduled:
+            self.step_scheduled = True
+            self.loop.call_later(constants.COMMAND_BATCH_S, self.run_step)
 
-    def turn(self) -> None:
+    def run_step(self) -> None:
         """Give the core its batch and carry out the effects."""
-        self.scheduled = False
+        self.step_scheduled = False
         batch, self.commands = self.commands, []
         for effect in self.core.step(self.loop.time(), batch):
             try:
@@ -105,81 +108,86 @@
         """Hand one effect to the client of its counterpart."""
         match effect:
             case messages.Answer(request, status, body):
-                self.front.answer(request, status, body)
+                self.router.answer(request, status, body)
             case messages.SendToPeer(controller_id, message):
                 if controller_id in self.peers:
                     self.peers[controller_id].send(message)
             case messages.LendQuota():
                 self._lend_quota(effect)
             case messages.CreditQuota(changes):
-                self.state.credit(changes)
+                self.store.credit(changes)
             case messages.SendWorkerCommands():
                 self.spawn(self.workers.send_commands(effect))
             case messages.CloudOperation():
                 self.spawn(self.cloud.carry_out(effect))
             case messages.StoreOperation():
-                self.state.submit(effect)
+                self.store.submit(effect)
             case _:
                 raise TypeError(f"unknown effect {effect!r}")
 
     def _lend_quota(self, effect: messages.LendQuota) -> None:
-        lent = self.state.lend(effect.changes)
+        lent = self.store.lend(effect.changes)
         if lent and effect.controller_id in self.peers:
             self.peers[effect.controller_id].send(LendChanges(lent))
 
-    def spawn(self, work: Coroutine[Any, Any, None]) -> None:
+    def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
         """Run something in the background and keep it from being collected."""
-        task = self.loop.create_task(work)
+        task = self.loop.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def listen(
-        self, addr: str, handler: Callable[[Request], None], limit: int, max_body: int
+        self, addr: str, handler: Callable[[Request], None], max_connections: int, max_body: int
     ) -> None:
-        """Serve an address with at most `limit` connections."""
+        """Serve an address with at most `max_connections` connections."""
         host, port = settings.split_addr(addr)
-        live: set[ServerProtocol] = set()
+        open_connections: set[ServerProtocol] = set()
 
         def accept() -> ServerProtocol:
-            return ServerProtocol(handler, live, limit, max_body)
+            return ServerProtocol(handler, open_connections, max_connections, max_body)
 
         await self.loop.create_server(accept, host, port, backlog=256)
 
     async def run(self) -> None:
         """Serve until killed."""
-        most = int(self.conf.facts.resources.fd_limit * (1 - constants.CLIENT_SOCKETS_SHARE))
+        max_connections = int(
+            self.conf.facts.resources.fd_limit * (1 - constants.CLIENT_SOCKETS_SHARE)
+        )
         await self.listen(
-            self.conf.public_address, self.front.public, most, constants.MAX_BODY_BYTES
+            self.conf.public_address,
+            self.router.handle_public,
+            max_connections,
+            constants.MAX_BODY_BYTES,
         )
         await self.listen(
             self.conf.internal_address,
-            self.front.internal,
+            self.router.handle_internal,
             constants.PEER_CONNECTIONS * 4 * self.conf.size,
             constants.PEER_BODY_BYTES,
         )
         for plugin in self.plugins:
-            await plugin.start(self.offer, most)
+            await plugin.start(self.offer, max_connections)
         log.info(
             "event=started label=%s public=%s", self.conf.controller_id, self.conf.public_address
         )
-        self.spawn(self.state.pump(self.state.reads))
-        self.spawn(self.state.pump(self.state.writes))
-        self.spawn(self.state.follow())
-        self.spawn(self.cloud.catalogue())
+        self.spawn(self.store.dispatch(self.store.reads))
+        self.spawn(self.store.dispatch(self.store.writes))
+        self.spawn(self.store.load_and_watch())
+        self.spawn(self.cloud.poll_catalogue())
         for peer in self.peers.values():
-            self.spawn(peer.pump())
+            self.spawn(peer.send_batches())
         while True:
             for plugin in self.plugins:
                 for command in plugin.tick():
                     self.put(command)
-            if not self.scheduled:
-                self.turn()
+            if not self.step_scheduled:
+                self.run_step()
             await asyncio.sleep(constants.TICK_S)
 
 
 def set_up_logging() -> None:
     """Log to standard error at LOG_LEVEL."""
-    level = LEVELS.get(os.environ.get("LOG_LEVEL", "error").lower(), logging.ERROR)
+    level = LOG_LEVELS.get(os.environ.get("LOG_LEVEL", "error").lower(), logging.ERROR)
     logging.basicConfig(
         stream=sys.stderr, level=level, format="%(levelname)s %(name)s %(message)s"
     )
@@ -241,5 +249,5 @@
     parser.add_argument(
         "--spread", metavar="FILE", help="how load is spread, by the operator's settings (INI)"
     )
-    given = parser.parse_args(argv)
-    return serve(given.config, given.schedules, given.spread)
+    args = parser.parse_args(argv)
+    return serve(args.config, args.schedules, args.spread)
--- a/oakmux/transport/cloud_client.py
+++ b/oakmux/transport/cloud_client.py
@@ -38,7 +38,7 @@
         self.bucket = TokenBucket(
             settings.facts.cloud.rps * constants.CLOUD_RATE_SHARE, constants.CLOUD_BURST_S
         )
-        self.turn = asyncio.Lock()
+        self.request_lock = asyncio.Lock()
         self.client = Client(constants.CLOUD_CONNECTIONS)
         self._handlers: dict[
             type[messages.CloudOperation], Callable[[Any], Awaitable[tuple[int, Any]]]
@@ -50,10 +50,12 @@
 
     async def _call(self, method: str, path: str, body: Any = None) -> tuple[int, Any]:
         loop = asyncio.get_running_loop()
-        async with self.turn:  # first come, first served: the most urgent rentals come first
+        async with (
+            self.request_lock
+        ):  # first come, first served: the most urgent rentals come first
             while (wait := self.bucket.wait(loop.time(), 1)) > 0:
                 await asyncio.sleep(wait)
-            self.bucket.take(1)
+            self.bucket.consume(1)
         data = b"" if body is None else encode(body)
         status, answer = await self.client.request(
             self.addr,
@@ -81,20 +83,20 @@
         self.put(messages.OperationDone(operation.operation, status, result))
 
     async def _list(self, _: messages.ListInstances) -> tuple[int, Any]:
-        rows: list[ListedInstance] = []
-        since = ""
+        instances: list[ListedInstance] = []
+        last_name = ""
         while True:
             path = f"{PATH_INSTANCES}?page={constants.LIST_PAGE_ITEMS}"
-            if since:
-                path += f"&since={quote(since)}"
+            if last_name:
+                path += f"&since={quote(last_name)}"
             status, answer = await self._call("GET", path)
             if status != 200:
                 return status, None
-            items, more = parse_instance_page(answer)
-            rows += items
-            if not more or not items:
-                return 200, rows
-            since = items[-1].name
+            items, has_more = parse_instance_page(answer)
+            instances += items
+            if not has_more or not items:
+                return 200, instances
+            last_name = items[-1].name
 
     async def _rent(self, operation: messages.RentInstances) -> tuple[int, Any]:
         body = rental_body(
@@ -114,20 +116,20 @@
         status, _ = await self._call("POST", PATH_RETURN, body)
         return status, None
 
-    async def catalogue(self) -> None:
+    async def poll_catalogue(self) -> None:
         """Read the catalogue for ever, at CATALOGUE_INTERVAL_S."""
-        tries = 0
+        failures = 0
         while True:
             try:
                 status, answer = await self._call("GET", PATH_CATALOGUE)
                 if status == 200:
                     self.put(messages.UpdateMachineTypes(parse_catalogue(answer)))
-                    tries = 0
+                    failures = 0
                     await asyncio.sleep(constants.CATALOGUE_INTERVAL_S)
                     continue
             except (RequestNotSentError, NoResponseError, MalformedError) as error:
                 log.info("event=catalogue_failed why=%s", error)
             except Exception:
                 log.exception("event=catalogue_failed")
-            await pause(tries)
-            tries += 1
+            await pause(failures)
+            failures += 1
--- a/oakmux/transport/http_client.py
+++ b/oakmux/transport/http_client.py
@@ -43,9 +43,9 @@
         self.usable = False
         self._fail("closed")
 
-    def _fail(self, why: str) -> None:
+    def _fail(self, reason: str) -> None:
         if self.waiter is not None and not self.waiter.done():
-            self.waiter.set_exception(NoResponseError(why))
+            self.waiter.set_exception(NoResponseError(reason))
 
     def data_received(self, data: bytes) -> None:
         """Feed the parser."""
--- a/oakmux/transport/http_server.py
+++ b/oakmux/transport/http_server.py
@@ -67,33 +67,33 @@
     def __init__(
         self,
         handler: Callable[[Request], None],
-        live: set["ServerProtocol"],
-        limit: int,
+        open_connections: set["ServerProtocol"],
+        max_connections: int,
         max_body: int = constants.MAX_BODY_BYTES,
     ) -> None:
         self.handler = handler
         self.max_body = max_body
-        self.live = live
-        self.limit = limit
+        self.open_connections = open_connections
+        self.max_connections = max_connections
         self.transport: Any = None
         self.parser = httptools.HttpRequestParser(self)
         self.url = b""
         self.chunks: list[bytes] = []
         self.size = 0
         self.current: Request | None = None
-        self.keep = True
+        self.keep_alive = True
 
     def connection_made(self, transport: Any) -> None:
         """Accept the connection unless the limit is reached."""
         self.transport = transport
-        if len(self.live) >= self.limit:
+        if len(self.open_connections) >= self.max_connections:
             transport.abort()
             return
-        self.live.add(self)
+        self.open_connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Stop counting the connection."""
-        self.live.discard(self)
+        self.open_connections.discard(self)
         self.transport = None
 
     def data_received(self, data: bytes) -> None:
@@ -127,7 +127,7 @@
         """Pass a complete request to the handler."""
         if self.current is not None:  # pipelining is not allowed
             raise httptools.HttpParserError("pipelined")
-        self.keep = self.parser.should_keep_alive()
+        self.keep_alive = self.parser.should_keep_alive()
         request = self.request(
             self.parser.get_method().decode("ascii", "replace"),
             self.url.decode("latin-1"),
@@ -151,6 +151,6 @@
         if self.transport is None or self.current is not request:
             return
         self.current = None
-        self.transport.write(render(status, body, retry_after, not self.keep))
-        if not self.keep:
+        self.transport.write(render(status, body, retry_after, not self.keep_alive))
+        if not self.keep_alive:
             self.transport.close()
--- a/oakmux/transport/peer_client.py
+++ b/oakmux/transport/peer_client.py
@@ -55,9 +55,9 @@
         if not isinstance(message, DEFERRABLE):
             self.urgent.set()
 
-    async def pump(self) -> None:
+    async def send_batches(self) -> None:
         """Send batches for ever, one at a time."""
-        tries = 0
+        failures = 0
         while True:
             if not self.outbox:
                 self.woken.clear()
@@ -69,10 +69,10 @@
             )
             try:
                 await self._send(batch)
-                tries = 0
+                failures = 0
             except (RequestNotSentError, NoResponseError, MalformedError) as error:
                 log.debug("event=peer_failed peer=%s why=%s", self.peer, error)
-                names = sorted(
+                machines = sorted(
                     {
                         message.machine
                         for message in batch + self.outbox
@@ -80,12 +80,12 @@
                     }
                 )
                 self.outbox = []
-                await pause(tries)
-                tries = min(tries + 1, 3)
-                self.put(messages.ResendViews(self.peer, names))
+                await pause(failures)
+                failures = min(failures + 1, 3)
+                self.put(messages.ResendViews(self.peer, machines))
             except Exception:
                 log.exception("event=peer_failed peer=%s", self.peer)
-                await pause(tries)
+                await pause(failures)
 
     async def _wait_for_batch(self) -> None:
         """Wait until a batch is worth its request: longer for mere updates on machines."""
--- a/oakmux/transport/rate_limit.py
+++ b/oakmux/transport/rate_limit.py
@@ -13,16 +13,16 @@
         self.rate = max(rate, 0.1)
         self.burst = max(rate * seconds, 1.0)
         self.level = self.burst
-        self.at: float | None = None
+        self.refilled_at: float | None = None
 
     def wait(self, now: float, cost: float) -> float:
         """Return the seconds until there are `cost` tokens, or a full bucket for a higher cost."""
-        if self.at is not None:
-            self.level = min(self.burst, self.level + (now - self.at) * self.rate)
-        self.at = now
+        if self.refilled_at is not None:
+            self.level = min(self.burst, self.level + (now - self.refilled_at) * self.rate)
+        self.refilled_at = now
         return max(0.0, (min(cost, self.burst) - self.level) / self.rate)
 
-    def take(self, cost: float) -> None:
+    def consume(self, cost: float) -> None:
         """Take tokens; the level may fall below zero for a cost above the bucket."""
         self.level -= cost
 
@@ -37,21 +37,21 @@
 
     def __init__(self, rate: float) -> None:
         self.rate = rate
-        self.since: float | None = None
+        self.growing_since: float | None = None
 
     def reset(self, now: float) -> None:
         """Start again from nothing, since something was refused or not answered."""
-        self.since = now
+        self.growing_since = now
 
     def allowed(self, now: float) -> float:
         """Return the writes that may be used in advance."""
-        if self.since is None:
-            self.since = now
-        grown = min(1.0, (now - self.since) / constants.USER_ADVANCE_GROWTH_S)
-        return self.rate * constants.USER_ADVANCE_S * grown
+        if self.growing_since is None:
+            self.growing_since = now
+        grown_share = min(1.0, (now - self.growing_since) / constants.USER_ADVANCE_GROWTH_S)
+        return self.rate * constants.USER_ADVANCE_S * grown_share
 
 
-async def pause(tries: int) -> None:
+async def pause(failures: int) -> None:
     """Wait before another try: doubling, bounded, with jitter."""
-    longest = min(constants.BACKOFF_FIRST_S * 2 ** min(tries, 10), constants.BACKOFF_MAX_S)
-    await asyncio.sleep(longest * random.uniform(0.5, 1.0))
+    max_delay_s = min(constants.BACKOFF_FIRST_S * 2 ** min(failures, 10), constants.BACKOFF_MAX_S)
+    await asyncio.sleep(max_delay_s * random.uniform(0.5, 1.0))
--- a/oakmux/transport/request_router.py
+++ b/oakmux/transport/request_router.py
@@ -71,7 +71,7 @@
         if not self.put(command):
             self.refuse(request, 503, "busy")
 
-    def public(self, request: Request) -> None:
+    def handle_public(self, request: Request) -> None:
         """Serve the public address."""
         route = self._find(request.path.partition("?")[0])
         if route is None:
@@ -95,16 +95,16 @@
                 return self._prefix_route(serve, path.removeprefix(prefix))
         return None
 
-    def _prefix_route(self, serve: Callable[[Request, str], None], rest: str) -> Route:
+    def _prefix_route(self, serve: Callable[[Request, str], None], subpath: str) -> Route:
         """Return the route of a subsystem's path."""
-        return Route("POST", lambda request: serve(request, rest))
+        return Route("POST", lambda request: serve(request, subpath))
 
-    def _job_route(self, rest: str) -> Route:
+    def _job_route(self, subpath: str) -> Route:
         """Return the route of a job, to query or to cancel it."""
-        if rest.endswith(CANCEL_SUFFIX):
-            job_id = rest.removesuffix(CANCEL_SUFFIX)
+        if subpath.endswith(CANCEL_SUFFIX):
+            job_id = subpath.removesuffix(CANCEL_SUFFIX)
             return Route("POST", lambda request: self._cancel(request, job_id))
-        return Route("GET", lambda request: self._query(request, rest))
+        return Route("GET", lambda request: self._query(request, subpath))
 
     def _query(self, request: Request, job_id: str) -> None:
         if self._is_job_id(request, job_id, 404):
@@ -114,13 +114,13 @@
         if self._is_job_id(request, job_id, 400):
             self._queue(request, messages.CancelJob(request, job_id))
 
-    def _is_job_id(self, request: Request, job_id: str, refusal: int) -> bool:
-        """Whether a path ends in a job id; answers with the status `refusal` if not."""
+    def _is_job_id(self, request: Request, job_id: str, status: int) -> bool:
+        """Whether a path ends in a job id; answers with `status` if not."""
         if "/" in job_id:
             self.refuse(request, 404, "unknown path")
         elif not JOB_ID.match(job_id):
             # Nobody can have submitted such a job.
-            self.refuse(request, refusal, "not a job id")
+            self.refuse(request, status, "not a job id")
         else:
             return True
         return False
@@ -147,7 +147,7 @@
             return
         self._queue(request, messages.ReceiveHeartbeat(request, heartbeat))
 
-    def internal(self, request: Request) -> None:
+    def handle_internal(self, request: Request) -> None:
         """Serve the address for peers."""
         if request.path != PATH_PEERS:
             self.refuse(request, 404, "unknown path")
--- a/oakmux/transport/store_client.py
+++ b/oakmux/transport/store_client.py
@@ -54,19 +54,19 @@
         self.put = put
         limits = settings.facts.store.strictest
         share = constants.RATE_LIMIT_SHARE / settings.size
-        self.requests = TokenBucket(limits.rps * share)
-        self.changes = TokenBucket(limits.write_rps * share)
-        self.ahead = BurstAllowance(self.changes.rate)
+        self.request_tokens = TokenBucket(limits.rps * share)
+        self.write_tokens = TokenBucket(limits.write_rps * share)
+        self.burst_allowance = BurstAllowance(self.write_tokens.rate)
         self.client = Client(constants.STORE_CONNECTIONS)
         self.reads = OperationQueue()
         self.writes = OperationQueue()
-        self.count = 0
-        self.next_borrow = 0.0
-        self.watch_gap = max(
+        self.sequence = 0
+        self.next_borrow_at = 0.0
+        self.watch_interval_s = max(
             constants.WATCH_MIN_INTERVAL_S, 1.0 / (limits.rps * share * constants.WATCH_RATE_SHARE)
         )
         self.tasks: set[asyncio.Task[None]] = set()
-        self.refused: set[tuple[int, str]] = set()
+        self.logged_refusals: set[tuple[int, str]] = set()
         self._handlers: dict[
             type[messages.StoreOperation], Callable[[Any], Awaitable[tuple[int, Any]]]
         ] = {
@@ -87,8 +87,8 @@
         if writes and priority == 0 and self._would_expire(now, writes):
             self._unavailable(operation)  # at once, rather than when its time is over
             return
-        self.count += 1
-        queue.push(QueuedOperation(priority, self.count, now, writes, operation))
+        self.sequence += 1
+        queue.push(QueuedOperation(priority, self.sequence, now, writes, operation))
 
     def _unavailable(self, operation: messages.StoreOperation) -> None:
         """Report that an operation was given up before it was sent."""
@@ -96,11 +96,16 @@
 
     def _would_expire(self, now: float, writes: int) -> bool:
         """Whether a user's writes would wait for their turn for longer than they may."""
-        self.changes.wait(now, 0)  # refills the bucket
-        missing = self.writes.urgent_writes + writes - self.changes.level - self.ahead.allowed(now)
-        return missing > self.changes.rate * constants.STORE_QUEUE_TIMEOUT_S
+        self.write_tokens.wait(now, 0)  # refills the bucket
+        missing = (
+            self.writes.urgent_writes
+            + writes
+            - self.write_tokens.level
+            - self.burst_allowance.allowed(now)
+        )
+        return missing > self.write_tokens.rate * constants.STORE_QUEUE_TIMEOUT_S
 
-    async def pump(self, queue: OperationQueue) -> None:
+    async def dispatch(self, queue: OperationQueue) -> None:
         """Start the operations of a queue for ever, as the limits allow, the most urgent first.
 
         Renewals and reads have a queue of their own: behind writes that waited for their share of
@@ -127,8 +132,8 @@
             await queue.wait(wait)
             return
         queue.pop()
-        self.requests.take(1)
-        self.changes.take(first.writes)
+        self.request_tokens.consume(1)
+        self.write_tokens.consume(first.writes)
         self._borrow(now)
         task = loop.create_task(self._carry_out(first.operation))
         self.tasks.add(task)
@@ -140,11 +145,11 @@
         A user's write is sent ahead of its share: behind a scheduler's transaction it waited for
         up to two seconds. The next transaction waits so much longer.
         """
-        wait = self.requests.wait(now, 1)
+        wait = self.request_tokens.wait(now, 1)
         if not queued.writes:
             return wait
-        ahead = self.ahead.allowed(now) if queued.priority <= 0 else 0.0
-        return max(wait, self.changes.wait(now, queued.writes - ahead))
+        allowance = self.burst_allowance.allowed(now) if queued.priority <= 0 else 0.0
+        return max(wait, self.write_tokens.wait(now, queued.writes - allowance))
 
     def _borrow(self, now: float) -> None:
         """Ask the peers for write tokens that they can spare.
@@ -152,25 +157,25 @@
         The rate is split evenly, the work is not. What is lent was the peers' own share, so that
         the sum stays within the limit.
         """
-        missing = self.writes.writes - self.changes.level
-        if missing > 0 and now >= self.next_borrow:
-            self.next_borrow = now + constants.BORROW_INTERVAL_S
+        missing = self.writes.writes - self.write_tokens.level
+        if missing > 0 and now >= self.next_borrow_at:
+            self.next_borrow_at = now + constants.BORROW_INTERVAL_S
             self.put(messages.BorrowQuota(missing))
 
     def lend(self, wanted: float) -> float:
         """Give up write tokens that are not needed now; return how many."""
         if self.writes.heap:
             return 0.0
-        self.changes.wait(asyncio.get_running_loop().time(), 0)
-        given = min(wanted, self.changes.level - constants.LENDER_RESERVE)
-        if given < constants.LEND_MIN:
+        self.write_tokens.wait(asyncio.get_running_loop().time(), 0)
+        tokens = min(wanted, self.write_tokens.level - constants.LENDER_RESERVE)
+        if tokens < constants.LEND_MIN:
             return 0.0
-        self.changes.take(given)
-        return given
+        self.write_tokens.consume(tokens)
+        return tokens
 
-    def credit(self, given: float) -> None:
+    def credit(self, tokens: float) -> None:
         """Take the write tokens that a peer lent; those beyond a full bucket are lost."""
-        self.changes.take(-given)
+        self.write_tokens.consume(-tokens)
         self.writes.woken.set()
 
     async def _carry_out(self, operation: messages.StoreOperation) -> None:
@@ -187,7 +192,7 @@
             log.exception("event=store_request_failed kind=%s", kind)
             status, result = 0, None
         if status in (0, 503):
-            self.ahead.reset(asyncio.get_running_loop().time())
+            self.burst_allowance.reset(asyncio.get_running_loop().time())
         self.put(messages.OperationDone(operation.operation, status, result))
 
     async def _call(
@@ -202,8 +207,8 @@
         return status, decode(answer) if answer else None
 
     async def _transact(self, operation: messages.Transaction) -> tuple[int, Any]:
-        guards, writes = operation.conditions, operation.writes
-        body = transaction_body(guards, writes)
+        conditions, writes = operation.conditions, operation.writes
+        body = transaction_body(conditions, writes)
         status, answer = await self._call("POST", PATH_TRANSACTIONS, body)
         if writes and log.isEnabledFor(logging.DEBUG):
             log.debug(
@@ -214,15 +219,19 @@
         if status in (200, 409):
             return status, parse_transaction_result(answer)
         if status in (400, 429):
-            self._log_refusal(status, guards, writes, answer)
+            self._log_refusal(status, conditions, writes, answer)
         return (status if status == 400 else 503 if status in (429, 503) else 0), None
 
-    def _log_refusal(self, status: int, guards: list[Any], writes: list[Any], answer: Any) -> None:
+    def _log_refusal(
+        self, status: int, conditions: list[Any], writes: list[Any], answer: Any
+    ) -> None:
         """Log once a key that a transaction was refused; values are the users' and not logged."""
-        key = writes[0][0] if writes else guards[0][0] if guards else "none"
-        if (status, key) in self.refused or len(self.refused) >= constants.MAX_REMEMBERED:
+        key = writes[0][0] if writes else conditions[0][0] if conditions else "none"
+        if (status, key) in self.logged_refusals or len(
+            self.logged_refusals
+        ) >= constants.MAX_REMEMBERED:
             return
-        self.refused.add((status, key))
+        self.logged_refusals.add((status, key))
         size = max((value_bytes(write[1]) for write in writes if len(write) > 1), default=0)
         log.error(
             "event=transaction_refused status=%s key=%s bytes=%s changes=%s conditions=%s why=%r",
@@ -230,7 +239,7 @@
             key,
             size,
             len(writes),
-            len(guards),
+            len(conditions),
             str(answer)[: constants.LOG_TEXT_CHARS],
         )
 
@@ -255,12 +264,12 @@
     async def _rate_limited_get(self, path: str, timeout: float) -> tuple[int, Any]:
         """Make a GET request as soon as the rate limit allows it."""
         loop = asyncio.get_running_loop()
-        while (wait := self.requests.wait(loop.time(), 1)) > 0:
+        while (wait := self.request_tokens.wait(loop.time(), 1)) > 0:
             await asyncio.sleep(wait)
-        self.requests.take(1)
+        self.request_tokens.consume(1)
         return await self._call("GET", path, None, timeout)
 
-    async def follow(self) -> None:
+    async def load_and_watch(self) -> None:
         """Read all records, then watch them for ever."""
         failures = 0
         revision: int | None = None
@@ -302,7 +311,7 @@
             return status, None
         events = parse_watch_events(answer)
         self.put(messages.ApplyWatchEvents(events.events, events.revision, requested_at))
-        await asyncio.sleep(max(0.0, requested_at + self.watch_gap - loop.time()))
+        await asyncio.sleep(max(0.0, requested_at + self.watch_interval_s - loop.time()))
         return status, events
 
     async def _load(self) -> int:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -76,7 +76,7 @@
     front.prefix_routes.update(extra.paths(offer))
     live: set[ServerProtocol] = set()
     await asyncio.get_running_loop().create_server(
-        lambda: ServerProtocol(front.public, live, 100), "127.0.0.1", public
+        lambda: ServerProtocol(front.handle_public, live, 100), "127.0.0.1", public
     )
     await extra.start(offer, 400)
     print(json.dumps({"dav": dav, "public": public, "tokens": made}), flush=True)
--- a/tests/recorded.py
+++ b/tests/recorded.py
@@ -596,7 +596,7 @@
     commands: list[Command] = []
     front = RequestRouter(lambda command: commands.append(command) is None)
     line = Line([])
-    server = ServerProtocol(front.internal if internal else front.public, set(), 1)
+    server = ServerProtocol(front.handle_internal if internal else front.handle_public, set(), 1)
     server.connection_made(line)
     server.data_received(data)
     return commands, line.sent
@@ -697,7 +697,7 @@
         commands: list[Any] = []
         front = RequestRouter(lambda command, commands=commands: commands.append(command) is None)
         line = Line([])
-        server = ServerProtocol(front.public, set(), 1)
+        server = ServerProtocol(front.handle_public, set(), 1)
         server.connection_made(line)
         server.data_received(request("GET", "/healthz"))
         front.answer(commands[0].request, status, answer)
@@ -837,10 +837,13 @@
             [reply(200, list_more), reply(200, {**ROWS, "epoch": 435})],
         ),
         "state/watch": (
-            on_state(lambda state: state.follow()),
+            on_state(lambda state: state.load_and_watch()),
             [reply(200, ROWS), reply(410), reply(200, ROWS), reply(200, EVENTS)],
         ),
-        "cloud/catalogue": (on_cloud(lambda cloud: cloud.catalogue()), [reply(200, CATALOGUE)]),
+        "cloud/catalogue": (
+            on_cloud(lambda cloud: cloud.poll_catalogue()),
+            [reply(200, CATALOGUE)],
+        ),
         "cloud/list": (
             cloud(core_messages.ListInstances(5)),
             [reply(200, hosts_more), reply(200, HOSTS)],
@@ -1011,14 +1014,14 @@
 
     async def lend() -> list:
         service = Service(conf)
-        before = service.state.changes.level
+        before = service.store.write_tokens.level
         service.carry_out(core_messages.LendQuota("h1", 3.5))
-        lent = before - service.state.changes.level
+        lent = before - service.store.write_tokens.level
         service.carry_out(core_messages.CreditQuota(0.75))
         return [
             [encode_message(one) for one in service.peers["h1"].outbox],
             lent,
-            before - service.state.changes.level,
+            before - service.store.write_tokens.level,
         ]
 
     with asyncio.Runner(loop_factory=StillLoop) as runner:
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -26,7 +26,7 @@
     """Send bytes to the front and return (response, commands, whether it was closed)."""
     commands = []
     front = RequestRouter(lambda command: not commands.append(command))
-    proto = ServerProtocol(front.public, set(), 10)
+    proto = ServerProtocol(front.handle_public, set(), 10)
     transport = FakeTransport()
     proto.connection_made(transport)
     for byte in range(0, len(data), 50_000):
--- a/tests/test_peer_client.py
+++ b/tests/test_peer_client.py
@@ -36,7 +36,7 @@
 
         peer.client.request = request  # type: ignore[method-assign]
         start = loop.time()
-        pump = asyncio.ensure_future(peer.pump())
+        sender = asyncio.ensure_future(peer.send_batches())
         for name in ("m1", "m2"):
             peer.send(view_of(name))
             await asyncio.sleep(0.01)
@@ -45,7 +45,7 @@
         await asyncio.sleep(0.02)
         peer.send(Offer("m1", "job-1", 1, 1, 1, "h0"))
         await asyncio.sleep(0.4)
-        pump.cancel()
+        sender.cancel()
 
     asyncio.run(scenario())
     assert [names for _, names in sent] == [["view", "view"], ["view", "offer"]]
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -17,7 +17,7 @@
     bucket, now, sent = TokenBucket(10.0), 0.0, 0
     while now < 10.0:
         if bucket.wait(now, 1) <= 0:
-            bucket.take(1)
+            bucket.consume(1)
             sent += 1
         else:
             now += 0.01
@@ -36,7 +36,7 @@
             return 200, encode({"epoch": 1})
 
         state.client.request = request
-        tasks = [asyncio.create_task(state.pump(line)) for line in (state.reads, state.writes)]
+        tasks = [asyncio.create_task(state.dispatch(line)) for line in (state.reads, state.writes)]
         await play(state, sent, put)
         for task in tasks:
             task.cancel()
@@ -59,8 +59,8 @@
 def test_a_lease_renewal_does_not_wait_for_a_write_without_tokens():
     # One line for all once let leases end behind a change that waited seconds for its rate.
     async def play(state, sent, put):
-        state.changes.level = -1e6
-        state.changes.at = asyncio.get_running_loop().time()
+        state.write_tokens.level = -1e6
+        state.write_tokens.refilled_at = asyncio.get_running_loop().time()
         state.submit(messages.Transaction(1, [], [("k", 1, None)], 1))
         await turns()
         state.submit(messages.RenewLease(2, 7))
@@ -73,15 +73,17 @@
 def test_a_users_write_may_borrow_from_the_rate_but_not_without_bound():
     # Behind an owner's transaction of several changes, submissions waited up to two seconds.
     async def play(state, sent, put):
-        state.changes.at = asyncio.get_running_loop().time()
-        state.ahead.reset(state.changes.at - 2 * constants.USER_ADVANCE_GROWTH_S)
-        state.changes.level = -state.changes.rate
+        state.write_tokens.refilled_at = asyncio.get_running_loop().time()
+        state.burst_allowance.reset(
+            state.write_tokens.refilled_at - 2 * constants.USER_ADVANCE_GROWTH_S
+        )
+        state.write_tokens.level = -state.write_tokens.rate
         state.submit(messages.Transaction(1, [], [("k", 1, None)], 1))
         state.submit(messages.Transaction(2, [], [("user", 1, None)], 0))
         await turns()
         assert sent == [PATH_TRANSACTIONS]
-        assert state.changes.level < -state.changes.rate
-        state.changes.level = -3 * state.changes.rate
+        assert state.write_tokens.level < -state.write_tokens.rate
+        state.write_tokens.level = -3 * state.write_tokens.rate
         state.submit(messages.Transaction(3, [], [("user", 1, None)], 0))
         await turns()
         assert len(sent) == 1
@@ -108,7 +110,7 @@
             > 2 * limit
         )
         waiting = len(state.writes.heap)
-        assert waiting <= state.changes.rate * (constants.STORE_QUEUE_TIMEOUT_S + 1)
+        assert waiting <= state.write_tokens.rate * (constants.STORE_QUEUE_TIMEOUT_S + 1)
 
     with_state(play)
 
@@ -116,8 +118,11 @@
 def test_a_rejection_reduces_how_much_users_may_borrow():
     async def play(state, sent, put):
         now = asyncio.get_running_loop().time()
-        state.ahead.reset(now - 2 * constants.USER_ADVANCE_GROWTH_S)
-        assert state.ahead.allowed(now) == state.changes.rate * constants.USER_ADVANCE_S
+        state.burst_allowance.reset(now - 2 * constants.USER_ADVANCE_GROWTH_S)
+        assert (
+            state.burst_allowance.allowed(now)
+            == state.write_tokens.rate * constants.USER_ADVANCE_S
+        )
 
         async def outage(*_):
             return 503, b""
@@ -126,20 +131,23 @@
         state.submit(messages.Transaction(1, [], [("k", 1, None)], 1))
         await turns()
         assert messages.OperationDone(1, 503, None) in put
-        assert state.ahead.allowed(asyncio.get_running_loop().time()) < state.changes.rate
+        assert (
+            state.burst_allowance.allowed(asyncio.get_running_loop().time())
+            < state.write_tokens.rate
+        )
 
     with_state(play)
 
 
 def test_tokens_are_lent_once_and_only_by_controllers_with_a_surplus():
     async def play(state, sent, put):
-        state.changes.wait(asyncio.get_running_loop().time(), 0)
-        before = state.changes.level
+        state.write_tokens.wait(asyncio.get_running_loop().time(), 0)
+        before = state.write_tokens.level
         given = state.lend(5.0)
         assert given == 5.0
-        assert state.changes.level == pytest.approx(before - 5.0)
+        assert state.write_tokens.level == pytest.approx(before - 5.0)
         assert state.lend(1e9) < before  # never more than there is
-        state.changes.level = -1e6
+        state.write_tokens.level = -1e6
         state.submit(messages.Transaction(1, [], [("k", 1, None)], 1))
         await turns()
         assert state.lend(1.0) == 0.0  # it waits itself
@@ -155,15 +163,15 @@
 def test_role_and_lease_writes_precede_users_writes():
     # Roles of a controller that fell stayed free behind a flood of submissions to its heirs.
     async def play(state, sent, put):
-        state.changes.at = asyncio.get_running_loop().time()
-        state.changes.level = 0.0
+        state.write_tokens.refilled_at = asyncio.get_running_loop().time()
+        state.write_tokens.level = 0.0
         for number in range(50):
             state.submit(messages.Transaction(number, [], [("user", 1, None)], 0))
         state.submit(
             messages.Transaction(99, [], [("role", 1, None)], constants.LEADERSHIP_WRITE_PRIORITY)
         )
         assert state.writes.heap[0][4].operation == 99
-        state.changes.level = -1e6  # the share is spent for a long time
+        state.write_tokens.level = -1e6  # the share is spent for a long time
         state.submit(
             messages.Transaction(100, [], [("role", 1, None)], constants.LEADERSHIP_WRITE_PRIORITY)
         )
--- a/tools/scale/cloud.py
+++ b/tools/scale/cloud.py
@@ -96,7 +96,7 @@
         if self.requests.wait(self.loop.time(), 1) > 0:
             answer(request, 429, {"error": "too many requests"})
             return
-        self.requests.take(1)
+        self.requests.consume(1)
         if parts.path == PATH_CATALOGUE:
             answer(request, 200, {"flavours": [self.flavour()]})
         elif parts.path == PATH_RETURN:
--- a/tools/scale/store.py
+++ b/tools/scale/store.py
@@ -71,7 +71,7 @@
         """Take one request off the limit; raises Refused."""
         if self.requests.wait(now, 1) > 0:
             raise Refused(429, {"error": "requests"})
-        self.requests.take(1)
+        self.requests.consume(1)
 
     def expire(self, now: float) -> bool:
         """End leases whose time is over; return whether keys went with one."""
@@ -140,7 +140,7 @@
         if writes and self.changes.wait(now, len(writes)) > 0:
             self.counts["refused_changes"] += 1
             raise Refused(429, {"error": "changes"})
-        self.changes.take(len(writes))
+        self.changes.consume(len(writes))
         for write in writes:
             if "write" in write and write.get("permit") not in (None, *self.leases):
                 raise Refused(400, {"error": "no such lease"})
