--- a/oakmux/core/agents/cancellation_log.py
+++ b/oakmux/core/agents/cancellation_log.py
@@ -126,7 +126,11 @@
             asked: when the request was sent (s); an answer that was delayed is that old.
             until: the revision up to which the list is complete, or -1.
         """
-        peer, asked_at, complete_revision = answer.controller_id, answer.requested_at, answer.complete_revision
+        peer, asked_at, complete_revision = (
+            answer.controller_id,
+            answer.requested_at,
+            answer.complete_revision,
+        )
         store_seen_at = asked_at - answer.store_age_s
         if answer.incarnation:
             self.peer_seen_at[peer] = asked_at
--- a/oakmux/core/scheduling/queue_order.py
+++ b/oakmux/core/scheduling/queue_order.py
@@ -70,7 +70,9 @@
     aged_after_s = (
         constants.AGED_OBJECTIVES * max(objectives_s) if objectives_s else constants.AGED_S
     )
-    return context.wall_clock_ms - job.eligible_ms > 1000 * aged_after_s or is_starving(context, job)
+    return context.wall_clock_ms - job.eligible_ms > 1000 * aged_after_s or is_starving(
+        context, job
+    )
 
 
 def queue_rank(context: Context, job: Job, spec: JobSpec, usage: quotas.TeamUsage) -> QueueRank:
