--- a/oakmux/core/leadership/controller_lease.py
+++ b/oakmux/core/leadership/controller_lease.py
@@ -1,4 +1,4 @@
-"""This controller's lease, and the key attached to it that says that the controller is live."""
+"""This controller's lease, and the attached key that marks the controller as live."""
 
 from typing import Any
 
@@ -11,7 +11,7 @@
 
 
 class ControllerLease:
-    """Creates and renews the lease; keys of roles are attached to it as well."""
+    """Creates and renews the lease; the keys of held roles are attached to the same lease."""
 
     def __init__(self, context: Context, retry: RetryTimer) -> None:
         self.context = context
@@ -26,7 +26,7 @@
         self.writing_key = False
 
     def tick(self) -> None:
-        """Create the lease, or renew it and write the key, as is due."""
+        """Create the lease, or renew it and write the key when due."""
         if self.lease_id is None:
             self._grant()
             return
@@ -35,7 +35,7 @@
         self._write_key()
 
     def settled(self) -> bool:
-        """Whether the key has stood for long enough that all controllers count this one."""
+        """Whether the key is written, and old enough that all controllers count this one."""
         lease_age_s = self.context.now - self.granted_at
         return (
             self.lease_id is not None
@@ -44,7 +44,7 @@
         )
 
     def on_lost(self, reason: str) -> None:
-        """Note that the lease is gone, and all keys with it."""
+        """Reset the state after the lease ended, which deletes all attached keys."""
         event("lease_lost", why=reason, roles=len(self.context.held_roles))
         self.lease_id = None
         self.key_written = False
@@ -76,10 +76,11 @@
             self.on_lost("lease_ended")
 
     def _check_key(self) -> None:
-        """Have the key written again if the records show another incarnation in it.
+        """Schedule a rewrite of the key if its record shows another incarnation.
 
-        A late write of the process before this one has put its own lease there. Once that lease
-        ends the key is gone, and others would share out the roles without this controller.
+        A late write of the previous process has attached the key to that process's lease. When
+        that lease ends, the key is deleted, and other controllers would assign the roles without
+        this controller.
         """
         context = self.context
         if (
--- a/oakmux/core/leadership/format_negotiation.py
+++ b/oakmux/core/leadership/format_negotiation.py
@@ -1,4 +1,4 @@
-"""Agreement of all controllers on the format of records during an upgrade."""
+"""Agreement between all controllers on the record format during an upgrade."""
 
 from typing import Any
 
@@ -11,11 +11,11 @@
 
 
 class FormatNegotiation:
-    """Records which format this controller can read; switches to the latest that all can.
+    """Records the latest format that this controller can read; switches to the latest common one.
 
-    The key of a controller has no lease: a process that is started replaces the one before for
-    good. So once each controller's key says that it can read a format, no process is left that
-    can't, or that writes an earlier one.
+    The version key of a controller has no lease, because a new process permanently replaces the
+    previous one. So once all keys show that a format can be read, no process remains that can't
+    read it or that writes an earlier format.
     """
 
     def __init__(self, context: Context, retry: RetryTimer) -> None:
@@ -24,7 +24,7 @@
         self.in_flight = False
 
     def tick(self) -> None:
-        """Write what is due."""
+        """Write this controller's version, or switch the format, if needed."""
         replica, controller_id = self.context.replica, self.context.controller_id
         if self.in_flight or replica.format >= replica.known_format:
             return
@@ -39,7 +39,7 @@
         if common_format > replica.format and controller_id == min(
             [controller_id, *replica.live_controllers]
         ):
-            # The number of tasks in a block stays as it was first recorded.
+            # The number of tasks per block stays as first recorded.
             tasks_per_record = replica.tasks_per_record or tasks_per_block(
                 self.context.facts.store.value_kb
             )
@@ -62,5 +62,5 @@
             key, value, _ = write
             self.context.replica.apply(key, value, result[0])
             event("version_recorded", key=key, value=value)
-        else:  # if another controller was first, the watch brings what it wrote
+        else:  # if another controller wrote first, the watch delivers its write
             self.retry.back_off()
--- a/oakmux/core/leadership/leadership.py
+++ b/oakmux/core/leadership/leadership.py
@@ -1,4 +1,4 @@
-"""Leadership: runs the term, the lease, the format and the roles of this controller."""
+"""Leadership: coordinates this controller's term, lease, record format and roles."""
 
 from oakmux.core.context import Context
 from oakmux.core.leadership.controller_lease import ControllerLease
@@ -9,7 +9,7 @@
 
 
 class Leadership:
-    """A controller's standing among the others."""
+    """The term, lease and roles of this controller."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
@@ -20,15 +20,15 @@
         self.roles = RoleClaims(context, self.lease)
 
     def need_term_above(self, fencing_token: int) -> None:
-        """Have a term above a token that a worker obeys."""
+        """Request a term above a fencing token that a worker has accepted."""
         self.terms.need_above(fencing_token)
 
     def refresh_roles(self) -> list[str]:
-        """Bring the held roles up to date; return those acquired since."""
+        """Update the held roles; return the roles acquired since the last call."""
         return self.roles.refresh()
 
     def tick(self) -> None:
-        """Do what is due."""
+        """Run the due operations of all parts, unless a retry delay is active."""
         context = self.context
         if not context.replica.loaded or context.replica.unknown_format or not self.retry.due():
             return
--- a/oakmux/core/leadership/roles.py
+++ b/oakmux/core/leadership/roles.py
@@ -15,10 +15,10 @@
 
 
 def assign_roles(free: list[str], held: dict[str, str], controllers: list[str]) -> dict[str, str]:
-    """Return which controller should claim each free role: the one with the fewest.
+    """Return the controller that should claim each free role: the one with the fewest roles.
 
-    Ties are broken by hash. All controllers come to the same result from the same records, and
-    claims are conditional.
+    Ties are broken by hash. The same records give the same result on all controllers, and claims
+    are conditional writes.
     """
     role_counts = Counter(
         controller_id for controller_id in held.values() if controller_id in controllers
@@ -37,30 +37,31 @@
 
 
 class RoleClaims:
-    """Claims this controller's part of the roles, and gives up what is beyond it."""
+    """Claims this controller's share of the roles, and releases excess roles."""
 
     def __init__(self, context: Context, lease: ControllerLease) -> None:
         self.context = context
         self.lease = lease
         self.claiming: set[str] = set()
         self.next_rebalance_at = 0.0
-        # The records' state that `held_roles` was last computed from, and whether a claim was then
-        # newer than our copy of the records.
+        # The state of the records from which `held_roles` was last computed, and whether a claim
+        # was newer than the replica at that time.
         self.computed_from: tuple[int, int, int] | None = None
         self.awaiting_claims = False
 
     # --- claiming ---
 
     def tick(self) -> None:
-        """Claim free roles that are assigned to us, or rebalance if there are none."""
+        """Claim free roles assigned to this controller, or rebalance if no role is free."""
         context = self.context
         controllers = sorted({*context.replica.live_controllers, context.controller_id})
         held = {role: holder[0] for role, holder in context.replica.roles.items()}
         free = [role for role in (*context.teams, FLEET) if role not in held]
         assigned = assign_roles(free, held, controllers)
-        # Roles of subsystems are no part of that count, in which all controllers must agree: one
-        # that runs without the subsystem, or of an earlier version, would wait for the others and
-        # they for it. All that run the subsystem try to claim them; the condition lets one win.
+        # Roles of subsystems are not part of the assignment, on which all controllers must agree:
+        # a controller without the subsystem, or of an earlier version, would wait for the others
+        # and they for it. All controllers that run the subsystem try to claim its roles; the
+        # condition lets one succeed.
         assigned.update(
             (role, context.controller_id) for role in context.extra_roles if role not in held
         )
@@ -73,10 +74,10 @@
             self._rebalance(held, controllers)
 
     def _held_by_predecessor(self, role: str) -> bool:
-        """Whether a role's key is of the process before this one.
+        """Whether the previous process of this controller wrote a role's key.
 
-        That process is gone; writes of it that are still on their way fail once the key is
-        replaced, since they are conditional on the old key's mod revision.
+        That process has ended. Its writes in flight fail once the key is replaced, since they are
+        conditional on the old key's mod revision.
         """
         context = self.context
         holder = context.replica.roles.get(role)
@@ -108,7 +109,7 @@
             self.lease.on_lost("no_such_lease")
 
     def _rebalance(self, held: dict[str, str], controllers: list[str]) -> None:
-        """Release a role when another controller has two fewer, so that it is claimed there."""
+        """Release a role if another controller has at least two fewer; that one then claims it."""
         context = self.context
         role_counts = Counter(
             controller_id
@@ -120,7 +121,7 @@
             role_counts[controller_id] for controller_id in controllers
         ):
             return
-        # Writes of ours that come late are conditional on the key's mod revision.
+        # Late writes of this controller fail: they are conditional on the key's mod revision.
         event("role_released", role=held_teams[0], roles=len(held_teams))
         key = role_key(held_teams[0])
         context.call(
@@ -135,13 +136,13 @@
         if status == 200:
             self.context.replica.apply(key, None, result[0])
 
-    # --- what is held ---
+    # --- held roles ---
 
     def refresh(self) -> list[str]:
-        """Bring `held_roles` up to date with the records; return the roles acquired since.
+        """Update `held_roles` from the records; return the roles acquired since the last call.
 
-        A role counts only when the replica has all changes up to the claim: no write of an
-        earlier owner can come after it, so the records are then complete.
+        A role counts as held only when the replica has all changes up to the claim. No write of
+        an earlier owner can succeed after the claim, so the replica is then complete.
         """
         context, replica = self.context, self.context.replica
         changes = (replica.role_changes, context.incarnation)
--- a/oakmux/core/leadership/terms.py
+++ b/oakmux/core/leadership/terms.py
@@ -1,4 +1,4 @@
-"""This controller's term: the fencing token of its commands, raised through the store."""
+"""This controller's term: the fencing token of its commands, allocated in the store."""
 
 from typing import Any
 
@@ -11,7 +11,7 @@
 
 
 class TermAllocator:
-    """Allocates terms by compare-and-swap on one key, so that no two controllers have the same."""
+    """Allocates unique terms by compare-and-swap on one key."""
 
     def __init__(self, context: Context, retry: RetryTimer) -> None:
         self.context = context
@@ -21,13 +21,13 @@
         self.highest_token = 0
 
     def need_above(self, fencing_token: int) -> None:
-        """Have a term above a token that a worker obeys."""
+        """Request a term above a fencing token that a worker has accepted."""
         if fencing_token >= self.context.term:
             self.highest_token = max(self.highest_token, fencing_token)
             self.raise_needed = True
 
     def tick(self) -> None:
-        """Raise the term if that is wanted."""
+        """Raise the term if needed."""
         if not self.raise_needed or self.in_flight:
             return
         recorded, mod_revision = self.context.replica.term
@@ -51,13 +51,14 @@
             self.raise_needed = new_term <= self.highest_token
             event("term_raised", term=new_term)
         elif status == 409:
-            # Others raise it too, as all do at a cold start; failed transactions count as changes.
+            # Other controllers raise the term too, all of them at a cold start. Retries are spread
+            # over time because failed transactions count as changes.
             spread_s = constants.TERM_RETRY_SPREAD_S * context.settings.size
             self.retry.back_off(context.rng.uniform(0.0, spread_s))
             context.call(self._on_read, ReadKey, TERM_KEY, 0)
             self.in_flight = True
         else:
-            # The write may still be carried out late; its number is then simply unused.
+            # The write may still be applied late; that term then stays unused.
             self.retry.back_off()
 
     def _on_read(self, status: int, result: Any) -> None:
--- a/oakmux/core/state/__init__.py
+++ b/oakmux/core/state/__init__.py
@@ -1,1 +1,1 @@
-"""Durable state: records, the replica of them, and the buffered writes that change them."""
+"""Durable state: records in the store, their local replica, and the buffered writes."""
--- a/oakmux/core/state/batch_allocator.py
+++ b/oakmux/core/state/batch_allocator.py
@@ -1,4 +1,4 @@
-"""Chooses the binding batch for the row of a job that has none yet."""
+"""Assigns the row of a job to a binding batch."""
 
 import itertools
 from collections import Counter
@@ -10,27 +10,27 @@
 
 
 class RowReservation(NamedTuple):
-    """Room in a batch that is reserved for a job."""
+    """Bytes in a batch that are reserved for a job's row."""
 
     batch: str
     bytes: int
 
 
 class BatchAllocator:
-    """Reserves room for all bindings of a small job in a batch before the first is written.
+    """Reserves space for all bindings of a small job in a batch before its first one is written.
 
-    Otherwise a job might have to wait for others of its batch to end.
+    Without a reservation, a job might have to wait until other jobs of its batch end.
     """
 
     def __init__(self, context: Context, value_bytes: int) -> None:
         self.context = context
         self.limit = min(constants.BATCH_BYTES, value_bytes)
-        # Rows that are not known to be recorded: their batch and bytes, by job.
+        # Reservations for rows that are not known to be recorded, by job.
         self.reservations: dict[str, RowReservation] = {}
         self.reserved_bytes_by_batch: Counter[str] = Counter()
 
     def choose(self, team: str, job_id: str, tasks: int) -> str:
-        """Return the name of a team's first batch with room for a job's row, and reserve it."""
+        """Reserve space for a job's row in its team's first batch with room; return the name."""
         row_bytes = reserved_bytes(tasks)
         for number in itertools.count():
             name = f"{team}/{number}"
@@ -47,7 +47,7 @@
     def release(self, job_id: str) -> None:
         """End a job's reservation.
 
-        Its row is recorded and counts with its batch, or it will not be written.
+        Called once the row is recorded, and so counted in its batch, or will never be written.
         """
         reservation = self.reservations.pop(job_id, None)
         if reservation is not None:
--- a/oakmux/core/state/binding_batches.py
+++ b/oakmux/core/state/binding_batches.py
@@ -1,8 +1,8 @@
 """Binding batches: records that hold the task blocks of many small jobs of one team.
 
 The value of a batch is a list of rows [job, tasks, *block]. A row holds the only block of its job;
-a job whose block has a record of its own has no row. Only the controller that holds the team's
-role writes its batches, on condition of the mod revisions of the role and of the batch. A batch is
+a job whose blocks have records of their own has no row. Only the controller that holds the team's
+role writes its batches, conditional on the mod revisions of the role and of the batch. A batch is
 never deleted: its mod revision only grows, so a delayed duplicate of an earlier write fails.
 """
 
@@ -13,19 +13,19 @@
 from oakmux.core.state.errors import MalformedValueError
 from oakmux.core.state.records import TaskBlock
 
-# The number of a job's block when it has only one.
+# The block number of a job's only block.
 ONLY_BLOCK = 0
 
 
 class BatchRow(NamedTuple):
-    """A row of a batch: a job, how many tasks it has, and the value of its block."""
+    """A row of a batch: a job, its number of tasks, and the value of its block."""
 
     job_id: str
     tasks: int
     block: Value
 
     def to_value(self) -> Value:
-        """Return the row as the batch's value holds it."""
+        """Return the row in the form stored in the batch's value."""
         return [self.job_id, self.tasks, *self.block]
 
 
@@ -37,12 +37,12 @@
     def __init__(self, mod_revision: int, rows: dict[str, BatchRow]) -> None:
         self.mod_revision = mod_revision
         self.rows = rows
-        # Bytes that its rows may grow to.
+        # The bytes to which its rows may grow.
         self.reserved = sum(reserved_bytes(row.tasks) for row in rows.values())
 
 
 def decode_batch(value: Any, mod_revision: int) -> BindingBatch:
-    """Read a batch's value; raises MalformedValueError."""
+    """Decode a batch's value; raises MalformedValueError."""
     rows: dict[str, BatchRow] = {}
     try:
         for job_id, tasks, *block in value:
@@ -53,17 +53,17 @@
 
 
 def decode_row_block(row: BatchRow, batch: str, mod_revision: int) -> TaskBlock:
-    """Read the task block in a row of a batch; raises MalformedValueError."""
+    """Decode the task block in a row of a batch; raises MalformedValueError."""
     block = decode_block(row.block, mod_revision)
     block.batch = batch
     return block
 
 
 def shares_batch(tasks: int, tasks_per_record: int) -> bool:
-    """Whether the only block of a job of so many tasks goes into a batch."""
+    """Whether a job with this number of tasks stores its only block in a batch."""
     return tasks <= min(constants.BATCH_JOB_TASKS, tasks_per_record)
 
 
 def reserved_bytes(tasks: int) -> int:
-    """Return the bytes that a job's row may take once all of its tasks are bound."""
+    """Return the maximum bytes of a job's row, reached when all of its tasks are bound."""
     return constants.BATCH_ROW_BYTES + tasks * constants.BINDING_BYTES
--- a/oakmux/core/state/binding_index.py
+++ b/oakmux/core/state/binding_index.py
@@ -5,7 +5,7 @@
 
 
 class BindingIndex:
-    """All recorded bindings by machine, then by task (job and index of the task)."""
+    """All recorded bindings by machine, then by task (job and index of the task in it)."""
 
     def __init__(self, changes: ChangeTracker) -> None:
         self.changes = changes
--- a/oakmux/core/state/cancellation_index.py
+++ b/oakmux/core/state/cancellation_index.py
@@ -6,11 +6,11 @@
 
 
 class CancellationIndex:
-    """Cancelled jobs in the order of revisions; the oldest are dropped."""
+    """Cancelled jobs in revision order; the oldest are dropped."""
 
     def __init__(self) -> None:
         self.by_revision: list[tuple[int, str]] = []
-        # The latest revision of a cancellation that was dropped.
+        # The latest revision among the dropped cancellations.
         self.floor = 0
 
     def add(self, revision: int, job_id: str) -> None:
@@ -25,8 +25,8 @@
     def cancelled_after(self, revision: int) -> list[str] | None:
         """Return the jobs known to be cancelled after a revision; None if it is below the floor.
 
-        A controller's own cancellations are among them from the moment that their write is
-        answered, all others up to the revision of its replica.
+        A controller's own cancellations are included once the store answers their write, all
+        others up to the revision of its replica.
         """
         if revision < self.floor:
             return None
--- a/oakmux/core/state/changes.py
+++ b/oakmux/core/state/changes.py
@@ -1,4 +1,4 @@
-"""What changed in a replica, until those that derive something from it have seen it."""
+"""Changes of a replica that the code which derives state from it has not processed yet."""
 
 from oakmux.core.resources import Resources
 
@@ -7,17 +7,17 @@
     """Jobs and machines whose records changed, and values derived from them that are outdated."""
 
     def __init__(self) -> None:
-        # Jobs and machines that the controller has not processed since they changed.
+        # Jobs and machines that changed since the controller last processed them.
         self.jobs: set[str] = set()
         self.machines: set[str] = set()
         # Jobs whose last dependency completed, until the controller has processed them.
         self.released_jobs: list[str] = []
-        # Free resources of machines, by name; dropped when their tasks or bindings change.
+        # Cached free resources of machines, by name; dropped when their tasks or bindings change.
         self.free_resources: dict[str, Resources] = {}
-        # Machines whose place in the index may have changed since it was refreshed.
+        # Machines whose position in the machine index may have changed since its last refresh.
         self.stale_machines: set[str] = set()
 
     def touch(self, machine: str) -> None:
-        """Note that the tasks on a machine changed, or whether it may be used."""
+        """Mark a machine whose tasks or availability changed."""
         self.free_resources.pop(machine, None)
         self.stale_machines.add(machine)
--- a/oakmux/core/state/codecs.py
+++ b/oakmux/core/state/codecs.py
@@ -1,7 +1,7 @@
 """Conversion between the values of records and the types in `records`.
 
-Values are nested lists as the store keeps them; they are positional, and their order never
-changes. All functions that decode raise MalformedValueError.
+Values are nested lists in the form kept in the store. Their fields are positional, and the order
+of fields never changes. All functions that decode raise MalformedValueError.
 """
 
 from typing import Any, NamedTuple
@@ -15,12 +15,12 @@
 
 Value = list[Any]
 
-# What converting a value of an unexpected form raises.
+# Errors raised by the conversion of a value that has an unexpected form.
 CONVERSION_ERRORS = (TypeError, ValueError, LookupError, msgspec.ValidationError)
 
 
 class JobRecord(NamedTuple):
-    """The value of a job's record."""
+    """The decoded value of a job's record."""
 
     state: JobState
     team: str
@@ -32,11 +32,12 @@
 def encode_job(
     state: JobState, team: str, spec: JobSpec | None, submitted_ms: int, tasks: int
 ) -> Value:
-    """Return the value of a job's record; `submitted_ms` is the time of its submission (ms)."""
+    """Return the value of a job's record."""
     if spec is None:
         return [state, team, None, submitted_ms, tasks]
     if state != "queued":
-        # What only matters before a start is left out: it must not keep an end from fitting.
+        # Omit fields that matter only before the start, so that the record of the end fits the
+        # value limit.
         spec = msgspec.structs.replace(spec, types=None, waits_on=())
     fields = list(msgspec.to_builtins(spec))
     # Dependencies come last; format 1 doesn't have them.
@@ -44,7 +45,7 @@
 
 
 def decode_job(value: Any) -> JobRecord:
-    """Read the value of a job's record."""
+    """Decode the value of a job's record."""
     try:
         state, team, fields, submitted_ms, tasks = value
         spec = None if fields is None else msgspec.convert(fields, JobSpec)
@@ -69,10 +70,10 @@
 
 
 def _encode_bindings_compactly(block: TaskBlock) -> tuple[list[Value], list[Value]]:
-    """Return a block's bindings with what they share written once.
+    """Return a block's bindings with their common fields written once.
 
-    These are a list of heads (agent epoch, term, zone, stop), and groups of (machine, index of
-    its head, task, attempt, task, ...).
+    The result is a list of origins (agent epoch, term, zone, stop), and a list of groups
+    (machine, index of its origin, task, attempt, task, attempt, ...).
     """
     origins: dict[tuple[int, int, str, int], int] = {}
     groups: dict[tuple[str, int], Value] = {}
@@ -83,7 +84,7 @@
 
 
 def decode_block(value: Any, mod_revision: int) -> TaskBlock:
-    """Read the value of a task block, of any format."""
+    """Decode the value of a task block in any format."""
     try:
         last_attempt, completed_hex, *fields = value
         compact = len(fields) > 1
@@ -107,7 +108,7 @@
 
 
 def decode_machine_types(value: Any) -> dict[str, MachineType]:
-    """Read the recorded machine types, by name."""
+    """Decode the recorded machine types; return them by name."""
     try:
         return {fields[0]: msgspec.convert(fields, MachineType) for fields in value}
     except CONVERSION_ERRORS as error:
--- a/oakmux/core/state/dependencies.py
+++ b/oakmux/core/state/dependencies.py
@@ -1,4 +1,4 @@
-"""Dependencies between jobs: which are unmet, and what follows for priorities and deadlines."""
+"""Dependencies between jobs, and the priorities and deadlines inherited through them."""
 
 import math
 
@@ -17,10 +17,10 @@
         self.jobs = jobs
         self.usage = usage
         self.changes = changes
-        # Unfinished jobs by each dependency of theirs that is not done.
+        # For each dependency that is not done, the unfinished jobs that depend on it.
         self.dependents: dict[str, set[str]] = {}
-        # Unfinished jobs that depend on a cancelled one, directly or through others. They can
-        # never have started, so that they are cancelled follows from final records alone.
+        # Unfinished jobs that depend on a cancelled job, directly or through other jobs. They
+        # can't have started, so their cancellation follows from final records alone.
         self.cascade_cancelled: dict[str, None] = {}
 
     def add(self, job: Job, spec: JobSpec) -> None:
@@ -38,9 +38,9 @@
         self._propagate_urgency(job.id, *job.unmet_dependencies)
 
     def finish(self, job: Job) -> list[Job]:
-        """Remove a job that is final; return its dependents that became ready.
+        """Remove a final job; return its dependents that became ready.
 
-        If it was cancelled, all that depend on it are marked as cancelled with it.
+        If the job is cancelled, all jobs that depend on it are marked for cancellation instead.
         """
         self._remove_edges(job)
         self.cascade_cancelled.pop(job.id, None)
@@ -69,7 +69,7 @@
         job.unmet_dependencies = set()
 
     def _cascade(self, job_id: str) -> None:
-        """Mark a job that depends on a cancelled one, and all that depend on it."""
+        """Mark a job that depends on a cancelled job, and all jobs that depend on it in turn."""
         stack = [job_id]
         while stack:
             name = stack.pop()
@@ -79,7 +79,7 @@
                 stack += self.dependents.get(name, ())
 
     def _propagate_urgency(self, *names: str) -> None:
-        """Update priority and deadline of jobs from their dependents, and so on upstream."""
+        """Update priority and deadline of jobs from their dependents; recurse to dependencies."""
         stack = list(names)
         while stack:
             job = self.jobs.get(stack.pop())
@@ -97,7 +97,7 @@
     def _urgency(self, job: Job, spec: JobSpec) -> tuple[int, float]:
         """Return the priority of a job and the time (ms) by which it must end.
 
-        Both are inherited from the jobs that depend on it.
+        Jobs that depend on it pass on a higher priority and an earlier deadline.
         """
         priority, due_ms = spec.priority, math.inf
         if spec.deadline_s is not None:
--- a/oakmux/core/state/errors.py
+++ b/oakmux/core/state/errors.py
@@ -1,19 +1,19 @@
-"""Errors of reading records."""
+"""Errors raised while reading records."""
 
 
 class RecordError(ValueError):
-    """A record that this version can't read."""
+    """This version can't read the record."""
 
 
 class MalformedKeyError(RecordError):
-    """A key whose parts after the kind don't have the expected form."""
+    """The part of a key after the record kind doesn't have the expected form."""
 
     def __init__(self, kind: str, suffix: str) -> None:
         super().__init__(f"malformed key of a {kind}: {suffix!r}")
 
 
 class MalformedValueError(RecordError):
-    """A value that doesn't have the form of its kind of record."""
+    """A value doesn't have the form expected for its record kind."""
 
     def __init__(self, kind: str, reason: Exception) -> None:
         super().__init__(f"malformed {kind}: {type(reason).__name__}: {reason}")
--- a/oakmux/core/state/formats.py
+++ b/oakmux/core/state/formats.py
@@ -1,7 +1,7 @@
 """Formats of the records, and the limits on the size of their values.
 
-Every version reads all earlier formats. A format is written once every controller is known to read
-it; until then the one before is.
+Every version reads all earlier formats. A format is written only once every controller is known to
+read it; until then the previous format is written.
 """
 
 from typing import Any
@@ -22,15 +22,15 @@
 
 
 def value_bytes(value: Any) -> int:
-    """Return the size of a value as the store counts it: in JSON."""
+    """Return the size of a value as counted by the store: the bytes of its JSON."""
     return len(msgspec.json.encode(value))
 
 
 def value_limit(limits: StoreLimits) -> int:
-    """Return the most bytes that one of our values may take."""
+    """Return the maximum bytes of a value that a controller writes."""
     return int(limits.value_kb * 1024) - constants.VALUE_SLACK_BYTES
 
 
 def tasks_per_block(value_kb: float) -> int:
-    """Return how many tasks share a task block, so that its value stays below the limit."""
+    """Return the number of tasks in a task block that keeps its value below the limit."""
     return max(1, min(constants.BLOCK_TASKS, int(value_kb * 1024 / constants.BINDING_BYTES)))
--- a/oakmux/core/state/job_records.py
+++ b/oakmux/core/state/job_records.py
@@ -21,7 +21,7 @@
 
 
 class JobRecords:
-    """All jobs with their task blocks, and the indexes that are kept up to date with them."""
+    """All jobs with their task blocks, and the indexes over them."""
 
     def __init__(self, changes: ChangeTracker) -> None:
         self.changes = changes
@@ -32,11 +32,11 @@
         self.dependencies = DependencyGraph(self.jobs, self.usage, changes)
         # Jobs that are not final or still have bindings.
         self.active: dict[str, Job] = {}
-        # Active jobs that may start and need no GPU: they fit where all GPUs are taken.
+        # Active jobs that may start and need no GPU: they fit on machines without free GPUs.
         self.jobs_without_gpus: set[str] = set()
         # Binding batches by team/number.
         self.batches: dict[str, BindingBatch] = {}
-        # Task blocks of jobs whose own record has not been read, by job.
+        # Task blocks whose job record has not been read yet, by job.
         self.orphan_blocks: dict[str, dict[int, TaskBlock]] = {}
         # The revisions at which task blocks were deleted, by job/number; the newest are kept.
         self.deleted_blocks: dict[str, int] = {}
@@ -80,7 +80,7 @@
             self.changes.machines.update(b.machine for b in job.bindings())
 
     def _add_job(self, job_id: str, record: JobRecord, mod_revision: int) -> Job:
-        """Add a job, with those of its task blocks that were read before it."""
+        """Add a job, with its task blocks that were read before it."""
         job = self.jobs[job_id] = Job(
             job_id,
             record.team,
@@ -98,7 +98,7 @@
         return job
 
     def _update_active(self, job: Job) -> None:
-        """Update the sets of active jobs; a job that is over drops its specification."""
+        """Update the sets of active jobs; a final job without bindings drops its specification."""
         if job.final and not any(block.bindings for block in job.blocks.values()):
             self.active.pop(job.id, None)
             self.jobs_without_gpus.discard(job.id)
@@ -109,7 +109,7 @@
                 self.jobs_without_gpus.add(job.id)
 
     def apply_block(self, suffix: str, value: Any, mod_revision: int) -> None:
-        """Apply a change of a task block with a record of its own; `suffix` is job/number."""
+        """Apply a change of a task block that has its own record; `suffix` is job/number."""
         job_id, _, number = suffix.partition("/")
         if not number.isdecimal():
             raise MalformedKeyError("task block", suffix)
@@ -117,7 +117,7 @@
         self._set_block(job_id, int(number), block, mod_revision)
 
     def apply_batch(self, name: str, value: Any, mod_revision: int) -> None:
-        """Apply a change of a binding batch: of its rows those that changed or are gone."""
+        """Apply a change of a binding batch to the jobs whose rows changed or were removed."""
         old = self.batches.get(name)
         if old is not None and old.mod_revision >= mod_revision:
             return
@@ -130,7 +130,7 @@
         }
         if value is not None:
             self.batches[name] = batch
-        else:  # it does not exist: its next write is on condition of that
+        else:  # the next write requires that the batch does not exist
             self.batches.pop(name, None)
         for job_id in old_rows.keys() - batch.rows.keys():
             self._set_block(job_id, ONLY_BLOCK, None, mod_revision)
@@ -140,7 +140,7 @@
     def _set_block(
         self, job_id: str, number: int, block: TaskBlock | None, mod_revision: int
     ) -> None:
-        """Replace a task block by a newer state of it, None if it was deleted."""
+        """Replace a task block with a newer state; None means that it was deleted."""
         job = self.jobs.get(job_id)
         blocks = job.blocks if job is not None else self.orphan_blocks.setdefault(job_id, {})
         old = blocks.get(number)
--- a/oakmux/core/state/keys.py
+++ b/oakmux/core/state/keys.py
@@ -2,13 +2,13 @@
 
 ========================= ============================================================
 ``j/<job>``               a job: its state, team and specification
-``t/<job>/<number>``      a task block: bindings and completed tasks of a run of tasks
+``t/<job>/<number>``      a task block: bindings and completed tasks of consecutive tasks
 ``p/<team>/<number>``     a binding batch: the task blocks of many small jobs of a team
 ``own/<role>``            the controller that holds a role (a team or the fleet)
 ``n/<controller>``        exists while a controller's lease is alive
-``gone/<machine>``        a machine is known to be terminated
+``gone/<machine>``        exists once a machine is known to be terminated
 ``version/<controller>``  the latest record format that a controller can read
-``term``                  the highest term that was handed out
+``term``                  the highest allocated term
 ``types``                 the machine types of the cloud
 ``format``                the record format that all controllers write
 ========================= ============================================================
@@ -28,13 +28,13 @@
 RECORD_FORMAT = "format"
 
 TERM_KEY = PREFIX + TERM
-# Recorded so that a controller that starts while the cloud is out knows the types.
+# Lets a controller that starts during a cloud outage read the machine types.
 TYPES_KEY = PREFIX + MACHINE_TYPES
 FORMAT_KEY = PREFIX + RECORD_FORMAT
 
 
 def split_key(key: str) -> tuple[str, str]:
-    """Split a key into the kind of its record and what follows the kind."""
+    """Split a key into the kind of its record and the part after the kind."""
     kind, _, suffix = key.removeprefix(PREFIX).partition("/")
     return kind, suffix
 
@@ -55,7 +55,7 @@
 
 
 def role_key(role: str) -> str:
-    """Return the key that says which controller holds a role."""
+    """Return the key that records which controller holds a role."""
     return f"{PREFIX}{ROLE}/{role}"
 
 
@@ -65,10 +65,10 @@
 
 
 def termination_key(machine: str) -> str:
-    """Return the key that says that a machine is terminated."""
+    """Return the key that records that a machine is terminated."""
     return f"{PREFIX}{TERMINATION}/{machine}"
 
 
 def version_key(controller_id: str) -> str:
-    """Return the key of the latest format that a controller can read; it is never deleted."""
+    """Return the key of the latest format that a controller can read; the key is never deleted."""
     return f"{PREFIX}{VERSION}/{controller_id}"
--- a/oakmux/core/state/record_writer.py
+++ b/oakmux/core/state/record_writer.py
@@ -1,7 +1,7 @@
 """Writes changed records to the store, and handles the outcome of each transaction.
 
-While transactions are on their way, or wait for their share of the write rate, changes gather for
-the next one.
+While transactions are in flight, or wait for the controller's share of the write rate, changes
+accumulate for the next transaction.
 """
 
 from collections.abc import Iterable
@@ -17,18 +17,18 @@
 
 
 class RecordWriter:
-    """Writes the records of jobs of teams whose roles are held; nothing else does."""
+    """The only writer of changed task blocks and completed jobs of teams whose roles are held."""
 
     def __init__(self, context: Context, buffer: WriteBuffer) -> None:
         self.context = context
         self.buffer = buffer
         self.builder = TransactionBuilder(context, buffer)
-        # The local time (s) before which nothing is written.
+        # The earliest local time (s) of the next write.
         self.write_after = 0.0
         self.in_flight = 0
 
     def flush(self) -> None:
-        """Write what is due, many changes to a transaction."""
+        """Write changes that are due, many in one transaction."""
         if (
             self.context.now < self.write_after
             or self.in_flight >= constants.WRITES_IN_FLIGHT
@@ -43,7 +43,7 @@
                 self.buffer.release_block(block.job_id, block.number)
 
     def _is_due(self) -> bool:
-        """Whether there is anything to write now."""
+        """Whether a finished job or a changed block is due for writing."""
         now = self.context.now
         return bool(self.buffer.finished_jobs) or any(
             due <= now for due in self.buffer.dirty.values()
@@ -68,24 +68,25 @@
         if status == 200:
             self._commit(transaction, result[0])
             return
-        # Not written, or not known to be: tried again on condition of the newest mod revisions. A
-        # delayed duplicate then fails, since each successful write changes those that it checks.
+        # The write failed or its outcome is unknown: retry it, conditional on the newest mod
+        # revisions. A delayed duplicate then fails, since each successful write changes the mod
+        # revisions that it checks.
         for block in transaction.blocks:
             if block.number in self.buffer.changed.get(block.job_id, ()):
                 self.buffer.dirty.setdefault(block, 0.0)
         self.write_after = self.context.now + constants.BACKOFF_FIRST_S
         if status == 400:
-            # Certainly not written, and never will be as it is: the store's limits have fallen.
+            # Not written, and can't be in this form: the store's limits have fallen.
             self.buffer.refused = True
             self.write_after = self.context.now + constants.BACKOFF_MAX_S
         elif status == 409 and result is not None:
             self._read_again(result[1])
-        elif status != 503:  # 503: certainly not written
+        elif status != 503:  # 503 guarantees that nothing was written
             event("write_outcome_unknown", status=status, jobs=len(transaction.jobs))
             self._read_again(write.key for write in transaction.writes)
 
     def _commit(self, transaction: Transaction, revision: int) -> None:
-        """Apply a transaction that was carried out to the replica."""
+        """Apply a committed transaction to the replica."""
         for write in transaction.writes:
             value = write.value if isinstance(write, Put) else None
             self.context.replica.apply(write.key, value, revision)
@@ -97,7 +98,7 @@
                 self.buffer.release_block(block.job_id, block.number)
 
     def _read_again(self, keys: Iterable[str]) -> None:
-        """Read records whose state in the store is not known."""
+        """Read records whose state in the store is unknown."""
         for key in keys:
             self.context.call(
                 lambda status, record, key=key: self._on_record(key, status, record),
--- a/oakmux/core/state/records.py
+++ b/oakmux/core/state/records.py
@@ -1,4 +1,4 @@
-"""What the records in the store are about: jobs, blocks of their tasks, bindings."""
+"""The objects kept in the store's records: jobs, task blocks and bindings."""
 
 import math
 from typing import Literal, NamedTuple
@@ -6,12 +6,12 @@
 from oakmux.core.model import JobSpec
 from oakmux.core.resources import NO_RESOURCES, Resources
 
-# The recorded states of a job; all but the first are final.
+# The recorded states of a job; all except `queued` are final.
 JobState = Literal["queued", "done", "cancelled"]
 
 
 class Binding(NamedTuple):
-    """A task that may run on a machine, until it is proven that it does not."""
+    """Assigns a task to a machine; the task may run there until its termination is proven."""
 
     attempt: int
     machine: str
@@ -22,7 +22,7 @@
 
 
 class TaskBlock:
-    """A run of a job's tasks: their bindings, which of them completed, the last attempt."""
+    """Consecutive tasks of a job: their bindings, completed tasks and the last attempt."""
 
     __slots__ = ("batch", "bindings", "compact", "completed_mask", "last_attempt", "mod_revision")
 
@@ -41,9 +41,9 @@
         self.completed_mask = completed_mask
         # Bindings by the index of the task in its job.
         self.bindings = bindings if bindings is not None else {}
-        # Whether it was read from a compact value (format 2 or later).
+        # Whether the block was read from a compact value (format 2 or later).
         self.compact = compact
-        # The name of the binding batch that holds it; None if it has a record of its own.
+        # The name of the binding batch that holds the block; None if it has its own record.
         self.batch: str | None = None
 
     def copy(self) -> "TaskBlock":
@@ -59,7 +59,7 @@
         return copy
 
     def adds_bindings_to(self, old: "TaskBlock | None") -> bool:
-        """Whether it has a binding that an older state of it lacks."""
+        """Whether this block has a binding that its older state `old` lacks."""
         old_bindings = old.bindings if old is not None else {}
         return any(
             index not in old_bindings or old_bindings[index].attempt != binding.attempt
@@ -68,7 +68,7 @@
 
 
 class Job:
-    """A job as recorded, with what follows from the records of jobs that depend on it."""
+    """A recorded job, with the priority and deadline inherited from jobs that depend on it."""
 
     __slots__ = (
         "blocks",
@@ -103,26 +103,26 @@
         self.mod_revision = mod_revision
         self.spec: JobSpec | None = None
         self.blocks: dict[int, TaskBlock] = {}
-        # The time of its submission (ms).
+        # The time of submission (ms).
         self.submitted_ms = submitted_ms
         self.tasks = tasks
         self.service = spec is not None and spec.kind == "service"
         self.resources = NO_RESOURCES
         self.set_spec(spec)
-        # Dependencies that are not done; it may not start before there are none.
+        # Dependencies that are not done; the job may not start while there are any.
         self.unmet_dependencies: set[str] = set()
-        # The time (ms) from which it could start; its age counts from then.
+        # The time (ms) from which the job could start; its age counts from then.
         self.eligible_ms = submitted_ms
-        # The highest priority among itself and the jobs that depend on it.
+        # The highest priority among the job and the jobs that depend on it.
         self.priority = 0 if spec is None else spec.priority
-        # The time (ms) by which it must end to meet the earliest deadline among these.
+        # The time (ms) by which the job must end to meet the earliest deadline among these jobs.
         self.due_ms = math.inf
 
     def set_spec(self, spec: JobSpec | None) -> None:
-        """Set the specification; the resources outlive it.
+        """Set the specification; with None, the resources stay.
 
-        A job that is over may still have bindings, also such as are read later, and they count
-        against the quota (R quota).
+        A final job may still have bindings, and more may be read later. They count against the
+        quota (rule `quota`).
         """
         self.spec = spec
         if spec is not None:
@@ -130,15 +130,15 @@
 
     @property
     def ready(self) -> bool:
-        """Whether all dependencies are done (R too_early).
+        """Whether all dependencies are done (rule `too_early`).
 
-        A job that is done stays so: a replica that lags behind can only err on the safe side.
+        A job that is done stays done, so a replica that lags can only start dependents too late.
         """
         return not self.unmet_dependencies
 
     @property
     def latest_start_ms(self) -> float:
-        """The time (ms) by which it must start to be on time, by its owner's estimate."""
+        """The time (ms) by which the job must start to meet `due_ms`, by its owner's estimate."""
         return self.due_ms - (0.0 if self.spec is None else self.spec.estimate_s * 1000)
 
     @property
--- a/oakmux/core/state/replica.py
+++ b/oakmux/core/state/replica.py
@@ -1,4 +1,4 @@
-"""A replica of all records in the store, updated by the watch and by our own writes."""
+"""A replica of all records in the store, updated by the watch and by this controller's writes."""
 
 import logging
 from collections.abc import Callable
@@ -20,13 +20,13 @@
 
 
 class RecordNamespace(Protocol):
-    """Keeps the records of a further kind, for a subsystem that is switched on."""
+    """Holds the records of an additional kind, for an optional subsystem."""
 
     def keys(self) -> set[str]:
         """Return the keys of all its records."""
 
     def apply(self, suffix: str, value: Any, mod_revision: int) -> None:
-        """Apply one change; `suffix` is the key without what is common to its kind."""
+        """Apply one change; `suffix` is the key without the prefix common to its kind."""
 
 
 class RoleHolder(NamedTuple):
@@ -38,21 +38,21 @@
 
 
 class RecordedTerm(NamedTuple):
-    """The highest term that was handed out, and the mod revision of its record."""
+    """The highest allocated term, and the mod revision of its record."""
 
     term: int
     mod_revision: int
 
 
 class Replica:
-    """All records as far as the watch has delivered them, and what our own writes changed."""
+    """All records delivered by the watch, with this controller's own writes applied."""
 
     def __init__(self) -> None:
         self.revision = 0
         self.loaded = False
         self.changes = ChangeTracker()
         self.job_records = JobRecords(self.changes)
-        # Shorthands for what most readers want of the records of jobs.
+        # Shorthands for the most used parts of the job records.
         self.jobs = self.job_records.jobs
         self.active = self.job_records.active
         self.usage = self.job_records.usage
@@ -62,13 +62,15 @@
         # The latest format that each controller can read.
         self.versions: dict[str, int] = {}
         self.format = FORMAT_FIRST
-        # The latest format that we can read and write.
+        # The latest format that this controller can read and write.
         self.known_format = FORMAT
         self.format_revision = 0
-        # Tasks to a task block, as recorded with the format: this mapping never changes.
+        # Tasks per task block, recorded with the format; the mapping of tasks to blocks never
+        # changes.
         self.tasks_per_record: int | None = None
         self.roles: dict[str, RoleHolder] = {}
-        # Counts the changes of roles, which are looked at several times in each step.
+        # Incremented with each applied role record, so that repeated reads in a step can detect
+        # changes cheaply.
         self.role_changes = 0
         # The incarnations of controllers whose lease is alive.
         self.live_controllers: dict[str, int] = {}
@@ -78,7 +80,7 @@
         self.types: dict[str, MachineType] = {}
         # Keys of records that could not be read.
         self.unreadable: set[str] = set()
-        # Records of further kinds, by the kind in their keys.
+        # Records of additional kinds, by the kind in their keys.
         self.namespaces: dict[str, RecordNamespace] = {}
         self._handlers: dict[str, Handler] = {
             keys.JOB: self.job_records.apply_job,
@@ -95,11 +97,11 @@
 
     @property
     def unknown_format(self) -> bool:
-        """Whether the records are of a later format, which we can't be sure to read."""
+        """Whether the records have a later format, which this version may be unable to read."""
         return self.format > self.known_format
 
     def load(self, rows: list[tuple[str, Any, int]], revision: int) -> None:
-        """Apply a complete list of (key, value, mod revision): what is missing was deleted."""
+        """Apply a complete list of (key, value, mod revision); missing keys count as deleted."""
         listed = {key for key, _, _ in rows}
         for key in self._keys() - listed:
             self.apply(key, None, revision)
@@ -119,7 +121,7 @@
         return record_keys
 
     def apply(self, key: str, value: Any, mod_revision: int) -> None:
-        """Apply one change; one that is older than what is known of the key is ignored."""
+        """Apply one change; a change older than the known state of its key is ignored."""
         kind, suffix = keys.split_key(key)
         try:
             handler = self._handlers.get(kind)
@@ -127,8 +129,8 @@
                 handler(suffix, value, mod_revision)
             elif kind in self.namespaces:
                 self.namespaces[kind].apply(suffix, value, mod_revision)
-        except CONVERSION_ERRORS as error:  # with all RecordErrors
-            # Of a version that we don't know: logged once a key, not at each change.
+        except CONVERSION_ERRORS as error:  # includes RecordError, a ValueError
+            # Written by an unknown version: log once per key, not at each change.
             if key not in self.unreadable and len(self.unreadable) < constants.MAX_REMEMBERED:
                 self.unreadable.add(key)
                 log.error("event=unreadable_record key=%s why=%r", key, str(error))
--- a/oakmux/core/state/transaction_builder.py
+++ b/oakmux/core/state/transaction_builder.py
@@ -1,8 +1,11 @@
 """Gathers changed records into transactions (group commit).
 
-The changes of many jobs go into one transaction, and those of many small jobs into one value of
-it, a binding batch. Each transaction is on condition of the mod revisions of the teams' roles, of
-each record that it replaces, and of each job that it binds tasks of or records as done.
+One transaction contains the changes of many jobs, and one binding batch, a single value in it,
+those of many small jobs. Each transaction is conditional on the mod revisions of:
+
+- the teams' roles,
+- each record that it replaces, and
+- each job whose tasks it binds or that it records as done.
 """
 
 import logging
@@ -22,12 +25,12 @@
 
 log = logging.getLogger("oakmux.core")
 
-# Conditions of a transaction, as a multiple of its writes.
+# The limit on a transaction's conditions, as a multiple of the limit on its operations.
 CONDITIONS_PER_WRITE = 4
 
 
 class DirtyJob(NamedTuple):
-    """A job with changed task blocks: when the first is due (s), and the blocks' numbers."""
+    """A job with changed task blocks: the earliest due time (s), and the blocks' numbers."""
 
     due: float
     job: Job
@@ -40,19 +43,20 @@
     def __init__(self, context: Context, buffer: WriteBuffer) -> None:
         self.context = context
         self.buffer = buffer
-        # Jobs and batches of transactions without an outcome: each is in one at a time.
+        # Jobs and batches of transactions in flight; each is in at most one transaction at a time.
         self.busy_jobs: set[str] = set()
         self.busy_batches: set[str] = set()
-        # Keys of records that have outgrown the limit, to log each once.
+        # Keys of records that exceed the size limit, to log each once.
         self.too_large_keys: set[str] = set()
         limits = context.facts.store.strictest
-        # A transaction far above our share of the rate would hold up all that comes after it.
+        # A transaction far above this controller's share of the write rate would delay all later
+        # writes.
         share = int(constants.TRANSACTION_RATE_S * limits.write_rps / context.settings.size)
         self.max_writes = min(limits.txn_ops, max(constants.TRANSACTION_MIN_CHANGES, share))
         self.max_conditions = CONDITIONS_PER_WRITE * limits.txn_ops
 
     def build(self) -> Transaction:
-        """Return a transaction with what is due, and take its blocks off the dirty ones."""
+        """Return a transaction with the due changes; its blocks are no longer dirty."""
         dirty = self._dirty_jobs()
         by_batch: dict[str, list[DirtyJob]] = {}
         for entry in dirty:
@@ -76,7 +80,7 @@
         return transaction
 
     def _dirty_jobs(self) -> list[DirtyJob]:
-        """Return all jobs with changed blocks, the first due before all others."""
+        """Return all jobs with changed blocks, ordered by due time."""
         numbers: dict[str, list[int]] = {}
         due: dict[str, float] = {}
         for (job_id, number), block_due in self.buffer.dirty.items():
@@ -89,11 +93,11 @@
         return sorted(dirty_jobs, key=lambda entry: entry.due)
 
     def _is_busy(self, transaction: Transaction, job: Job) -> bool:
-        """Whether a job is in a transaction without an outcome, or in this one."""
+        """Whether a job is in a transaction in flight, or in this one."""
         return job.id in self.busy_jobs or job.id in transaction.jobs
 
     def _batch_of(self, entry: DirtyJob) -> str | None:
-        """Return the name of the batch that holds a job's only block, if one does."""
+        """Return the name of the batch that holds a job's only block, or None."""
         if entry.numbers != [ONLY_BLOCK]:
             return None
         return self.buffer.changed[entry.job.id][ONLY_BLOCK].batch
@@ -101,7 +105,7 @@
     # --- task blocks with records of their own ---
 
     def _add_blocks(self, transaction: Transaction, entry: DirtyJob) -> None:
-        """Add a job's changed blocks, each a record of its own."""
+        """Add a job's changed blocks, each as its own record."""
         job, numbers = entry.job, entry.numbers
         if len(transaction.writes) + len(numbers) + 1 > self.max_writes:
             if transaction.writes:
@@ -132,7 +136,7 @@
     def _add_block(
         self, partial: Transaction, job: Job, number: int, value: Value, finishing: bool
     ) -> None:
-        """Add one block: its value, or its removal if nothing of it is needed any more."""
+        """Add one block: a write of its value, or its removal if it is obsolete."""
         key, old = block_key(job.id, number), job.blocks.get(number)
         partial.conditions[key] = old.mod_revision if old is not None else 0
         partial.blocks.append(BlockId(job.id, number))
@@ -145,9 +149,10 @@
     def _fitting_blocks(
         transaction: Transaction, numbers: list[int], values: dict[int, Value]
     ) -> list[int]:
-        """Return the blocks that fit into the transaction: all, or none while it holds others.
+        """Return the blocks that fit into the transaction.
 
-        Of a job that alone is too large, as many as fit.
+        If it already has writes, these are all blocks or none; if it is empty, as many as fit,
+        and at least one.
         """
         remaining_bytes = constants.TRANSACTION_BYTES - transaction.bytes
         fitting: list[int] = []
@@ -164,7 +169,7 @@
         partial.conditions[job_key(job.id)] = job.mod_revision
 
     def _record_completion(self, partial: Transaction, job: Job) -> None:
-        """Add that a job is done."""
+        """Add the write that records a job as done."""
         spec = job.spec if self.buffer.bindings(job) else None
         value = encode_job("done", job.team, spec, job.submitted_ms, job.tasks)
         partial.writes.append(Put(job_key(job.id), value))
@@ -173,13 +178,13 @@
 
     @staticmethod
     def _is_obsolete(job: Job, block: TaskBlock, finishing: bool) -> bool:
-        """Whether nothing of a block is needed any more."""
+        """Whether a block is no longer needed: its job is over and no task is bound."""
         return (job.final or finishing) and not block.bindings
 
     def _postpone_too_large(self, job_id: str, number: int, value: Value) -> bool:
         """Postpone a block whose value exceeds the limit; return whether it does.
 
-        It is tried again once more of its tasks have ended.
+        The block is retried later, when more of its tasks may have ended.
         """
         limit = self.buffer.max_value_bytes()
         bound_tasks = len(self.buffer.changed[job_id][number].bindings)
@@ -189,7 +194,7 @@
         return True
 
     def _postpone(self, key: str, size: int, blocks: Iterable[BlockId]) -> None:
-        """Try the blocks of a record that has outgrown the limit again later."""
+        """Schedule a later retry for the blocks of a record that exceeds the size limit."""
         if key not in self.too_large_keys:
             self.too_large_keys.add(key)
             limit = self.buffer.max_value_bytes()
@@ -200,10 +205,10 @@
     # --- task blocks in batches ---
 
     def _add_finished_jobs(self, transaction: Transaction) -> None:
-        """Add that jobs with rows in batches are done, at once: users wait for it.
+        """Record finished jobs with rows in batches as done at once, since users wait for that.
 
-        Their rows go with a later write of the batch; until then they count as bound, as before
-        the end.
+        Their rows are removed by a later write of the batch. Until then their tasks still count as
+        bound.
         """
         for job_id in self.buffer.finished_jobs:
             if len(transaction.writes) >= self.max_writes:
@@ -226,10 +231,10 @@
     def _add_batch(
         self, transaction: Transaction, name: str, team: str, dirty: list[DirtyJob]
     ) -> None:
-        """Add a batch with all changed rows, due or not: it costs no more.
+        """Add a batch with all changed rows, due or not: the write costs no more.
 
-        Other rows stay as recorded. A job's mod revision is a condition of what binds tasks of
-        it; what only ends bindings can't undo anything that happened to the job.
+        Other rows stay as recorded. A job's mod revision is a condition only if the write binds
+        tasks of the job: ending bindings can't undo other changes to the job.
         """
         batch = self.context.replica.job_records.batches.get(name) or BindingBatch(0, {})
         rows = dict(batch.rows)
@@ -243,7 +248,7 @@
             if not self._is_busy(transaction, entry.job):
                 self._update_row(partial, rows, entry.job)
         if rows == batch.rows:
-            transaction.blocks += partial.blocks  # nothing of it has to be written
+            transaction.blocks += partial.blocks  # the batch is unchanged: nothing to write
             return
         value = [row.to_value() for row in rows.values()]
         size = value_bytes(value)
@@ -260,7 +265,7 @@
         transaction.merge(partial)
 
     def _has_room_for_condition(self, transaction: Transaction, partial: Transaction) -> bool:
-        """Whether the condition of one more row may be added."""
+        """Whether the transaction has room for the condition of another row."""
         return len(transaction.conditions.keys() | partial.conditions.keys()) < self.max_conditions
 
     def _update_row(self, partial: Transaction, rows: dict[str, BatchRow], job: Job) -> None:
--- a/oakmux/core/state/transactions.py
+++ b/oakmux/core/state/transactions.py
@@ -1,10 +1,10 @@
-"""Transactions on the store that write changed records."""
+"""Store transactions that write changed records."""
 
 from typing import Any, NamedTuple
 
 
 class Put(NamedTuple):
-    """Write of a value; the record vanishes with the lease, if it has one."""
+    """Write of a value; a record with a lease is deleted when the lease ends."""
 
     key: str
     value: Any
@@ -21,29 +21,29 @@
 
 
 class BlockId(NamedTuple):
-    """Names a task block: its job and its number there."""
+    """Identifies a task block by its job and its number in the job."""
 
     job_id: str
     number: int
 
 
 class Transaction:
-    """The writes of one transaction and its conditions, with what they change."""
+    """The writes and conditions of one transaction, and the blocks, jobs and batches involved."""
 
     def __init__(self) -> None:
         # The mod revisions that keys must have; 0 means that the key must not exist.
         self.conditions: dict[str, int] = {}
         self.writes: list[Write] = []
-        # Changed task blocks whose state the transaction records.
+        # Task blocks whose changes the transaction records.
         self.blocks: list[BlockId] = []
         self.jobs: set[str] = set()
         self.batches: set[str] = set()
-        # Jobs that it records as done.
+        # Jobs that the transaction records as done.
         self.completed_jobs: set[str] = set()
         self.bytes = 0
 
     def merge(self, other: "Transaction") -> None:
-        """Add all of another transaction."""
+        """Add everything in another transaction to this one."""
         self.conditions.update(other.conditions)
         self.writes += other.writes
         self.blocks += other.blocks
--- a/oakmux/core/state/usage_accounting.py
+++ b/oakmux/core/state/usage_accounting.py
@@ -1,15 +1,15 @@
-"""Usage of teams, counted from the recorded bindings."""
+"""Resource usage of teams, computed from the recorded bindings."""
 
 from oakmux.core.resources import NO_USAGE, Usage
 from oakmux.core.state.records import Job
 
 
 class UsageAccounting:
-    """What the bound tasks of each team use; updated with each change of a task block."""
+    """Resources used by the bound tasks of each team; updated with each task block change."""
 
     def __init__(self) -> None:
         self.by_team: dict[str, Usage] = {}
-        # The part of it that ends by itself (all but services), by team and priority.
+        # The usage of jobs that end by themselves (all but services), by team and priority.
         self.preemptible: dict[str, dict[int, Usage]] = {}
 
     def add(self, job: Job, tasks: int) -> None:
--- a/oakmux/core/state/write_buffer.py
+++ b/oakmux/core/state/write_buffer.py
@@ -22,7 +22,7 @@
 
 
 class OfferedCapacity(Protocol):
-    """Capacity for one task; its values become part of the binding."""
+    """Capacity offered for one task; the values below become part of the binding."""
 
     @property
     def machine(self) -> str:
@@ -42,20 +42,20 @@
 
 
 class WriteBuffer:
-    """Changes to the task blocks of jobs that are not recorded yet, and which jobs finished.
+    """Task block changes and finished jobs that are not recorded yet.
 
-    Readers that need the state as it will be recorded ask here instead of the replica.
+    Readers that need the state as it will be recorded use the buffer instead of the replica.
     """
 
     def __init__(self, context: Context) -> None:
         self.context = context
         # Changed copies of task blocks, by job and number.
         self.changed: dict[str, dict[int, TaskBlock]] = {}
-        # When to write each of them (local time, s); without those on their way to the store.
+        # When to write each changed block (local time, s); blocks in flight are not included.
         self.dirty: dict[tuple[str, int], float] = {}
-        # Jobs whose tasks are all completed, until that is recorded.
+        # Jobs whose tasks are all completed but that are not recorded as done yet.
         self.finished_jobs: dict[str, None] = {}
-        # Whether a transaction was refused for its size.
+        # Whether the store refused a transaction because of its size.
         self.refused = False
         limits = context.facts.store.strictest
         self.strictest_value_bytes = value_limit(limits)
@@ -69,32 +69,32 @@
 
     @property
     def tasks_per_record(self) -> int:
-        """How many tasks share a task block; it is recorded with the format.
+        """The number of tasks in a task block, as recorded with the format.
 
-        It never changes with the limits of the store: a bound task would look unbound
-        (R ran_twice).
+        It never changes with the limits of the store: a bound task would look unbound and could
+        run twice (rule `ran_twice`).
         """
         return self.context.replica.tasks_per_record or self.configured_tasks_per_record
 
     def max_value_bytes(self) -> int:
-        """Return the bytes that a written value may take.
+        """Return the maximum bytes of a written value.
 
-        What earlier versions left larger may be written so until the format changes, unless a
-        transaction was refused.
+        Larger values left by earlier versions may be rewritten at their size until the format
+        changes, unless a transaction was refused.
         """
         if self.record_format() >= FORMAT_COMPACT or self.refused:
             return self.strictest_value_bytes
         return value_limit(self.context.facts.store)
 
     def record_format(self) -> int:
-        """Return the format that records are written in."""
+        """Return the format in which records are written."""
         return self.context.replica.format
 
     def block_fits(self, job: Job, number: int, offers: Sequence[OfferedCapacity]) -> bool:
-        """Whether a block's record can take bindings to the offers as well.
+        """Whether a block's record has room for bindings to the offers.
 
-        The strictest announced limit always applies: once in force, larger blocks could not be
-        written any more.
+        The strictest announced limit always applies: once it is in force, larger blocks can no
+        longer be written.
         """
         block = self.block(job, number)
         if block.batch is not None:
@@ -105,7 +105,7 @@
             return True
         trial = block.copy()
         trial.last_attempt = self.next_attempt(job)
-        first = (number + 1) * self.tasks_per_record  # no index of a task in it has more digits
+        first = (number + 1) * self.tasks_per_record  # no task index in the block has more digits
         for index, offer in enumerate(offers, first):
             trial.bindings[index] = Binding(
                 trial.last_attempt, offer.machine, offer.agent_epoch, offer.term, offer.zone
@@ -117,13 +117,13 @@
         return 1 + max((block.last_attempt for block in self.blocks(job)), default=0)
 
     def on_format_change(self) -> None:
-        """Write again, in the new format, what earlier versions left larger than the limits."""
+        """Rewrite, in the new format, blocks that earlier versions left larger than the limits."""
         for job in list(self.context.replica.active.values()):
             if self.owns(job):
                 self.shrink(job)
 
     def shrink(self, job: Job) -> None:
-        """Write blocks of format 1 again that exceed the strictest announced limit."""
+        """Rewrite blocks of format 1 that exceed the strictest announced limit."""
         for number, block in job.blocks.items():
             if (
                 not block.compact
@@ -134,15 +134,15 @@
                 self.edit(job, number)
 
     def owns(self, job: Job) -> bool:
-        """Whether the role of the job's team is held."""
+        """Whether this controller holds the role of the job's team."""
         return job.team in self.context.held_roles
 
     def block(self, job: Job, number: int) -> TaskBlock:
-        """Return a block as it will be recorded, or an empty one; not to be changed."""
+        """Return a block as it will be recorded, or an empty block; callers must not modify it."""
         return self.changed.get(job.id, {}).get(number) or job.blocks.get(number) or TaskBlock()
 
     def edit(self, job: Job, number: int, due: float = 0.0) -> TaskBlock:
-        """Return a copy of a block to change; it is written once `due` (s), the earliest first."""
+        """Return a copy of a block to modify, written at `due` (local time, s) or earlier."""
         changed = self.changed.setdefault(job.id, {})
         block = changed.get(number)
         if block is None:
@@ -152,7 +152,7 @@
         return block
 
     def _new_block(self, job: Job) -> TaskBlock:
-        """Return an empty block, in a batch if the job is small."""
+        """Return an empty block, assigned to a batch if the job is small."""
         block = TaskBlock()
         if self.record_format() >= FORMAT_BATCHES and shares_batch(
             job.tasks, self.tasks_per_record
@@ -161,7 +161,7 @@
         return block
 
     def release_block(self, job_id: str, number: int) -> None:
-        """Drop the changed copy of a block: it is recorded."""
+        """Drop the changed copy of a block that is recorded."""
         changed = self.changed.get(job_id, {})
         changed.pop(number, None)
         if not changed:
@@ -180,11 +180,11 @@
         return [b for block in self.blocks(job) for b in block.bindings.values()]
 
     def unbound_tasks(self, job: Job) -> int:
-        """Count the tasks that are neither done nor bound."""
+        """Count the tasks that are neither completed nor bound."""
         if job.spec is None or job.final:
             return 0
         unbound, block_size = job.spec.tasks, self.tasks_per_record
-        for block in self.blocks(job):  # hundreds, of a huge array: most have no bindings
+        for block in self.blocks(job):  # a huge array has hundreds, most without bindings
             unbound -= block.completed_mask.bit_count()
             if block.bindings:
                 unbound -= sum(
@@ -195,7 +195,7 @@
     def next_unbound_task(self, job: Job, first: int, offer: OfferedCapacity) -> int | None:
         """Return the index of a task that may be bound to an offer, or None.
 
-        The search begins at the index `first`; with no task from there on, it begins at 0.
+        The search starts at the index `first`; if it finds none, it restarts at 0.
         """
         assert job.spec is not None
         for start in (first, 0):
@@ -221,9 +221,10 @@
         return None
 
     def team_usage(self, team: str) -> Usage:
-        """Return what a team uses whose role is held: all that is bound without termination proof.
+        """Return the usage of a team whose role is held.
 
-        The count of the records is corrected by the few changed blocks.
+        All bound tasks without a termination proof count: the recorded usage, corrected by the
+        few changed blocks.
         """
         cpus, gpus = self.context.replica.usage.by_team.get(team, NO_USAGE)
         for job_id, changed in self.changed.items():
@@ -237,7 +238,7 @@
         return Usage(cpus, gpus)
 
     def drop_lost(self, held: set[str]) -> None:
-        """Drop the changes of all teams but those whose roles were `held` without a break."""
+        """Drop the changes of all teams except those whose roles were `held` continuously."""
         jobs = self.context.replica.jobs
         lost = [job_id for job_id in self.changed if jobs[job_id].team not in held]
         for job_id in lost:
