--- a/oakmux/core/api/answers.py
+++ b/oakmux/core/api/answers.py
@@ -9,7 +9,7 @@
 RequestId = Any
 """Identifies a user's request to the transport; opaque to the core."""
 
-# Texts of answers with status 503: the user is to try again.
+# Texts of answers with status 503, after which the user should retry.
 RECORDS_NOT_LOADED = "starting"
 TOO_MANY_REQUESTS = "busy"
 TYPES_UNKNOWN = "machine types are not known yet"
@@ -22,7 +22,7 @@
 
 
 class Refusal(NamedTuple):
-    """Why a request is not served: an HTTP status and a text for the user."""
+    """The answer to a request that is refused: an HTTP status and a text for the user."""
 
     status: int
     reason: str
@@ -39,7 +39,7 @@
         self.context.answer(request_id, refusal.status, ("error", refusal.reason))
 
     def unavailable(self, request_id: RequestId, reason: str) -> None:
-        """Answer that the request can't be served now; the user is to try again."""
+        """Answer that the request can't be served now and should be retried."""
         self.refuse(request_id, Refusal(503, reason))
 
     def accepted(self, request_id: RequestId, job_id: str, state: str) -> None:
@@ -51,7 +51,7 @@
         self.context.answer(request_id, 200, ("job", job_id, "cancelled", 0, 0))
 
     def job(self, request_id: RequestId, job: Job) -> None:
-        """Answer with the state of a job, its completed and its running tasks."""
+        """Answer with a job's state and the counts of its completed and running tasks."""
         running = 0 if job.final else self._count_running(job)
         state = RUNNING if running else job.state
         unmet = [sorted(job.unmet_dependencies)] if job.unmet_dependencies else []
--- a/oakmux/core/api/cancellation.py
+++ b/oakmux/core/api/cancellation.py
@@ -1,4 +1,4 @@
-"""Cancelling jobs, and with each all unfinished jobs that depend on it."""
+"""Cancellation of a job and, by cascade, of all unfinished jobs that depend on it."""
 
 import math
 from typing import Any
@@ -21,7 +21,7 @@
 
 
 class Cancellation:
-    """Records cancellations: a user's before it is answered, its cascade soon afterwards."""
+    """Records cancellations: the requested one before the answer, its cascade soon afterwards."""
 
     def __init__(self, context: Context, answers: Answers, reads: CurrentReads) -> None:
         self.context = context
@@ -65,16 +65,17 @@
         )
 
     def _make_cascade_due(self) -> None:
-        """Make the whole cascade due, since this controller recorded the cancellation."""
+        """Make the whole cascade due at once: this controller recorded the first cancellation."""
         for job_id in self.context.replica.dependencies.cascade_cancelled:
             due = self.cascade_due.get(job_id, math.inf)
             self.cascade_due[job_id] = min(self.context.now, due)
 
     def write_cascade(self) -> None:
-        """Record the cancellations that follow from others, many in one transaction.
+        """Record the cancellations of a cascade, many in one transaction.
 
-        Users are told of them in any case. If the controller that recorded the first cancellation
-        fails to write the cascade, those that schedule the jobs do so, CASCADE_RETRY_S later.
+        Users see them as cancelled in any case. If the controller that recorded the first
+        cancellation fails to write the cascade, the controllers that schedule the jobs write it
+        CASCADE_RETRY_S later.
         """
         if not (self.context.replica.dependencies.cascade_cancelled or self.cascade_due):
             return
@@ -98,7 +99,7 @@
         )
 
     def _due_jobs(self) -> list[str]:
-        """Bring the due times up to date; return the jobs to write now."""
+        """Update the due times; return the jobs to write now."""
         context = self.context
         cascade = context.replica.dependencies.cascade_cancelled
         for job_id in cascade:
@@ -114,7 +115,7 @@
     ) -> None:
         self.cascade_in_flight = False
         if status != 200:
-            return  # the watch brings what changed, or the jobs become due again
+            return  # the watch delivers the changes, or the jobs become due again
         for key, value, _ in writes:
             self.context.replica.apply(key, value, result[0])
             event("job_cancelled", job=key.rpartition("/")[2], why="dependency_cancelled")
--- a/oakmux/core/api/current_reads.py
+++ b/oakmux/core/api/current_reads.py
@@ -1,7 +1,7 @@
 """Reads of jobs that reflect all changes made before the request arrived.
 
-The replica may lag behind the store. A read therefore compares the mod revisions that the replica
-knows with those of the store, many jobs in one transaction.
+The replica may lag behind the store. A read therefore compares the replica's mod revisions with
+the store's, for many jobs in one transaction.
 """
 
 from collections.abc import Callable, Iterable
@@ -24,7 +24,7 @@
 """Called with the current job, or None if there is no such job."""
 
 CONFLICT = 409
-"""Status of a transaction whose conditions failed: its result tells which, and the revision."""
+"""Status of a transaction whose conditions failed; the result is (revision, failed keys)."""
 
 
 class _Read(NamedTuple):
@@ -36,7 +36,7 @@
 
 
 class _RevisionWait(NamedTuple):
-    """A read that goes on once the replica has reached a revision."""
+    """A read that resumes once the replica has reached a revision."""
 
     revision: int
     deadline: float
@@ -44,7 +44,7 @@
 
 
 class CurrentReads:
-    """Coalesces reads into few transactions, whose results resume the requests."""
+    """Batches reads into few transactions, whose results resume the requests."""
 
     def __init__(self, context: Context, answers: Answers) -> None:
         self.context = context
@@ -55,7 +55,7 @@
         self.max_conditions = 4 * context.facts.store.strictest.txn_ops
 
     def records_loaded(self, request_id: RequestId) -> bool:
-        """Whether there are records to answer from; if not, the user is told to try again."""
+        """Whether records are loaded; if not, answers that the user should retry."""
         replica = self.context.replica
         if replica.loaded and not replica.unknown_format:
             return True
@@ -63,28 +63,28 @@
         return False
 
     def read(self, request_id: RequestId, job_id: str, resume: Continuation) -> None:
-        """Call `resume` with the current job; the user is refused if that fails."""
+        """Call `resume` with the current job, or refuse the request if the read fails."""
         if len(self.queued) >= constants.MAX_WAITING_REQUESTS:
             self.answers.unavailable(request_id, TOO_MANY_REQUESTS)
         else:
             self.queued.append(_Read(request_id, job_id, resume))
 
     def fetch(self, request_id: RequestId, job_id: str, resume: Continuation) -> None:
-        """Fetch a record that the replica lacks or has in an older version."""
+        """Fetch a record that is missing or outdated in the replica."""
 
         def on_answer(status: int, result: Any) -> None:
             if status == 200:
                 self.context.replica.apply(job_key(job_id), *result)
                 resume(self.context.replica.jobs.get(job_id))
             else:
-                # Records of jobs are never deleted, so not even 404 says that there is none: the
-                # failed comparison has shown that there is one.
+                # Even 404 does not mean that the job is unknown: records of jobs are never
+                # deleted, and the failed comparison showed that this one exists.
                 self.answers.unavailable(request_id, RECORDS_NOT_CURRENT)
 
         self.context.call(on_answer, messages.ReadKey, job_key(job_id), 0)
 
     def resume_waiting(self) -> None:
-        """Resume the reads whose revision the replica has reached; refuse those out of time."""
+        """Resume reads whose revision the replica has reached; refuse those past deadline."""
         if not self.revision_waits:
             return
         context = self.context
@@ -99,18 +99,18 @@
                 self.revision_waits.append(wait)
 
     def send(self) -> None:
-        """Send the queued reads, READS_IN_FLIGHT transactions at most at a time."""
+        """Send the queued reads, with at most READS_IN_FLIGHT transactions in flight."""
         if len(self.queued) > self.max_conditions and self.in_flight < constants.READS_IN_FLIGHT:
             self._send_revision_query()
         while self.queued and self.in_flight < constants.READS_IN_FLIGHT:
             self._send_comparison()
 
     def _send_revision_query(self) -> None:
-        """Ask only for the store's revision, on behalf of all queued reads.
+        """Query only the store's revision, for all queued reads.
 
-        One transaction can't compare so many jobs. Once the watch has brought all changes up to
-        the revision, the replica can serve any number of reads, so the load on the store does not
-        grow with the rate of queries.
+        There are more jobs than one transaction can compare. Once the watch has delivered all
+        changes up to the revision, the replica can serve any number of reads, so the load on the
+        store does not grow with the rate of queries.
         """
         batch, self.queued = self.queued, []
         self._compare(
@@ -160,9 +160,9 @@
     def _resume_current(self, revision: int, read: _Read) -> None:
         """Resume a read whose job's own record is current.
 
-        If the answer depends on the records of other jobs as well, it waits for all changes up to
-        the revision: the job may be cancelled because of one far before it (R orphaned,
-        went_back), and a name unknown here may have been accepted by a peer.
+        If the answer also depends on the records of other jobs, the read waits for all changes up
+        to the revision. The job may be cancelled because of an indirect dependency (rules
+        `orphaned` and `went_back`), and a peer may have accepted a job id that is unknown here.
         """
         job = self.context.replica.jobs.get(read.job_id)
         if job is not None and (job.ready or job.final):
@@ -171,7 +171,7 @@
             self._resume_at_revision(revision, read)
 
     def _resume_at_revision(self, revision: int, read: _Read) -> None:
-        """Resume a read once the watch has brought all changes up to a revision."""
+        """Resume a read once the watch has delivered all changes up to a revision."""
         if self.context.replica.revision >= revision:
             read.resume(self.context.replica.jobs.get(read.job_id))
         elif len(self.revision_waits) >= constants.MAX_WAITING_REQUESTS:
--- a/oakmux/core/api/job_view.py
+++ b/oakmux/core/api/job_view.py
@@ -1,4 +1,4 @@
-"""Showing a job to a user."""
+"""Answers that show a job to a user."""
 
 from oakmux.core.api.answers import Answers, Refusal, RequestId
 from oakmux.core.api.cancellation import Cancellation
--- a/oakmux/core/api/jobs.py
+++ b/oakmux/core/api/jobs.py
@@ -21,7 +21,7 @@
         self.submission = Submission(context, self.answers, self.reads, self.view)
 
     def query(self, command: QueryJob) -> None:
-        """Show a job, or answer 404 if current records have none."""
+        """Show a job, or answer 404 if the current records do not contain it."""
         request_id, job_id = command.request, command.job_id
         self._with_current_job(
             request_id,
@@ -30,14 +30,14 @@
         )
 
     def cancel(self, command: CancelJob) -> None:
-        """Cancel a job; the answer follows once the cancellation is recorded."""
+        """Cancel a job; the answer is sent once the cancellation is recorded."""
         request_id, job_id = command.request, command.job_id
         self._with_current_job(
             request_id, job_id, lambda job: self.cancellation.cancel(request_id, job_id, job)
         )
 
     def _with_current_job(self, request_id: RequestId, job_id: str, resume: Continuation) -> None:
-        """Show a job that is final, which no change can follow; read any other first."""
+        """Show a final job at once, since it can't change; otherwise read its current record."""
         job = self.context.replica.jobs.get(job_id)
         if job is not None and job.final:
             self.view.show(request_id, job)
@@ -45,7 +45,7 @@
             self.reads.read(request_id, job_id, resume)
 
     def flush(self) -> None:
-        """Send the reads and writes gathered in a step, and resume requests that waited."""
+        """Send the reads and writes collected in a step, and resume waiting requests."""
         self.reads.resume_waiting()
         self.cancellation.write_cascade()
         self.reads.send()
--- a/oakmux/core/api/submission.py
+++ b/oakmux/core/api/submission.py
@@ -1,4 +1,4 @@
-"""Accepting jobs: validation, then one conditional write, so that each id is accepted once."""
+"""Job submission: validation, then a compare-and-swap, so that each id is accepted once."""
 
 from typing import Any
 
@@ -37,7 +37,7 @@
         self.max_value_bytes = value_limit(context.facts.store.strictest)
 
     def submit(self, command: messages.SubmitJob) -> None:
-        """Accept a job, or show the one that has its id."""
+        """Accept a job, or show the existing job with its id."""
         request_id, job_id, spec = command.request, command.job_id, command.spec
         if not self.reads.records_loaded(request_id):
             return
@@ -59,14 +59,14 @@
         )
 
     def _submit_new(self, request_id: RequestId, job_id: str, spec: JobSpec) -> None:
-        """Accept a job that the replica does not know."""
+        """Accept a job that is not in the replica."""
         invalid = self._invalid_reason(job_id, spec)
         if invalid is not None:
             self._show_current_or_refuse(request_id, job_id, Refusal(422, invalid))
         elif spec.waits_on and self.context.replica.format < FORMAT_COMPACT:
             self.answers.unavailable(request_id, DEPENDENCIES_UNSUPPORTED)
         elif self._unknown_dependencies(spec):
-            # Whether a peer has just accepted them only current records can tell.
+            # A peer may have just accepted them; only current records show that.
             self.reads.read(
                 request_id,
                 job_id,
@@ -119,10 +119,10 @@
         return f"description of {size} bytes: a record holds {self.max_value_bytes}"
 
     def _reserved_id(self, job_id: str) -> str | None:
-        """Return why an id is kept for the jobs of schedules, or None.
+        """Return why an id is reserved for the jobs of schedules, or None.
 
-        All ids of schedules have 18 digits. Shorter ones with the same prefix stay free, and
-        users who had such a job before the reservation are still shown it.
+        All ids of schedules have 18 digits. Shorter ids with the same prefix are not reserved.
+        A job with a reserved id that a user submitted before the reservation is still shown.
         """
         prefix = self.context.reserved_job_prefix
         if prefix and job_id.startswith(prefix) and len(job_id) == constants.RESERVED_ID_CHARS:
@@ -141,7 +141,7 @@
         )
 
     def _create(self, request_id: RequestId, job_id: str, spec: JobSpec) -> None:
-        """Write the job's record, provided that there is none."""
+        """Write the job's record if it does not exist yet."""
         # A job that depends on a cancelled one is accepted and cancelled at once.
         state: JobState = "cancelled" if self._depends_on_cancelled(spec) else "queued"
         value = encode_job(state, spec.team, spec, self.context.wall_clock_ms, spec.tasks)
--- a/oakmux/core/context.py
+++ b/oakmux/core/context.py
@@ -1,4 +1,4 @@
-"""What the parts of a controller share: settings, records, machines, time, chance, effects."""
+"""State shared by a controller's components: settings, records, machines, clock, rng, effects."""
 
 import random
 from collections.abc import Callable
@@ -17,13 +17,13 @@
 
 
 class Backfill(Protocol):
-    """Machines that are reserved for large gangs, and what may use them until then."""
+    """Reservations of machines for large gangs, and which jobs may use the machines until then."""
 
-    # The job that each reserved machine is for.
+    # Job id by reserved machine.
     by_machine: dict[str, str]
 
     def announced(self, message: AnnounceBackfill) -> None:
-        """Take an owner's announcement."""
+        """Record a reservation that a team's owner announced."""
 
     def blocks_job(self, machine: str, job: Job, spec: JobSpec) -> bool:
         """Whether a reservation keeps a job off a machine."""
@@ -36,10 +36,10 @@
 
 
 class Context:
-    """Shared by the parts of one controller; owned by Controller.step.
+    """State shared by the components of one controller; owned by `Controller.step`.
 
-    `now` is a monotonic clock in seconds; `wall` is the time of day at its zero, in milliseconds
-    since 1970.
+    `now` is a monotonic clock in seconds. `wall_start_ms` is the time of day at its zero, in
+    milliseconds since 1970.
     """
 
     def __init__(self, settings: Settings, rng: random.Random, wall_start_ms: int) -> None:
@@ -56,28 +56,28 @@
         self.objectives = Objectives(settings.facts.objectives)
         self.array_share_gpus = _array_share_gpus(settings.facts)
         self.machines: dict[str, Machine] = {}
-        # Machines that are certainly gone, the newest last: late copies of their heartbeats may
-        # come even after their record was deleted.
+        # Machines that are certainly terminated, the newest last. Delayed copies of their
+        # heartbeats may arrive even after their record is deleted.
         self.terminated: dict[str, None] = {}
-        # When the process last went on after it was suspended: what it was told before is old.
+        # When the process last resumed after a suspension; what it received before is outdated.
         self.resumed_at = constants.NEVER
-        # When the store was last reached again after an outage, in which nothing could start.
+        # When the last store outage ended; no task can start during an outage.
         self.store_recovered_at = constants.NEVER
-        # The time up to which the records are known to be current.
+        # Time up to which the records contain all changes.
         self.store_seen_at = constants.NEVER
-        # When machines were last said to be draining.
+        # Time of the latest drain notice, by machine.
         self.draining: dict[str, float] = {}
-        # Machines found unusable, to be looked at again when they are heard of.
+        # Machines found unusable; their next heartbeat makes them candidates again.
         self.unresponsive: set[str] = set()
         self.changed_workers: set[str] = set()
         self.term = 0
         self.incarnation = 0
-        # Roles that we hold, with the mod revisions of their keys.
+        # Roles that this controller holds, with the mod revisions of their keys.
         self.held_roles: dict[str, int] = {}
-        # Roles of optional subsystems, and a prefix of job ids that they keep for themselves.
+        # Roles of optional subsystems, and the prefix of job ids that is reserved for them.
         self.extra_roles: list[str] = []
         self.reserved_job_prefix = ""
-        # Set by the controller, which joins the parts.
+        # Set by Controller.
         self.backfill: Backfill
         self.effects: list[Effect] = []
         self.inbox: list[PeerMessage] = []
@@ -91,20 +91,20 @@
         self.effects.append(effect)
 
     def answer(self, request: Any, status: int, body: tuple[Any, ...]) -> None:
-        """Answer a request."""
+        """Answer a request with an HTTP status and a tagged body."""
         self.effects.append(Answer(request, status, body))
 
     def send(self, controller_id: str, message: PeerMessage) -> None:
-        """Send a message to a controller; one to ourselves is delivered within the same step."""
+        """Send a message to a controller; one to itself is delivered within the same step."""
         if controller_id == self.controller_id:
             self.inbox.append(message)
         else:
             self.effects.append(SendToPeer(controller_id, message))
 
     def call(self, callback: Callable[..., None], operation: type[Effect], *args: Any) -> None:
-        """Start an operation; `callback` gets its status and result when it is done.
+        """Start an operation; `callback` is called with its status and result when it ends.
 
-        `args` are the operation's fields after its number.
+        `args` are the fields of the operation after its number.
         """
         self._last_operation += 1
         self.operations[self._last_operation] = callback
@@ -114,11 +114,11 @@
 
     @property
     def wall_clock_ms(self) -> int:
-        """The time of day in milliseconds, by which jobs' ages are recorded."""
+        """The time of day in milliseconds since 1970, in which submission times are recorded."""
         return self.wall_start_ms + int(self.now * 1000)
 
     def note_store_answer(self, requested_at: float) -> None:
-        """Note that the store answered a request for all changes that was sent at a time."""
+        """Note that the store answered a request for all changes sent at `requested_at`."""
         if self.now - self.store_seen_at >= constants.STORE_STALE_S:
             self.store_recovered_at = self.now
         self.store_seen_at = max(self.store_seen_at, requested_at)
@@ -126,25 +126,25 @@
     # --- machines ---
 
     def drain(self, name: str) -> None:
-        """Put nothing new on a machine; to be repeated, since the notice expires."""
+        """Place no new tasks on a machine; the caller repeats this, since the notice expires."""
         if name not in self.draining:
             self.replica.changes.touch(name)
         self.draining[name] = self.now
 
     def undrain(self, name: str) -> None:
-        """Use a machine again."""
+        """Allow new tasks on a machine again."""
         if self.draining.pop(name, None) is not None:
             self.replica.changes.touch(name)
 
     def note_heartbeat(self, machine: Machine) -> None:
-        """Note that a machine sent a heartbeat just now, to us or to a peer."""
+        """Note that a machine just sent a heartbeat, to this controller or to a peer."""
         machine.last_heartbeat_at = self.now
         if machine.name in self.unresponsive:
             self.unresponsive.discard(machine.name)
             self.replica.changes.touch(machine.name)
 
     def mark_terminated(self, name: str) -> None:
-        """Forget a machine that is certainly gone; its name is never used again."""
+        """Remove a machine that is certainly terminated; its name is never reused."""
         self.machines.pop(name, None)
         self.draining.pop(name, None)
         self.unresponsive.discard(name)
@@ -156,7 +156,7 @@
     # --- machine types ---
 
     def types_changed(self) -> None:
-        """Compute anew what is free on machines: the catalogue changed."""
+        """Recompute the free resources of all machines after a change of the catalogue."""
         self.replica.changes.free_resources.clear()
         self.replica.changes.stale_machines.update(self.machines)
 
@@ -172,7 +172,7 @@
         )
 
     def fetch_s(self, spec: JobSpec, type_name: str) -> float:
-        """Return the nominal seconds in which a machine fetches the job's image."""
+        """Return the nominal seconds in which a machine of the type fetches the job's image."""
         return spec.image_gb / (self.types[type_name].fetch_gb_per_s or 1.0)
 
     def is_eligible(self, spec: JobSpec, machine: Machine) -> bool:
@@ -185,6 +185,6 @@
 
 
 def _array_share_gpus(facts: Facts) -> float:
-    """Return the GPUs that one array is assumed to get, to judge how long its work takes."""
+    """Return the GPUs that one array is assumed to get, to estimate how long its work takes."""
     gpus = sum(team.gpus or team.gpus_max for team in facts.teams)
     return max(1.0, constants.ARRAY_SHARE * gpus)
--- a/oakmux/core/controller.py
+++ b/oakmux/core/controller.py
@@ -1,4 +1,4 @@
-"""One controller: commands in, effects out; it owns all state and does no input or output."""
+"""One controller: takes commands, returns effects, owns all state and does no I/O."""
 
 import logging
 import random
@@ -26,16 +26,16 @@
 
 
 class Subsystem(Protocol):
-    """An optional part of a controller: it handles commands of its own and ticks."""
+    """An optional component of a controller, with its own commands and a periodic tick."""
 
     commands: dict[type[Command], CommandHandler]
 
     def tick(self) -> None:
-        """Do what is due."""
+        """Run the periodic work; called every TICK_S."""
 
 
 class Controller:
-    """One controller; `step` is its only entry."""
+    """One controller; `step` is its only entry point."""
 
     def __init__(
         self,
@@ -76,7 +76,7 @@
             self.handlers.update(subsystem.commands)
 
     def step(self, now: float, commands: Iterable[Command]) -> list[Effect]:
-        """Handle a batch of commands and do what is due; return the effects.
+        """Handle a batch of commands, run the work that is due, and return the effects.
 
         `now` is the process's monotonic clock in seconds.
         """
@@ -85,12 +85,12 @@
         for command in commands:
             try:
                 self.handlers[type(command)](command)
-            except Exception:  # one request or answer must not end the process
+            except Exception:  # one bad request or answer must not end the process
                 log.exception("event=command_failed kind=%s", type(command).__name__)
         for run in self._due():
             try:
                 run()
-            except Exception:  # a fault in one part must end neither the others nor the process
+            except Exception:  # must end neither the other components nor the process
                 log.exception("event=subsystem_failed part=%s", run.__qualname__)
         effects, context.effects = context.effects, []
         return effects
@@ -98,14 +98,14 @@
     def _advance_clock(self, now: float) -> None:
         context = self.context
         if now - context.now > constants.PROCESS_PAUSE_S:
-            # The process was suspended while its clock ran on. What waits in its queue is of some
-            # time in between: machines are not silent, we just have not received what they sent.
+            # The process was suspended while the clock advanced. Its queue holds inputs from the
+            # time in between: the machines are alive, their heartbeats are not processed yet.
             context.resumed_at = now
             event("process_paused", seconds=round(now - context.now, 1))
         context.now = max(context.now, now)
 
     def _due(self) -> list[Callable[[], None]]:
-        """Return what is to be run in this step, in order."""
+        """Return the functions to run in this step, in order."""
         due: list[Callable[[], None]] = [self._settle]
         if self.context.now >= self.next_tick_at:
             self.next_tick_at = self.context.now + constants.TICK_S
@@ -120,10 +120,10 @@
         due += [self.scheduler.writer.flush, self.jobs_api.flush]
         return due
 
-    # --- propagation of changes between the parts ---
+    # --- propagation of changes between components ---
 
     def _settle(self) -> None:
-        """Propagate changes until there are no more, or for a few rounds."""
+        """Propagate changes until there are none left, for PROPAGATION_ROUNDS at most."""
         for _ in range(constants.PROPAGATION_ROUNDS):
             self.peers.deliver_local()
             if not self._propagate():
@@ -133,7 +133,7 @@
         self._propagate()
 
     def _propagate(self) -> bool:
-        """Tell the parts what changed in records and at workers; return whether anything did."""
+        """Notify components of changed records and workers; return whether anything changed."""
         if self.context.replica.loaded:
             self._update_roles()
         self._update_format()
@@ -165,7 +165,7 @@
             self.scheduler.buffer.on_format_change()
 
     def _note_ready_jobs(self) -> None:
-        """Let the age of jobs whose dependencies are done, and their objectives, start now."""
+        """Count age and objectives of jobs from now on if their last dependency is now done."""
         context, replica = self.context, self.context.replica
         ready, replica.changes.released_jobs = replica.changes.released_jobs, []
         for job_id in ready:
@@ -191,7 +191,7 @@
             self.peers.views.send_to_all(name)
         return bool(jobs or machines or workers)
 
-    # --- news of the store and the cloud ---
+    # --- updates from the store and the cloud ---
 
     def _operation_done(self, command: messages.OperationDone) -> None:
         callback = self.context.operations.pop(command.operation, None)
@@ -214,7 +214,7 @@
         self.context.note_store_answer(command.requested_at)
 
     def _use_recorded_types(self) -> None:
-        """Until the cloud answers, use the catalogue in the records."""
+        """Use the catalogue in the records until the cloud answers."""
         if not self.context.types:
             self.context.types = dict(self.context.replica.types)
             self.context.types_changed()
@@ -234,11 +234,11 @@
         self.context.answer(command.request, 200, status)
 
     def _ready(self) -> bool:
-        """Whether users should be sent to this controller.
+        """Whether the load balancer should send users to this controller.
 
-        If only the store can't be reached, it may be an outage for all, and nobody would serve
-        users any better. If a peer can reach it, or if no peer can be reached either, this
-        controller is probably cut off, and would only refuse them.
+        If only the store is unreachable, the outage may affect all controllers, and no other one
+        would serve users better. If a peer reaches the store, or no peer is reachable either, this
+        controller is probably cut off and would only refuse requests.
         """
         context, cancellations = self.context, self.agents.cancellations
         if not context.replica.loaded or context.replica.unknown_format or not context.types:
--- a/oakmux/core/instances.py
+++ b/oakmux/core/instances.py
@@ -1,11 +1,11 @@
-"""Instances as the cloud names them: what can be rented, and the rows of its list."""
+"""Cloud instances: the kinds that can be rented, and the entries of the instance list."""
 
 from enum import StrEnum
 from typing import NamedTuple
 
 
 class InstanceKind(NamedTuple):
-    """Instances that are interchangeable for the cloud: they share price and capacity."""
+    """A kind of interchangeable instances: the cloud prices and provisions them together."""
 
     type: str
     zone: str
@@ -13,7 +13,7 @@
 
 
 class InstanceState(StrEnum):
-    """States of an instance in the cloud's list that mean something to the autoscaler."""
+    """States of an instance in the cloud's list that the autoscaler distinguishes."""
 
     BOOTING = "booting"
     RUNNING = "running"
@@ -21,7 +21,7 @@
 
 
 class ListedInstance(NamedTuple):
-    """A row of the cloud's list; `age_s` counts from the rental."""
+    """An entry of the cloud's list; `age_s` counts from the rental."""
 
     name: str
     address: str
@@ -33,5 +33,5 @@
 
     @property
     def kind(self) -> InstanceKind:
-        """What was rented."""
+        """The kind of the instance."""
         return InstanceKind(self.type, self.zone, self.spot)
--- a/oakmux/core/machine.py
+++ b/oakmux/core/machine.py
@@ -1,15 +1,15 @@
-"""What a controller knows of a machine from the heartbeats of its worker."""
+"""A controller's state of a machine, from the heartbeats of its worker."""
 
 from oakmux.core.model import Heartbeat
 
-# A task and the attempt at it: ("job-1/0", 1).
+# Task and number of the attempt: ("job-1/0", 1).
 Task = tuple[str, int]
 
 
 class Machine:
-    """The newest state of a machine that any controller was told and that has reached us.
+    """The newest known state of a machine, received from its worker or from a peer.
 
-    Times are those of the controller's monotonic clock, in seconds.
+    Times are in seconds of the controller's monotonic clock.
     """
 
     __slots__ = (
@@ -37,25 +37,26 @@
 
     def __init__(self, heartbeat: Heartbeat, now: float) -> None:
         self.name = heartbeat.machine
-        # Images in its cache with their sizes in GB, the one used last at the end.
+        # Cached images with their sizes in GB, the most recently used last.
         self.images: dict[str, float] = {}
         self.errors: list[str] = []
         self.idle_since: float | None = now
         self.first_heartbeat_at = now
+        # When each task began to run; the time of the latest heartbeat if it does not run yet.
         self.task_started_at: dict[Task, float] = {}
-        # When the cloud takes a spot instance back, if it has said so.
+        # When the cloud reclaims a spot instance, if it has given notice.
         self.notice_at: float | None = None
-        # The controller that it reports to, and the term of that controller.
+        # The controller that the machine reports to, and the term of that controller.
         self.manager = ""
         self.manager_term = 0
-        # Heartbeats in a row that show it does not receive our answers, and since when that is
-        # taken for certain.
+        # Consecutive heartbeats which show that the machine does not receive this controller's
+        # answers, and when it was declared unreachable.
         self.unreachable_signs = 0
         self.unreachable_since: float | None = None
         self.apply(heartbeat, now)
 
     def apply(self, heartbeat: Heartbeat, now: float) -> None:
-        """Take over a newer heartbeat."""
+        """Update the state from a newer heartbeat."""
         self.addr = heartbeat.addr
         self.type = heartbeat.type
         self.zone = heartbeat.zone
@@ -68,7 +69,7 @@
         self.last_heartbeat_at = now
 
     def use_image(self, image: str, size_gb: float, cache_gb: float) -> None:
-        """Note that an image is used now; the cache drops those used longest ago."""
+        """Mark an image as used now; the cache evicts the least recently used ones."""
         self.images.pop(image, None)
         self.images[image] = size_gb
         total_gb = sum(self.images.values())
@@ -79,5 +80,5 @@
 
     @property
     def version(self) -> tuple[int, int]:
-        """What orders the heartbeats of a machine."""
+        """The version by which the machine's heartbeats are ordered."""
         return self.agent_epoch, self.sequence
--- a/oakmux/core/messages.py
+++ b/oakmux/core/messages.py
@@ -1,7 +1,7 @@
-"""The controller's inputs and outputs: commands that it is given, and effects that it asks for.
+"""The controller's inputs (commands) and outputs (effects).
 
-`Controller.step` takes a batch of commands and returns effects; the transport carries them out.
-An effect with an `operation` number is answered by the `OperationDone` of that number.
+`Controller.step` takes a batch of commands and returns effects, which the transport carries out.
+An effect with an `operation` number is answered by an `OperationDone` with the same number.
 """
 
 from typing import Any
@@ -11,8 +11,8 @@
 from oakmux.core.model import Heartbeat, JobSpec, MachineType
 from oakmux.core.peer_messages import PeerMessage
 
-# What a transaction compares, as (key, mod revision), and what it writes, as (key, value, lease),
-# or (key,) to delete.
+# A transaction's condition: (key, mod revision). Its write: (key, value, lease), or (key,) to
+# delete the key.
 Condition = tuple[str, int]
 Write = tuple[Any, ...]
 
@@ -29,7 +29,7 @@
 
 
 class SubmitJob(Command, frozen=True):
-    """A user submits a job; without `spec`, `malformed` says why there is none."""
+    """A user submits a job; `spec` is None if the request is malformed, for the reason given."""
 
     request: Any
     job_id: str
@@ -52,7 +52,7 @@
 
 
 class CheckHealth(Command, frozen=True):
-    """The load balancer asks whether this controller should be sent users."""
+    """The load balancer checks whether this controller should get users' requests."""
 
     request: Any
 
@@ -83,13 +83,13 @@
     known_revision: int = -1
 
 
-# --- commands: news of the store, the cloud and the peers ---------------------------------------
+# --- commands: updates from the store, the cloud and the peers ----------------------------------
 
 
 class OperationDone(Command, frozen=True):
     """An operation ended: `status` is an HTTP status, or the outcome of worker commands.
 
-    Status 0 means that it isn't known whether the operation was carried out.
+    Status 0 means that the operation may or may not have been carried out.
     """
 
     operation: int
@@ -106,7 +106,7 @@
 
 
 class ApplyWatchEvents(Command, frozen=True):
-    """Changes in the store, as (key, value or None, mod revision), asked for at `requested_at`."""
+    """Store changes as (key, value or None, mod revision), requested at `requested_at`."""
 
     events: list[tuple[str, Any, int]]
     revision: int
@@ -136,7 +136,7 @@
 
 
 class PeerRestarted(Command, frozen=True):
-    """A peer answered as another incarnation than before."""
+    """A peer answered with a new incarnation."""
 
     controller_id: str
 
@@ -149,7 +149,7 @@
 
 
 class BorrowQuota(Command, frozen=True):
-    """This controller lacks so many store changes of its share of the rate."""
+    """This controller needs `changes` more store changes than its share of the rate allows."""
 
     changes: float
 
@@ -173,20 +173,20 @@
 
 
 class LendQuota(Effect, frozen=True):
-    """Give a peer up to so many store changes of our share of the rate, if they can be spared."""
+    """Lend a peer up to `changes` of this controller's share of the rate, if it can spare them."""
 
     controller_id: str
     changes: float
 
 
 class CreditQuota(Effect, frozen=True):
-    """Add store changes that a peer lent to our share of the rate."""
+    """Add store changes lent by a peer to this controller's share of the rate."""
 
     changes: float
 
 
 class SendWorkerCommands(Effect, frozen=True):
-    """Send commands to a worker directly; the outcome is ok, refused, unsent or lost."""
+    """Send commands to a worker directly; the result is a `CommandOutcome`."""
 
     operation: int
     addr: str
@@ -205,7 +205,7 @@
 
 
 class Transaction(StoreOperation, frozen=True):
-    """Compare and write; a smaller `priority` goes first."""
+    """Compare-and-swap of several keys; a smaller `priority` goes first."""
 
     conditions: list[Condition]
     writes: list[Write]
@@ -245,7 +245,7 @@
 
 
 class RentInstances(CloudOperation, frozen=True):
-    """Rent instances; repeating `name` never rents twice."""
+    """Rent instances; a retry with the same `name` never rents twice."""
 
     name: str
     type_name: str
--- a/oakmux/core/model.py
+++ b/oakmux/core/model.py
@@ -39,17 +39,17 @@
     checkpoint_s: float
     save_s: float
     deadline_s: float | None
-    # The version before has no such field: it reads records that lack it, and ignores it.
+    # The previous version lacks this field: it reads records without it, and ignores it in others.
     waits_on: tuple[str, ...] = ()
 
     @property
     def gang_scheduled(self) -> bool:
-        """Whether several tasks must start at once; a gang of one is placed like any task."""
+        """Whether several tasks must start together; a gang of one is placed like any task."""
         return self.kind == "gang" and self.tasks > 1
 
 
 class Heartbeat(msgspec.Struct, array_like=True):
-    """A worker's report; tasks maps (task, attempt) to (state, why, saved)."""
+    """A worker's report; `tasks` maps (task, attempt) to (state, reason, saved)."""
 
     machine: str
     addr: str
@@ -64,7 +64,7 @@
 
 
 class MachineType(msgspec.Struct, frozen=True, array_like=True):
-    """A type of the cloud's catalogue."""
+    """A machine type of the cloud's catalogue."""
 
     name: str
     cpus: float
@@ -79,7 +79,7 @@
 
 
 def split_task(task: str) -> tuple[str, int]:
-    """Split `job-1/3`; raises ValueError."""
+    """Split a task id such as `job-1/3` into job id and index; raises ValueError."""
     job_id, _, index = task.partition("/")
     if not JOB_ID.match(job_id) or not index.isdigit():
         raise ValueError(task)
@@ -87,16 +87,16 @@
 
 
 class CommandOutcome(StrEnum):
-    """What is known of commands that were sent to a worker."""
+    """The outcome of commands sent to a worker."""
 
     OK = "ok"
-    """The worker has carried them out."""
+    """The worker carried out all of them."""
 
     REFUSED = "refused"
-    """The worker has refused all of them: it obeys a newer term, or its agent epoch is another."""
+    """The worker refused all of them: it follows a newer term, or its agent epoch differs."""
 
     UNSENT = "unsent"
-    """There was no connection: certainly none was carried out."""
+    """There was no connection: none was carried out."""
 
     LOST = "lost"
-    """There was no usable answer: each may have been carried out, or may be minutes later."""
+    """No usable answer: each may have been carried out, or may still be minutes later."""
--- a/oakmux/core/objectives.py
+++ b/oakmux/core/objectives.py
@@ -1,4 +1,4 @@
-"""Service-level objectives of the settings, by job class."""
+"""Service-level objectives from the settings, by job class."""
 
 from collections.abc import Iterable
 
@@ -10,14 +10,14 @@
 
 
 class Objectives:
-    """The objectives that placement works towards; all times in seconds."""
+    """The objectives that scheduling aims for; all times in seconds."""
 
     def __init__(self, objectives: Iterable[Objective]) -> None:
-        # Times within which jobs of a class should start; there may be several, for shares.
+        # Times within which jobs of a class should start: several if shares of jobs differ.
         self.start_s: dict[str, list[float]] = {}
-        # The time within which jobs of a class should finish: the longest that is named.
+        # Time within which jobs of a class should finish: the longest configured.
         self.finish_s: dict[str, float] = {}
-        # The time within which a team should get its guarantee: the shortest that is named.
+        # Time within which a team should get its guarantee: the shortest configured.
         self.guarantee_s: float | None = None
         for objective in objectives:
             if objective.within_s is not None:
--- a/oakmux/core/peer_messages.py
+++ b/oakmux/core/peer_messages.py
@@ -1,8 +1,7 @@
 """Messages between controllers.
 
-Each has a tag, its first element on the wire; the others are its fields in order
-(`oakmux.codec.peers`). Earlier and later versions read them, so fields are only added at the end,
-with a default.
+On the wire, a message is an array of its tag and its fields in order (`oakmux.codec.peers`).
+Earlier and later versions read these arrays, so new fields go at the end and have a default.
 """
 
 from typing import Any, ClassVar
@@ -16,18 +15,18 @@
     TAG: ClassVar[str]
 
 
-# --- what managers of machines tell all peers ----------------------------------------------------
+# --- from managers of machines to all peers ------------------------------------------------------
 
 
 class MachinesAlive(PeerMessage, frozen=True):
-    """The sender had recent heartbeats of these machines."""
+    """The sender recently received heartbeats of these machines."""
 
     TAG = "heard"
     machines: list[str]
 
 
 class MachineView(PeerMessage, frozen=True):
-    """What a machine's last heartbeat to the sender, its manager, said.
+    """A machine's last heartbeat to the sender, which is its manager.
 
     `term` is the sender's. `tasks` are [task, attempt, state, reason, saved]; `images`, as
     [image, GB], is empty unless the receiver has just started.
@@ -52,9 +51,9 @@
 
 
 class Reserve(PeerMessage, frozen=True):
-    """The owner asks to queue a job for `count` tasks at a machine.
+    """The owner requests to queue `count` tasks of a job at a machine.
 
-    With `preempt`, tasks that yield to the job are stopped if there is no room.
+    With `preempt`, tasks that the job may preempt are stopped if there is no capacity.
     """
 
     TAG = "reserve"
@@ -65,9 +64,9 @@
 
 
 class Offer(PeerMessage, frozen=True):
-    """The manager holds room for one task of a job that is queued at a machine.
+    """The manager holds capacity for one task of a job that is queued at a machine.
 
-    `term` is the manager's, which bindings of the offer name.
+    `term` is the manager's; a binding made from the offer contains it.
     """
 
     TAG = "offer"
@@ -80,7 +79,7 @@
 
 
 class DeclineOffer(PeerMessage, frozen=True):
-    """The owner has no task for an offer."""
+    """The owner has no task for the offer."""
 
     TAG = "decline"
     machine: str
@@ -88,9 +87,9 @@
 
 
 class AnnounceBackfill(PeerMessage, frozen=True):
-    """A gang waits for these machines, or for none any more.
+    """Machines reserved for a gang; an empty list ends its reservation.
 
-    The job was submitted, or its dependencies were done, at `submitted_ms` (since 1970); the
+    The job was submitted, or its dependencies were done, at `submitted_ms` (since 1970). The
     machines are expected to be free in `ready_s` seconds.
     """
 
@@ -102,7 +101,7 @@
     ready_s: float
 
 
-# --- what the autoscaler tells the managers of machines ------------------------------------------
+# --- from the autoscaler to the managers of machines ---------------------------------------------
 
 
 class MoveTask(PeerMessage, frozen=True):
@@ -115,14 +114,14 @@
 
 
 class DrainMachines(PeerMessage, frozen=True):
-    """Put nothing new on these machines."""
+    """Place no new tasks on these machines."""
 
     TAG = "drain"
     machines: list[str]
 
 
 class MachinesTerminated(PeerMessage, frozen=True):
-    """These machines are certainly gone."""
+    """These machines are certainly terminated."""
 
     TAG = "gone"
     machines: list[str]
@@ -132,7 +131,7 @@
 
 
 class BorrowChanges(PeerMessage, frozen=True):
-    """The sender lacks so many store changes."""
+    """The sender needs `changes` more store changes than its share allows."""
 
     TAG = "borrow"
     controller_id: str
@@ -140,7 +139,7 @@
 
 
 class LendChanges(PeerMessage, frozen=True):
-    """The sender gives up so many store changes of its share."""
+    """The sender lends `changes` store changes of its share."""
 
     TAG = "lent"
     changes: float
--- a/oakmux/core/peers/__init__.py
+++ b/oakmux/core/peers/__init__.py
@@ -1,1 +1,1 @@
-"""The link to the other controllers: messages, and the replication of machines' state."""
+"""Communication with the other controllers: messages and replication of machines' state."""
--- a/oakmux/core/peers/link.py
+++ b/oakmux/core/peers/link.py
@@ -1,4 +1,4 @@
-"""The link between this controller and its peers, itself included."""
+"""Message exchange between this controller and its peers, including messages to itself."""
 
 import logging
 from collections.abc import Callable
@@ -15,12 +15,12 @@
 
 log = logging.getLogger("oakmux.core")
 
-# How old an answer says that our records are while we have never reached the store, in seconds.
+# Largest age of records in answers to peers (s), sent until the store is first reached.
 OLDEST_STORE_AGE_S = 1e6
 
 
 class PeerLink:
-    """Hands received messages to their handlers, and sends what peers are told periodically."""
+    """Dispatches received messages to their handlers, and sends the periodic messages to peers."""
 
     def __init__(self, context: Context, agents: AgentManager, scheduler: ShardScheduler) -> None:
         self.context = context
@@ -38,14 +38,14 @@
             peer_messages.BorrowChanges: self._lend_quota,
             peer_messages.LendChanges: self._credit_quota,
         }
-        # Handlers that need to know which controller sent the message.
+        # Handlers that need the sender's controller id.
         self.sender_handlers: dict[type[PeerMessage], Callable[[str, Any], None]] = {
             peer_messages.MachinesAlive: self.views.receive_alive,
             peer_messages.MachineView: self.views.receive_view,
         }
 
     def receive(self, command: messages.ReceivePeerMessages) -> None:
-        """Take a peer's messages; answer how current we are and what was cancelled."""
+        """Handle a peer's messages; answer with the age of the records and the cancelled jobs."""
         for message in command.messages:
             self._handle(command.sender, message)
         context = self.context
@@ -64,7 +64,7 @@
         )
 
     def deliver_local(self) -> None:
-        """Handle the messages that we sent to ourselves, and those that they lead to."""
+        """Handle messages that this controller sent to itself, and those that result."""
         context = self.context
         for _ in range(constants.PROPAGATION_ROUNDS):
             if not context.inbox:
@@ -80,11 +80,11 @@
                 handler(message)
             else:
                 self.sender_handlers[type(message)](sender, message)
-        except Exception:  # one message must not keep others from being handled
+        except Exception:  # one bad message must not block the others
             log.exception("event=peer_message_failed peer=%s", sender)
 
     def tick(self) -> None:
-        """Tell the peers what they are told periodically, when it is due."""
+        """Send the periodic messages to peers when they are due."""
         context = self.context
         if context.now < self.next_announcement_at:
             return
@@ -98,7 +98,7 @@
             self.context.drain(name)
 
     def _end_expired_drains(self) -> None:
-        """Use machines again whose drain the autoscaler, a peer, has not repeated for a while."""
+        """End drains that the autoscaler, on a peer, has not repeated for DRAIN_NOTICE_TTL_S."""
         context = self.context
         if FLEET in context.held_roles:
             return
@@ -118,7 +118,7 @@
     # --- shares of the rate of store changes ---
 
     def borrow_quota(self, command: messages.BorrowQuota) -> None:
-        """Ask each peer for its part of the store changes that we lack."""
+        """Request an equal part of the missing store changes from each peer."""
         members = self.context.settings.peers
         for member in members:
             changes = constants.BORROW_FACTOR * command.changes / len(members)
--- a/oakmux/core/peers/machine_views.py
+++ b/oakmux/core/peers/machine_views.py
@@ -1,7 +1,7 @@
-"""Replication of machines' state to the peers: each machine's manager sends what it was told.
+"""Replication of machines' state: each machine's manager sends its heartbeats to the peers.
 
-Owners of teams and of the fleet plan with the views of all managers, so a machine that a peer does
-not know of is capacity that it can't use.
+Owners of teams and of the fleet plan with the views of all managers. A peer can't use the capacity
+of a machine whose view it lacks.
 """
 
 import bisect
@@ -18,17 +18,17 @@
 
 
 class MachineViews:
-    """Sends the views of machines that report to us, and takes those of peers."""
+    """Sends views of the machines that report to this controller; receives those of peers."""
 
     def __init__(self, context: Context, heartbeats: HeartbeatHandler) -> None:
         self.context = context
         self.heartbeats = heartbeats
         self.peers = [member.controller_id for member in context.settings.peers]
-        # The machine whose view was repeated last; the next ones by name are next.
+        # The machine whose view was resent last; resending continues with the next name.
         self.last_resent = ""
 
     def send(self, name: str, peers: Sequence[str], with_images: bool = False) -> None:
-        """Send the view of a machine, if it reports to us."""
+        """Send the view of a machine to some peers, if it reports to this controller."""
         context = self.context
         machine = context.machines.get(name)
         if machine is None or machine.manager != context.controller_id:
@@ -58,22 +58,22 @@
         )
 
     def send_to_all(self, name: str) -> None:
-        """Send the view of a machine to all peers, if it reports to us."""
+        """Send the view of a machine to all peers, if it reports to this controller."""
         self.send(name, self.peers)
 
     def send_all(self, command: PeerRestarted) -> None:
-        """Send a peer that has just started the views of all machines that report to us."""
+        """Send a restarted peer the views of all machines that report to this controller."""
         for machine in self.context.machines.values():
             if machine.manager == self.context.controller_id:
                 self.send(machine.name, [command.controller_id], with_images=True)
 
     def resend(self, command: ResendViews) -> None:
-        """Send a peer again what was lost on the way."""
+        """Resend views that may have been lost on the way to a peer."""
         for name in command.machines:
             self.send(name, [command.controller_id])
 
     def announce_alive(self) -> None:
-        """Tell the peers of which machines we had recent heartbeats; repeat some of the views."""
+        """Send the peers the machines with recent heartbeats; resend some of the views."""
         context = self.context
         recent_s = 2 * constants.PEER_HEARTBEAT_S + context.facts.workers.heartbeat_interval_s
         alive = [
@@ -88,10 +88,11 @@
         self._resend_next(sorted(alive))
 
     def _resend_next(self, names: list[str]) -> None:
-        """Send some views again, in turn, also where nothing changed.
+        """Resend some views, round-robin, even if nothing changed.
 
-        A peer that heard a machine for a moment, of which we knew nothing then, would take it for
-        one that does not receive our answers, and leave its capacity unused for ever.
+        A machine may briefly report to a peer before this controller has any state of it. Without
+        resent views, that peer would keep assuming that the machine does not receive answers, and
+        never use its capacity.
         """
         count = math.ceil(len(names) * constants.PEER_HEARTBEAT_S / constants.VIEW_RESEND_S)
         first = bisect.bisect_right(names, self.last_resent)
@@ -101,14 +102,14 @@
         self.last_resent = chosen[-1] if len(chosen) == count and chosen else ""
 
     def receive_alive(self, sender: str, message: MachinesAlive) -> None:
-        """Note that machines reported to a peer of late."""
+        """Note that machines recently reported to a peer."""
         for name in message.machines:
             machine = self.context.machines.get(name)
             if machine is not None and machine.manager == sender:
                 self.context.note_heartbeat(machine)
 
     def receive_view(self, sender: str, view: MachineView) -> None:
-        """Take over a peer's view of a machine unless it is older than what we know."""
+        """Apply a peer's view of a machine unless it is older than the known state."""
         context = self.context
         machine = context.machines.get(view.machine)
         if machine is not None:
@@ -132,7 +133,7 @@
             view.sequence,
             view.fencing_token,
             view.notice_s,
-            {(row[0], row[1]): (row[2], row[3], row[4]) for row in view.tasks},
+            {(task[0], task[1]): (task[2], task[3], task[4]) for task in view.tasks},
         )
         apply_heartbeat(context, heartbeat, sender, view.term)
         for image, size_gb in view.images:
--- a/oakmux/core/resources.py
+++ b/oakmux/core/resources.py
@@ -1,4 +1,4 @@
-"""CPUs, GPUs and memory of a machine, and how many tasks of a job they hold."""
+"""CPUs, GPUs and memory of a machine, and how many tasks of a job fit into them."""
 
 import math
 from typing import NamedTuple
@@ -10,7 +10,7 @@
 
 
 class Resources(msgspec.Struct, frozen=True, gc=False):
-    """An amount of resources, mostly what is free on a machine."""
+    """An amount of resources, mostly those free on a machine."""
 
     cpus: float
     gpus: float
@@ -21,7 +21,7 @@
 
 
 class Usage(NamedTuple):
-    """CPUs and GPUs that tasks use, as far as quotas limit them."""
+    """CPUs and GPUs used by tasks: the resources that quotas limit."""
 
     cpus: float
     gpus: float
@@ -41,7 +41,7 @@
 
 
 def subtract(free: Resources, spec: JobSpec, count: int = 1) -> Resources:
-    """Return what is left beside `count` tasks of a job; a negative count gives back."""
+    """Return the resources left beside `count` tasks of a job; a negative count adds theirs."""
     return Resources(
         free.cpus - count * spec.cpus,
         free.gpus - count * spec.gpus,
