--- a/oakmux/constants/__init__.py
+++ b/oakmux/constants/__init__.py
@@ -1,7 +1,6 @@
-"""Constants of oakmux by concern, each with its unit and the reason for its value.
+"""Constants of oakmux by concern, with their units. Use them as `constants.NAME`.
 
-Limits and times that differ between deployments come from the settings instead. Use these as
-`constants.NAME`.
+Limits and times that differ between deployments come from the settings instead.
 """
 
 from oakmux.constants.agents import *
--- a/oakmux/constants/leadership.py
+++ b/oakmux/constants/leadership.py
@@ -1,16 +1,16 @@
 """Leases and roles of controllers."""
 
-# Seconds until a controller's lease in the store expires, so that its failure is noticed.
+# Seconds until a failed controller's lease in the store expires and its failure is noticed.
 CONTROLLER_LEASE_S = 4.0
-# Seconds between renewals; three may be lost before the lease expires.
+# Seconds between lease renewals; three may be lost before the lease expires.
 LEASE_RENEWAL_S = 1.0
-# Seconds for each controller over which those that failed to raise the term spread their retries.
+# Seconds per controller over which controllers that failed to raise the term spread retries.
 TERM_RETRY_SPREAD_S = 0.05
-# Seconds between writing our controller's key and claiming roles, so that peers can appear.
+# Seconds between writing the own controller key and claiming roles, so that peers can register.
 ROLE_CLAIM_DELAY_S = 0.6
-# Seconds between two checks whether a role should move to a controller that has fewer.
+# Seconds between two checks whether a role should move to a controller with fewer roles.
 ROLE_REBALANCE_S = 5.0
-# Priority among the operations queued for the store (lower goes first; users' have 0). Leases,
-# terms and roles precede all others: behind a flood of users' changes, the roles of a failed
+# Priority among operations queued for the store (lower goes first; users' have 0). Leases, terms
+# and roles precede all others: behind a flood of users' changes, the roles of a failed
 # controller would stay without a holder.
 LEADERSHIP_WRITE_PRIORITY = -1
--- a/oakmux/logs.py
+++ b/oakmux/logs.py
@@ -7,6 +7,6 @@
 
 
 def event(name: str, **fields: Any) -> None:
-    """Log an event of the controller at info."""
+    """Log a controller event at level INFO."""
     if log.isEnabledFor(logging.INFO):
         log.info("event=%s %s", name, " ".join(f"{key}={value}" for key, value in fields.items()))
--- a/oakmux/task_status.py
+++ b/oakmux/task_status.py
@@ -1,20 +1,20 @@
-"""What a worker reports of a task: its state and, once it has exited, the reason."""
+"""A task's status as reported by a worker: its state and, once it has exited, the reason."""
 
 from typing import Final, NamedTuple
 
 # States of a task on its machine, in the order in which a task passes through them.
-STARTING: Final = "starting"  # commanded, not reported yet
+STARTING: Final = "starting"  # the start command was sent; not reported yet
 FETCHING: Final = "fetching"  # the machine fetches the image
-WAITING: Final = "waiting"  # a gang's task waits for the others
+WAITING: Final = "waiting"  # a gang's task waits for the gang's other tasks
 RUNNING: Final = "running"
-SAVING: Final = "saving"  # writes a checkpoint before it stops
+SAVING: Final = "saving"  # the task writes a checkpoint before it stops
 EXITED: Final = "exited"
-REFUSED: Final = "refused"  # bound, but its controller will never command the start
+REFUSED: Final = "refused"  # bound, but its controller will never send the start command
 
-# Reasons for which a task is over that decisions depend on; others are only logged.
+# Reasons of an exit on which decisions depend; other reasons are only logged.
 DONE: Final = "done"
 ERROR: Final = "error"
-LOST: Final = "lost"  # its machine or agent epoch ended, or its start can't take effect any more
+LOST: Final = "lost"  # its machine or agent epoch ended, or its start can no longer take effect
 
 
 class TaskStatus(NamedTuple):
@@ -22,6 +22,6 @@
 
     state: str
     reason: str
-    """Why the task exited; empty before."""
+    """Why the task exited; empty until then."""
     saved: bool
-    """Whether it wrote a checkpoint when it stopped."""
+    """Whether the task wrote a checkpoint when it stopped."""
