--- a/oakmux/core/agents/__init__.py
+++ b/oakmux/core/agents/__init__.py
@@ -1,1 +1,1 @@
-"""Workers that heartbeat to this controller: their state, their queues and their commands."""
+"""Management of workers that send heartbeats to this controller: state, queues and commands."""
--- a/oakmux/core/agents/capacity.py
+++ b/oakmux/core/agents/capacity.py
@@ -1,4 +1,4 @@
-"""The capacity of machines: what is free on them, and whether they accept new tasks."""
+"""Machine capacity: free resources, and whether a machine accepts new tasks."""
 
 from oakmux import constants
 from oakmux.core.agents.reachability import is_reachable
@@ -12,12 +12,12 @@
 def free_resources(
     context: Context, machine: Machine, extra: list[JobSpec] | None = None
 ) -> Resources:
-    """Return what is free on a machine.
+    """Return the free resources of a machine.
 
     Args:
         context: the controller's shared state; the result is cached in its replica.
-        machine: the machine in question.
-        extra: jobs with one task each that count as if they ran there, such as open offers.
+        machine: the machine whose resources are counted.
+        extra: jobs that each count as one task running on the machine, such as open offers.
     """
     free = context.replica.changes.free_resources.get(machine.name)
     if free is None:
@@ -29,7 +29,7 @@
 
 
 def count_free_resources(context: Context, machine: Machine) -> Resources:
-    """Count a machine's free resources anew, without the cache of `free_resources`."""
+    """Compute a machine's free resources without the cache that `free_resources` uses."""
     machine_type = context.types.get(machine.type)
     if machine_type is None:
         return NO_RESOURCES
@@ -45,7 +45,7 @@
 
 
 def _tasks_taking_resources(context: Context, machine: Machine) -> set[str]:
-    """Return the tasks that a machine reports as not exited or that are bound to it."""
+    """Return the tasks that occupy a machine: reported and not exited, or bound to it."""
     tasks = {
         task for (task, _), status in machine.tasks.items() if status[0] not in (EXITED, REFUSED)
     }
@@ -73,7 +73,7 @@
 def gang_hold_s(spec: JobSpec) -> float:
     """Return the seconds for which a gang may hold capacity until it has enough for all tasks.
 
-    Large gangs may wait for machines that are being rented; other jobs hold nothing.
+    Large gangs may wait for machines that are being rented. Jobs that are not gangs hold nothing.
     """
     if not spec.joint:
         return 0.0
@@ -103,15 +103,15 @@
 def counts_as_capacity(context: Context, machine: Machine) -> bool:
     """Whether a machine has capacity now or soon, so that none need be rented in its place.
 
-    Beside schedulable machines these are new ones, which take a heartbeat or two to show that
-    they receive our answers.
+    Besides schedulable machines, new machines count. They need a heartbeat or two to show that
+    they receive answers.
     """
     new = context.now - machine.first_heartbeat_at < heartbeat_timeout_s(context)
     return (new or is_reachable(machine)) and _accepts_tasks(context, machine)
 
 
 def _accepts_tasks(context: Context, machine: Machine) -> bool:
-    """Whether new tasks may be placed on a machine, reachability apart."""
+    """Whether a machine accepts new tasks, regardless of its reachability."""
     return (
         context.now - machine.last_heartbeat_at < heartbeat_timeout_s(context)
         and machine.name not in context.draining
@@ -122,7 +122,7 @@
 
 
 def is_quarantined(context: Context, machine: Machine) -> bool:
-    """Whether tasks of several jobs failed on a machine for which the jobs aren't to blame."""
+    """Whether tasks of several jobs failed on a machine, and the machine is the likely cause."""
     return (
         len(machine.errors) >= constants.QUARANTINE_FAILED_JOBS
         and sum(context.failures.blames(job_id, machine.name) for job_id in machine.errors)
--- a/oakmux/core/agents/heartbeats.py
+++ b/oakmux/core/agents/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats of workers: their answers, and what they tell of their machines."""
+"""Handles worker heartbeats: answers them and updates the machines that they describe."""
 
 import math
 from typing import Any
@@ -50,7 +50,7 @@
         self.queue = queue
 
     def receive(self, command: messages.ReceiveHeartbeat) -> None:
-        """Answer a worker's heartbeat, and apply it unless it is refused."""
+        """Apply a worker's heartbeat and answer it, or refuse it."""
         context = self.context
         request, heartbeat = command.request, command.heartbeat
         refusal = self._refusal(heartbeat)
@@ -74,7 +74,7 @@
             self._answer_commands(request, tracked, machine)
 
     def _refusal(self, heartbeat: Heartbeat) -> str | None:
-        """Return why a heartbeat is neither applied nor renews a lease, or None."""
+        """Return why a heartbeat is neither applied nor renews a lease, or None if accepted."""
         context = self.context
         machine = context.machines.get(heartbeat.machine)
         if machine is not None and (heartbeat.agent_epoch, heartbeat.sequence) <= machine.version:
@@ -96,7 +96,7 @@
         self.context.answer(request, 503, ("error", reason))
 
     def _peer_with_store(self) -> str | None:
-        """Return a peer to hand workers over to, if the store refuses this controller alone."""
+        """Return a peer to hand workers over to, if only this controller has lost the store."""
         if self.cancellations.store_fresh():
             return None
         for peer, seen_at in self.cancellations.peer_store_seen_at.items():
@@ -112,12 +112,12 @@
         if not heartbeat.fencing_token:
             self._unavailable(request, "no term yet")
             return
-        # An answer under the worker's own token renews its lease; it starts nothing.
+        # An answer under the worker's own token renews its lease but starts no task.
         stops = self.commands.stop_cancelled(tracked, machine, set())
         self.context.answer(request, 200, ("orders", heartbeat.fencing_token, stops))
 
     def _answer_commands(self, request: Any, tracked: TrackedWorker, machine: Machine) -> None:
-        """Answer with the commands that a worker needs, and offer what is free on its machine."""
+        """Answer with the commands for a worker, and offer its machine's free resources."""
         context = self.context
         commands, starts = self.commands.commands(tracked, machine, end_unbound=True)
         tracked.answered_starts.update(starts)
@@ -127,12 +127,12 @@
         self.queue.offer(machine.name)
 
     def accept_heartbeat(self, tracked: TrackedWorker, heartbeat: Heartbeat) -> Machine:
-        """Apply a heartbeat newer than the last, and resolve the start commands that it shows."""
+        """Apply a heartbeat newer than the last, and drop start commands that it resolves."""
         context = self.context
         for task, term in list(tracked.unresolved_starts.items()):
-            # A start command without an answer is resolved once the worker reports the task, a
-            # newer agent epoch, or a fencing token above the command's term: the worker carried it
-            # out, or refuses it from now on.
+            # An unanswered start command is resolved once the worker reports the task, a newer
+            # agent epoch, or a fencing token above the command's term: the worker has carried it
+            # out, or will refuse it.
             if task in heartbeat.tasks or heartbeat.fencing_token > term:
                 del tracked.unresolved_starts[task]
         machine = context.machines.get(heartbeat.machine)
@@ -160,7 +160,7 @@
 def apply_heartbeat(
     context: Context, heartbeat: Heartbeat, manager: str, manager_term: int
 ) -> None:
-    """Update a machine by a heartbeat that the caller has found to be newer than the last."""
+    """Update a machine from a heartbeat; the caller has checked that it is newer than the last."""
     machine = context.machines.get(heartbeat.machine)
     before: dict[Task, tuple[str, str, bool]] = {}
     if machine is None:
@@ -204,7 +204,7 @@
 def record_task_results(
     context: Context, machine: Machine, before: dict[Task, tuple[str, str, bool]]
 ) -> None:
-    """Update images, failures, run times and idleness of a machine by its tasks' status."""
+    """Update a machine's images, failures, task run times and idle time from its task status."""
     live_specs = []
     for task, (state, why, _) in machine.tasks.items():
         job_id = task[0].partition("/")[0]
@@ -219,7 +219,7 @@
             _record_exit(context, machine, task, why, spec, old[0])
     for spec in live_specs:
         record_image_use(context, machine, spec.image, spec.image_gb)
-    # Since when each task runs; a task that does not run yet has no work to lose.
+    # When each task started running; for other tasks the current time, as they lose no work.
     machine.since = {
         task: machine.since.get(task, context.now)
         if RUNNING == state[0] == before.get(task, ("",))[0]
@@ -236,7 +236,7 @@
 def _record_exit(
     context: Context, machine: Machine, task: Task, why: str, spec: JobSpec | None, old_state: str
 ) -> None:
-    """Record whether a task failed on a machine, and whether its image was fetched."""
+    """Record the result of an exited task, and drop its image if the fetch was aborted."""
     if machine.manager == context.controller_id:
         event("task_exited", task=task[0], attempt=task[1], machine=machine.name, why=why)
     if why == DONE:
@@ -248,11 +248,12 @@
             machine.errors.append(job_id)
             del machine.errors[: -constants.FAILED_JOBS_KEPT]
     if old_state == FETCHING and why != DONE and spec is not None:
-        machine.images.pop(spec.image, None)  # a fetch that no task needs is aborted
+        machine.images.pop(spec.image, None)  # the worker aborts a fetch that no task needs
 
 
 def record_image_use(context: Context, machine: Machine, image: str, size_gb: float) -> None:
-    """Note that a machine uses an image now, which may evict others from its cache."""
+    """Record that a machine uses an image, which may evict others from its image cache."""
     machine_type = context.types.get(machine.type)
-    context.replica.changes.stale_machines.add(machine.name)  # no `touch`: its room stays as it is
+    # No `touch`: the machine's free resources don't change.
+    context.replica.changes.stale_machines.add(machine.name)
     machine.use_image(image, size_gb, math.inf if machine_type is None else machine_type.cache_gb)
--- a/oakmux/core/agents/manager.py
+++ b/oakmux/core/agents/manager.py
@@ -1,4 +1,4 @@
-"""The agent manager: the part of a controller that workers send their heartbeats to."""
+"""The agent manager: the part of a controller that handles workers and their heartbeats."""
 
 from oakmux import constants
 from oakmux.core.agents.cancellation_log import CancellationLog
@@ -11,7 +11,7 @@
 
 
 class AgentManager:
-    """Joins heartbeats, reservation queues, worker commands and the cancellation log."""
+    """Connects heartbeats, reservation queues, worker commands and the cancellation log."""
 
     def __init__(self, context: Context, leadership: Leadership) -> None:
         self.context = context
@@ -26,7 +26,7 @@
         self.next_delayed_check_at = 0.0
 
     def tick(self) -> None:
-        """Reconcile the machines that need it, and check delayed starts once a tick."""
+        """Reconcile machines that need it, and check delayed starts once per tick."""
         if (
             self.commands.machines_with_delayed_starts
             and self.context.now >= self.next_delayed_check_at
--- a/oakmux/core/agents/preemption.py
+++ b/oakmux/core/agents/preemption.py
@@ -1,4 +1,4 @@
-"""Preemption: which running tasks are stopped so that a task of a job with more right fits."""
+"""Preemption: chooses running tasks to stop so that a task of a preferred job fits."""
 
 from collections.abc import Collection, Sequence
 from typing import NamedTuple
@@ -17,7 +17,7 @@
 
 
 class PreemptionCandidate(NamedTuple):
-    """A task that may be stopped; candidates are ordered by their first three fields."""
+    """A task that may be stopped; candidates are ordered by the first three fields."""
 
     priority: int
     lost_work_s: float
@@ -26,16 +26,16 @@
 
 
 class Preemption(NamedTuple):
-    """Tasks whose end makes room, and the work that is lost with them."""
+    """The tasks to stop, and the work that is lost with them."""
 
     lost_work_s: float
     tasks: list[Task]
 
 
 def checkpoint_cost_s(context: Context, tasks: Sequence[Task]) -> float:
-    """Return the seconds that the slowest of the tasks takes to save before it stops.
+    """Return the longest time (s) that any of the tasks needs to save a checkpoint.
 
-    A gang that does not wait for so long releases its other offers, and has preempted in vain.
+    A gang that waits for less than this releases its other offers, and the preemption is useless.
     """
     specs = [context.replica.jobs[name.partition("/")[0]].spec for name, _ in tasks]
     return max(
@@ -54,20 +54,21 @@
 ) -> Preemption | None:
     """Choose the tasks to stop on a machine so that one task of a job fits there.
 
-    Only work of lower priority may be stopped, and, for a job within its team's guarantee, work
-    of teams that exceed their own guarantee. Tasks that lose least work go first.
+    Only tasks of lower priority may be stopped. A job within its team's guarantee may also stop
+    tasks of teams that exceed theirs. Tasks of the lowest priority are stopped first, and among
+    these, tasks that lose the least work.
 
     Args:
         context: the controller's shared state.
         machine: the machine on which the task is to fit.
-        job: the job that wants to start a task.
+        job: the job that needs to start a task.
         spec: the specification of that job.
         usage: CPUs and GPUs that each team uses.
-        offered: jobs with one task each for which resources are kept by open offers.
+        offered: the jobs of open offers, each of which keeps resources for one task.
         not_preemptible: ids of jobs whose tasks are not stopped.
 
     Returns:
-        The tasks to stop, or None if that is not possible or not needed.
+        The tasks to stop, or None if the task fits already or can't be made to fit.
     """
     candidates = _candidates(context, machine, job, spec, usage, not_preemptible)
     free = free_resources(context, machine, offered)
@@ -92,7 +93,7 @@
     usage: quotas.TeamUsage,
     not_preemptible: Collection[str],
 ) -> list[PreemptionCandidate]:
-    """Return the tasks on a machine that may be stopped for a job, the first to go first."""
+    """Return the tasks on a machine that may be stopped for a job, in the order of stopping."""
     teams_above_guarantee = quotas.teams_over_guarantee(context, job, spec, usage)
     jobs = context.replica.jobs
     candidates = []
@@ -122,9 +123,9 @@
 def _lost_work_s(
     context: Context, machine: Machine, task: Task, state: str, job: Job, spec: JobSpec
 ) -> float:
-    """Return the work in seconds that is lost if a task is stopped, weighed by its priority."""
+    """Return the work (s) lost if a task is stopped, plus a cost that grows with its priority."""
     lost_work_s = context.now - machine.since.get(task, context.now)
-    # A start that is undone so soon does not count for the objectives: it is needed once more.
+    # A start shorter than START_COUNTS_S does not count for the objectives and must be repeated.
     start_counts = lost_work_s >= constants.START_COUNTS_S
     if spec.checkpoint_s and state == RUNNING:
         lost_work_s = min(lost_work_s, spec.save_s)
@@ -135,7 +136,7 @@
 def _drop_unneeded(
     chosen: list[PreemptionCandidate], lost_work_s: float, free: Resources, spec: JobSpec
 ) -> Preemption:
-    """Drop tasks whose end is not needed beside that of the tasks chosen after them."""
+    """Drop chosen tasks without which the task still fits, the last chosen first."""
     kept = list(chosen)
     for candidate in reversed(chosen):
         free_without = subtract(free, candidate.spec)
--- a/oakmux/core/agents/reachability.py
+++ b/oakmux/core/agents/reachability.py
@@ -1,10 +1,10 @@
-"""Reachability: whether a worker receives our answers, which its heartbeats alone don't show.
+"""Reachability: whether a worker receives answers, which its heartbeats alone don't show.
 
-In a one-way partition a worker's heartbeats arrive and our answers and commands are lost. The
+In a one-way partition a worker's heartbeats arrive, but answers and commands to it are lost. The
 worker tries one controller after the other and starts a new agent epoch with every lease, while
-its resources look free and its tasks look started. A heartbeat that the network delayed for
-minutes looks like a machine that is terminated by now. Neither worker has shown that it received
-an answer; nothing is placed on a machine until its worker has.
+its resources look free and its tasks look started. A heartbeat delayed for minutes by the network
+may come from a machine that is terminated by now. In both cases the worker has not shown that it
+received an answer, and nothing is placed on a machine until its worker has.
 """
 
 from oakmux import constants
@@ -14,10 +14,11 @@
 
 
 def assess_new_machine(context: Context, machine: Machine, sent_here: bool, term: int) -> None:
-    """Set the reachability of a machine that this controller did not know.
+    """Set the initial reachability of a machine that is new to this controller.
 
-    A heartbeat to us proves nothing, whatever it says. One to a peer proves that the worker
-    received an answer of that peer if it shows the peer's term.
+    A first heartbeat sent to this controller proves nothing, whatever it contains. A heartbeat
+    sent to a peer proves that the worker received an answer of that peer if it shows the peer's
+    term.
     """
     if sent_here or machine.fencing_token != term:
         machine.unreachable_signs = constants.UNREACHABLE_SIGNS
@@ -27,20 +28,21 @@
 def assess_heartbeat(
     context: Context, machine: Machine, heartbeat: Heartbeat, manager: str, term: int
 ) -> bool:
-    """Update a machine's reachability by a newer heartbeat, before that is applied.
+    """Update a machine's reachability from a newer heartbeat, before the heartbeat is applied.
 
-    A worker that received an answer stays with its controller and shows that controller's term.
-    One that did not goes on to the next controller, or its lease expires while it sends
-    heartbeats. A lease that expires in silence is no evidence the first time: machines hang, and
-    zones are partitioned. When it happens again without an answer received in between, it counts:
-    a worker that is handed over to controllers which it can't reach comes back once a lease, in a
-    new agent epoch each time.
+    - A worker that received an answer stays with its controller and shows that controller's term.
+    - A worker that received none moves on to the next controller, or its lease expires while it
+      sends heartbeats.
+    - A lease that expires without heartbeats is no evidence the first time: machines hang, and
+      zones are partitioned. It counts when it happens again with no answer received in between:
+      a worker handed over to controllers that it can't reach returns once per lease, each time in
+      a new agent epoch.
 
     Returns:
-        Whether the machine has just proven to be reachable.
+        Whether this heartbeat proves that an unreachable machine is reachable again.
     """
     if (heartbeat.agent_epoch, heartbeat.sequence) == machine.version:
-        return False  # repeated by its controller: no news of the machine
+        return False  # the controller repeated a known heartbeat
     if heartbeat.agent_epoch == machine.agent_epoch and manager == machine.manager:
         if machine.unreachable_signs and term and heartbeat.fencing_token == term:
             machine.unreachable_signs, machine.unreachable_since = 0, None
@@ -60,12 +62,12 @@
 
 
 def is_reachable(machine: Machine) -> bool:
-    """Whether a machine is taken to receive our answers."""
+    """Whether a machine is assumed to receive answers."""
     return machine.unreachable_signs < constants.UNREACHABLE_SIGNS
 
 
 def unreachable_s(context: Context, machine: Machine) -> float:
-    """Return the seconds for which a machine has been unreachable while this process ran."""
+    """Return the seconds since a machine became unreachable, or since a later process pause."""
     return (
         0.0
         if machine.unreachable_since is None
--- a/oakmux/core/agents/reservation_queue.py
+++ b/oakmux/core/agents/reservation_queue.py
@@ -1,4 +1,4 @@
-"""Reservations queued at machines, and the offers of free resources that they lead to."""
+"""Reservations queued at machines, and offers of free resources to the jobs that hold them."""
 
 from typing import NamedTuple
 
@@ -22,7 +22,7 @@
 
 
 class RankedReservation(NamedTuple):
-    """A reservation that a task of its job fits for; ordered by the first three fields."""
+    """A reservation whose job has a task that fits now; ordered by the first three fields."""
 
     rank: QueueRank
     submitted_ms: float
@@ -33,7 +33,7 @@
 
 
 class ReservationQueue:
-    """Queues reservations at the machines whose workers we manage and offers free resources."""
+    """Queues reservations at the machines that this controller manages, and offers resources."""
 
     def __init__(
         self, context: Context, workers: WorkerTable, cancellations: CancellationLog
@@ -45,7 +45,7 @@
         self.minimum_share = MinimumShare(context)
 
     def reserve(self, request: Reserve) -> None:
-        """Queue a reservation for `count` tasks at a machine, preempting for one if told to."""
+        """Queue a reservation for `count` tasks at a machine, and preempt for one on request."""
         name, job_id, count = request.machine, request.job_id, request.count
         tracked = self.workers.tracked.get(name)
         machine = self.context.machines.get(name)
@@ -64,7 +64,7 @@
         """Stop tasks so that one task of a job fits, unless tasks are being stopped already."""
         context = self.context
         job = context.replica.jobs.get(job_id)
-        # A task that was stopped is reported as exited until the worker is told to forget it.
+        # A stopped task is reported as exited until the worker gets a `forget` command for it.
         stopping = any(machine.tasks.get(task, (EXITED,))[0] != EXITED for task in tracked.stops)
         if (
             job is None
@@ -88,18 +88,18 @@
             event("task_preempted", task=task[0], attempt=task[1], machine=machine.name, by=job_id)
 
     def decline(self, answer: DeclineOffer) -> None:
-        """Withdraw an offer that the job's scheduler has no task for, and offer to the next."""
+        """Withdraw an offer declined by the job's scheduler, and offer to the next job."""
         tracked = self.workers.tracked.get(answer.machine)
         if tracked is not None and tracked.offers.pop(answer.offer_id, None) is not None:
             self.workers.to_reconcile.add(answer.machine)
 
     def _offered(self, tracked: TrackedWorker) -> list[JobSpec]:
-        """Return the jobs of a worker's open offers, after dropping offers that are void."""
+        """Drop invalid offers of a worker, and return the job of each remaining offer."""
         replica = self.context.replica
         specs = []
         for offer_id, offer in list(tracked.offers.items()):
             job = replica.jobs.get(offer.job_id)
-            # Once another controller holds the team's role, the former one can't bind any more.
+            # Once another controller holds the team's role, the former holder can't bind any more.
             if (
                 offer.expires_at <= self.context.now
                 or job is None
@@ -112,7 +112,7 @@
         return specs
 
     def records_changed(self, name: str) -> None:
-        """Close the offers on a machine that its new bindings make use of."""
+        """Remove a machine's offers that its new bindings have used."""
         self.workers.to_reconcile.add(name)
         tracked = self.workers.tracked.get(name)
         if tracked is None:
@@ -134,7 +134,7 @@
     def offer(self, name: str) -> None:
         """Offer a machine's free resources to the schedulers of the jobs in its queue.
 
-        Aged work comes first while the minimum share is owed to it, then the best rank.
+        Aged jobs come first while they are owed part of the minimum share, then the best rank.
         """
         context = self.context
         tracked = self.workers.tracked.get(name)
@@ -155,7 +155,7 @@
                 self.minimum_share.granted_by_rank(entry.spec, machine_type)
 
     def _may_offer(self, machine: Machine) -> bool:
-        """Whether tasks that are bound to a machine now could be started by us."""
+        """Whether this controller could start tasks that are bound to a machine now."""
         context = self.context
         return (
             machine.manager == context.controller_id
@@ -166,7 +166,7 @@
         )
 
     def _rank(self, tracked: TrackedWorker, name: str, free: Resources) -> list[RankedReservation]:
-        """Return the reservations with a task that fits, best first; drop those that are over."""
+        """Drop ended reservations, and return those with a task that fits, best first."""
         context = self.context
         usage = quotas.usage(context)
         ranked = []
@@ -183,8 +183,8 @@
             spec = job.spec
             if not fits_resources(free, spec) or context.backfill.blocks_job(name, job, spec):
                 continue
-            # By the age of the job, not of the reservation: of two gangs that wait for the same
-            # machines, one must come first at all of them.
+            # The age of the job decides, not that of the reservation: of two gangs that wait for
+            # the same machines, the same one must come first on all of them.
             rank = queue_rank(context, job, spec, usage)
             ranked.append(RankedReservation(rank, job.since, job.id, reservation, job, spec))
         ranked.sort(key=lambda entry: entry[:3])
@@ -197,7 +197,7 @@
         ranked: list[RankedReservation],
         free: Resources,
     ) -> Resources:
-        """Grant a task of the oldest aged job that is owed one by share; return what is left."""
+        """Offer a task to the oldest aged job that is owed one by share; return what is left."""
         roles = self.context.replica.roles
         machine_type = self.context.types[machine.type]
         oldest = self.minimum_share.due_job(
@@ -205,7 +205,7 @@
         )
         if oldest is None or oldest.spec is None:
             return free
-        # It must not be preempted by the very work that it was preferred to.
+        # Its tasks must not be preempted by the jobs that it was preferred to.
         tracked.not_preemptible.add(oldest.id)
         free = self._grant(tracked, machine, oldest, oldest.spec, free)
         self.minimum_share.granted_by_age(oldest.spec, machine_type)
--- a/oakmux/core/agents/termination.py
+++ b/oakmux/core/agents/termination.py
@@ -1,4 +1,4 @@
-"""Termination proofs: the only ground on which a binding ends (R ran_twice)."""
+"""Termination proofs: a binding ends only with such a proof (rule `ran_twice`)."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -29,15 +29,15 @@
     binding: Binding,
     visible_tasks: Mapping[Task, tuple[str, str, bool]],
 ) -> Termination | None:
-    """Return how a bound task ended, or None unless it certainly does not run and never will.
+    """Return how a bound task ended, or None if it may still run or start.
 
-    Silence proves nothing: the machine may be cut off, or the start command still on its way.
+    Missing heartbeats prove nothing: the machine may be partitioned, or the start in flight.
 
     Args:
         context: the controller's shared state.
-        machine: the bound machine as last reported, or None if no report is known.
+        machine: the bound machine as last reported, or None if it has not been reported.
         task: the task and the attempt that is bound.
-        binding: the binding in question.
+        binding: the binding of the task.
         visible_tasks: the status of the machine's tasks, unresolved start commands included.
     """
     if binding.machine in context.replica.terminated_machines:
--- a/oakmux/core/agents/tracked_workers.py
+++ b/oakmux/core/agents/tracked_workers.py
@@ -1,4 +1,4 @@
-"""What an agent manager remembers of the workers that send it heartbeats."""
+"""State that an agent manager keeps about the workers that send it heartbeats."""
 
 import math
 from typing import NamedTuple
@@ -14,20 +14,20 @@
     def __init__(self, job_id: str, count: int, queued_at: float) -> None:
         self.job_id = job_id
         self.count = count  # tasks that the job would start on the machine
-        self.queued_at = queued_at  # when it was queued (s)
+        self.queued_at = queued_at  # seconds on the steady clock
 
 
 class Offer(NamedTuple):
-    """Resources for one task that are kept until the job's scheduler binds it or declines."""
+    """Resources kept for one task until the job's scheduler binds it or declines the offer."""
 
     job_id: str
     expires_at: float
     role_claim: int
-    """The claim of the team's role under which its scheduler was offered the resources."""
+    """The claim number of the team's role when the offer was made."""
 
 
 class TrackedWorker:
-    """What an agent manager remembers of one worker; times are seconds on the steady clock."""
+    """State kept about one worker; times are seconds on the steady clock."""
 
     __slots__ = (
         "answered_starts",
@@ -46,36 +46,36 @@
     )
 
     def __init__(self) -> None:
-        # Reservations by job, in the order of their arrival.
+        # Reservations by job id, in the order of arrival.
         self.queue: dict[str, Reservation] = {}
-        # Open offers by their id.
+        # Open offers by id.
         self.offers: dict[int, Offer] = {}
-        # Starts sent in direct commands whose outcome is not known, with the term of each.
+        # Starts sent in direct commands with unknown outcome, and the term of each command.
         self.unresolved_starts: dict[Task, int] = {}
-        # Starts given in the answer to the latest heartbeat.
+        # Starts sent in the answer to the latest heartbeat.
         self.answered_starts: set[Task] = set()
-        # Bound tasks that are never started: cancelled or stopped before their start was sent.
+        # Bound tasks that will never be started: cancelled or stopped before the start was sent.
         self.refused_starts: set[Task] = set()
-        # Whether direct commands are on their way; there is one such request at a time.
+        # Whether a request with direct commands is in flight; there is at most one at a time.
         self.command_in_flight = False
         # When direct commands may be sent again after a request that failed.
         self.next_command_at = 0.0
-        # Reported tasks without a binding, with the time since which each has none.
+        # Reported tasks without a binding, and when each was first seen without one.
         self.unbound_since: dict[Task, float] = {}
-        # Tasks to stop, with the time when that was decided.
+        # Tasks to stop, and when each stop was decided.
         self.stops: dict[Task, float] = {}
         # Bindings on the machine at the last change of the records: (job, index, attempt).
         self.bound_tasks: set[tuple[str, int, int]] = set()
-        # Gang tasks whose start waits for the image fetches of others, with the time since which.
+        # Gang tasks whose start waits for image fetches of other tasks, and since when.
         self.delayed_since: dict[Task, float] = {}
-        # Jobs that got resources here by the minimum share: preemption passes them over.
+        # Jobs that got resources here by the minimum share; their tasks are not preempted.
         self.not_preemptible: set[str] = set()
-        # When the worker came from another controller, or first sent a heartbeat.
+        # When the worker came here from another controller, or first sent a heartbeat.
         self.attached_at = math.inf
 
 
 class WorkerTable:
-    """The workers that send us heartbeats, and the machines that need a reconciliation."""
+    """The workers that send heartbeats here, and the machines that need reconciliation."""
 
     def __init__(self) -> None:
         self.tracked: dict[str, TrackedWorker] = {}
--- a/oakmux/core/agents/worker_commands.py
+++ b/oakmux/core/agents/worker_commands.py
@@ -1,4 +1,4 @@
-"""Reconciliation: commands that bring a worker's tasks in line with the records."""
+"""Reconciliation: commands that make a worker's tasks match the records."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -39,9 +39,9 @@
         self.workers = workers
         self.cancellations = cancellations
         self.leadership = leadership
-        # Takes a heartbeat that answers direct commands; set by the agent manager.
+        # Applies a heartbeat that answers direct commands; set by the agent manager.
         self.accept_heartbeat: Callable[[TrackedWorker, Heartbeat], Machine]
-        # Machines where a start is held back until others of its gang have their image.
+        # Machines where a start is delayed until other tasks of the gang have their image.
         self.machines_with_delayed_starts: set[str] = set()
 
     def commands(
@@ -50,7 +50,7 @@
         """Return the commands that a machine needs now.
 
         Args:
-            tracked: what is remembered of the machine's worker.
+            tracked: the state kept about the machine's worker.
             machine: the machine as last reported.
             end_unbound: whether to end tasks without a binding as well.
         """
@@ -88,7 +88,7 @@
         ended: bool,
         batch: CommandBatch,
     ) -> None:
-        """Start a bound task that its worker does not report, or refuse to start it for good."""
+        """Start a bound task that its worker does not report, or refuse its start permanently."""
         context = self.context
         if (
             task in tracked.unresolved_starts
@@ -111,7 +111,7 @@
     def _drop_outdated(
         self, tracked: TrackedWorker, machine: Machine, bound_tasks: set[Task]
     ) -> None:
-        """Drop what is remembered of tasks that are no longer bound or no longer reported."""
+        """Drop state about tasks that are no longer bound or no longer reported."""
         tracked.refused_starts &= bound_tasks
         tracked.delayed_since = {
             task: since for task, since in tracked.delayed_since.items() if task in bound_tasks
@@ -122,13 +122,13 @@
     def stop_cancelled(
         self, tracked: TrackedWorker, machine: Machine, excluded: set[Task]
     ) -> list[dict[str, Any]]:
-        """Return stops of all other tasks of cancelled jobs on a machine (R ran_cancelled).
+        """Return stops for a machine's tasks of cancelled jobs (rule `ran_cancelled`).
 
-        Our records may lack their bindings: they were made after the store had refused us, and the
-        worker was handed over to us meanwhile. A worker that has obeyed a higher term than ours
-        gets the stops under that term: while the store is out we can't raise our own, and the
-        worker's lease is renewed all the while. Stopping a cancelled task does no harm, whichever
-        controller may command the worker besides.
+        Tasks in `excluded` are left out. Local records may lack the bindings of the others: they
+        were made after the store refused this controller, and the worker was handed over to it
+        meanwhile. A worker that has accepted a higher term gets the stops under that term: during
+        a store outage this controller can't raise its own, and yet renews the worker's lease.
+        Stopping a cancelled task is harmless even if another controller commands the worker too.
         """
         commands: list[dict[str, Any]] = []
         for task, state in machine.tasks.items():
@@ -142,10 +142,11 @@
         return commands
 
     def late_start_possible(self, tracked: TrackedWorker, machine: Machine) -> bool:
-        """Whether a start of a cancelled job may take effect after its time to end.
+        """Whether a start of a cancelled job may take effect after the job must have ended.
 
-        The command's answer was lost, or another controller sent it. Workers refuse it under a
-        newer term, but without the store no term can be raised: the lease then has to expire.
+        This is possible if the answer to the command was lost or another controller sent it.
+        Workers refuse it under a newer term, but without the store no term can be raised, so the
+        lease has to expire.
         """
         context = self.context
         if self.cancellations.store_fresh():
@@ -157,8 +158,8 @@
                 self.cancellations.staleness_bound_s()
             )
         ):
-            # Its former controller, which could command it for one more lease at most, may have
-            # started a task of a job that was cancelled since and whose binding we never saw.
+            # The worker's former controller could command it for at most one more lease. It may
+            # have started a task whose job is cancelled by now and whose binding is unknown here.
             return True
         for (job_id, index), binding in context.replica.bindings.by_machine.get(
             machine.name, {}
@@ -180,10 +181,10 @@
     def _waits_for_gang_images(
         self, tracked: TrackedWorker, machine: Machine, job: Job, binding: Binding, task: Task
     ) -> bool:
-        """Whether to delay a gang task that has its image while others of the gang fetch it.
+        """Whether to delay a gang task that has its image while other tasks still fetch theirs.
 
-        A started task waits for the others for `gang_wait_s` at most, and then ends the attempt of
-        the whole gang. A fetch that takes longer would be aborted and begun anew for ever.
+        A started task waits at most `gang_wait_s` for the others and then ends the attempt of the
+        whole gang. A longer fetch would be aborted and restarted for ever.
         """
         context, spec = self.context, job.spec
         if spec is None or not spec.joint or spec.image not in machine.images:
@@ -204,15 +205,15 @@
                 state = other_machine.tasks.get((f"{job.id}/{index}", other.attempt))
                 if state is None and spec.image not in other_machine.images:
                     return True
-                # Whether the image is there is not known while the start is on its way.
+                # While the start is in flight, it is unknown whether the image is present.
                 if state is not None and state[0] in (FETCHING, STARTING):
                     return True
         return False
 
     def _must_checkpoint(self, machine: Machine, job: Job, state: str) -> bool:
-        """Whether a task has to save now, since the cloud is about to reclaim its machine.
+        """Whether a task must save a checkpoint now because the cloud reclaims its machine soon.
 
-        The tasks of a larger gang are stopped together by the scheduler that owns the job.
+        The scheduler that owns the job stops the tasks of a larger gang together.
         """
         spec = job.spec
         if (
@@ -239,7 +240,7 @@
         job: Job | None,
         ended: bool,
     ) -> None:
-        """Stop a task; unless its job has ended, it gets the time to save a checkpoint."""
+        """Stop a task; unless its job has ended, the task gets time to save a checkpoint."""
         grace = 0.0 if ended or job is None or job.spec is None else job.spec.save_s
         if state == SAVING and not ended:
             return
@@ -254,7 +255,7 @@
         commands: list[dict[str, Any]],
         bound_tasks: set[Task],
     ) -> None:
-        """End tasks without a binding: let the worker forget exited ones, stop the others."""
+        """Send `forget` for exited tasks without a binding, and `stop` for the others."""
         context = self.context
         orphans = {
             task: tracked.unbound_since.get(task, context.now)
@@ -265,7 +266,7 @@
         if not self.cancellations.store_fresh():
             return
         for task, since in orphans.items():
-            # The binding may not have reached our replica yet: wait a while.
+            # Wait a while: the binding may not have reached the local replica yet.
             if machine.tasks[task][0] == EXITED:
                 if (
                     context.now - since >= constants.PEER_HEARTBEAT_S
@@ -276,7 +277,7 @@
                 commands.append(command_body("stop", task[0], task[1], 0.0))
 
     def reconcile(self, name: str) -> None:
-        """Send the starts and stops that a worker needs in a direct request, if there are any."""
+        """Send a direct request with the starts and stops that a worker needs, if any."""
         context = self.context
         tracked = self.workers.tracked.get(name)
         machine = context.machines.get(name)
@@ -317,7 +318,7 @@
         tracked = self.workers.tracked.setdefault(name, TrackedWorker())
         tracked.command_in_flight = False
         if outcome == CommandOutcome.LOST:
-            # The commands may be carried out minutes later; a newer term rules that out.
+            # Delayed commands may be executed minutes later unless a newer term prevents it.
             tracked.next_command_at = context.now + constants.COMMAND_TIMEOUT_S
             self.leadership.need_term_above(term)
             return
@@ -335,7 +336,7 @@
             self.leadership.need_term_above(heartbeat.fencing_token)
 
     def move(self, request: MoveTask) -> None:
-        """Stop a service so that its owner starts it on another machine."""
+        """Stop a service task so that the job's scheduler starts it on another machine."""
         name = request.machine
         tracked = self.workers.tracked.get(name)
         machine = self.context.machines.get(name)
--- a/oakmux/core/autoscaling/__init__.py
+++ b/oakmux/core/autoscaling/__init__.py
@@ -1,1 +1,1 @@
-"""Scaling the fleet out and in: rentals, returns, and which instances exist."""
+"""Scales the fleet out and in: rentals, returns, and the inventory of instances."""
--- a/oakmux/core/autoscaling/autoscaler.py
+++ b/oakmux/core/autoscaling/autoscaler.py
@@ -1,4 +1,4 @@
-"""The autoscaler: what to rent, what to return, and which machines are terminated."""
+"""The autoscaler rents and returns machines, and finds out which ones are terminated."""
 
 from oakmux import constants
 from oakmux.core.agents.cancellation_log import CancellationLog
@@ -21,17 +21,17 @@
         self.next_pass_at = 0.0
 
     def on_role_acquired(self) -> None:
-        """Start afresh when the fleet role is acquired."""
+        """Reset the state when the fleet role is acquired."""
         self.inventory.on_role_acquired()
         self.scale_out.on_role_acquired()
 
     def changed(self, job_id: str) -> None:
-        """Update the demand after the records of a job changed."""
+        """Update the pending demand after a change of a job's records."""
         if FLEET in self.context.held_roles:
             self.scale_out.changed(job_id)
 
     def tick(self) -> None:
-        """Request the cloud's list and make a pass over the fleet when these are due."""
+        """Request the cloud's list and run a scaling pass when either is due."""
         context = self.context
         if FLEET not in context.held_roles or not context.types:
             return
--- a/oakmux/core/autoscaling/consolidation.py
+++ b/oakmux/core/autoscaling/consolidation.py
@@ -1,4 +1,4 @@
-"""Moving services off nearly empty machines, so that these can be returned."""
+"""Moves services off nearly empty machines, so that the machines can be returned."""
 
 from typing import NamedTuple
 
@@ -15,7 +15,7 @@
 
 
 class _Move(NamedTuple):
-    """Tasks to be moved off a machine, and the free share that made it a candidate."""
+    """Tasks to move off a machine, and the free share that makes the machine a candidate."""
 
     free_share: float
     machine: str
@@ -27,11 +27,11 @@
 
     def __init__(self, context: Context) -> None:
         self.context = context
-        # Machines whose services are being moved, and until when.
+        # Machines whose services are being moved, and when each move times out.
         self.moving_until: dict[str, float] = {}
 
     def is_moving(self, name: str) -> bool:
-        """Whether the time for a machine's move is not over."""
+        """Whether the services of a machine are being moved and the move has not timed out."""
         return self.moving_until.get(name, 0.0) >= self.context.now
 
     def forget(self, name: str) -> None:
@@ -96,7 +96,7 @@
         """Return the tasks of a machine, or None unless all of them can be moved now."""
         replica = self.context.replica
         free = {slot.name: slot.free for slot in targets}
-        # Zones of each job's tasks after the moves so far: several tasks of one job may move.
+        # Zones of each job's tasks after the moves planned so far; several of its tasks may move.
         zones_by_job: dict[str, list[str]] = {}
         tasks: list[Task] = []
         for (job_id, index), binding in replica.bindings.by_machine.get(machine.name, {}).items():
@@ -115,7 +115,7 @@
         return tasks
 
     def _movable_spec(self, job: Job | None, machine: Machine, task: Task) -> JobSpec | None:
-        """Return the specification of a task's job if it is a service that runs stably."""
+        """Return the spec of a task's job if it is a service that has run for IDLE_KEEP_S."""
         if job is None or job.spec is None or job.spec.kind != "service":
             return None
         if machine.tasks.get(task, ("",))[0] != "running":
@@ -132,7 +132,7 @@
         free: dict[str, Resources],
         zones: list[str],
     ) -> Slot | None:
-        """Return a machine in use that holds the image and has capacity for the task."""
+        """Return a machine in use that has the image and free capacity for the task."""
         zones.remove(binding.zone)
         for slot in targets:
             machine = self.context.machines[slot.name]
--- a/oakmux/core/autoscaling/demand_placement.py
+++ b/oakmux/core/autoscaling/demand_placement.py
@@ -1,4 +1,4 @@
-"""Placing pending tasks on expected capacity, and choosing what to rent for the others."""
+"""Places pending tasks on expected capacity, and chooses instances to rent for the others."""
 
 from collections import Counter
 
@@ -25,7 +25,7 @@
         self.slots: list[Slot] = []
 
     def fill(self, slot: Slot) -> bool:
-        """Put as many tasks into a slot as fit; return whether all have one."""
+        """Place as many tasks in a slot as fit; return whether all tasks of the group have one."""
         spec, zones, zone, free = self.spec, self.zones, slot.kind.zone, slot.free
         missing = self.wanted - len(self.slots)
         while missing > 0 and fits_resources(free, spec) and zone_allowed(spec, zones, zone):
@@ -38,7 +38,7 @@
 
 
 class DemandPlacement:
-    """One pass: hypothetical placements on `slots`, which grow by those that are to be rented."""
+    """Hypothetical placements of one pass; instances to be rented are added to `slots`."""
 
     def __init__(
         self, context: Context, expected: ExpectedCapacity, rentals: RentalRequests
@@ -48,14 +48,14 @@
         self.slots = expected.slots()
         self.unreliable_kinds = expected.unreliable_kinds
         self.pool = SlotPool(context, self.slots)
-        # How many instances of each kind are to be rented.
+        # Number of instances to rent, by kind.
         self.to_rent: dict[InstanceKind, int] = {}
         self.machines_by_zone = Counter(slot.kind.zone for slot in self.slots)
 
     def place(self, spec: JobSpec, zones: list[str], wanted: int) -> list[Slot]:
-        """Return a slot for each task that fits somewhere; `zones` are those of the bindings.
+        """Return a slot for each task that fits; `zones` are the zones of the job's bindings.
 
-        Expected capacity is used first, then instances to be rented.
+        Expected capacity is used first, then instances to rent.
         """
         group = _TaskGroup(spec, wanted, zones)
         allowed = self.context.facts.zones if spec.zone is None else [spec.zone]
@@ -77,7 +77,7 @@
     def _best_single_zone(
         self, group: _TaskGroup, allowed: list[str], tasks_by_zone: Counter[str]
     ) -> str:
-        """Return the zone for all tasks: where they fit now, or where instances can be rented."""
+        """Return the best zone for all tasks: they fit now, or else instances can be rented."""
         return max(
             allowed,
             key=lambda zone: (
@@ -102,7 +102,7 @@
     def _cheapest(self, group: _TaskGroup, allowed: list[str]) -> InstanceKind | None:
         """Return the cheapest kind to rent for one task, in the zone with the fewest machines.
 
-        Kinds with boot trouble come last, those that the cloud ran out of not at all.
+        Kinds with boot problems come last; kinds that the cloud has run out of are left out.
         """
         context, spec = self.context, group.spec
         no_capacity_until, now = self.rentals.no_capacity_until, context.now
--- a/oakmux/core/autoscaling/expected_capacity.py
+++ b/oakmux/core/autoscaling/expected_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity that the autoscaler may count on: machines that are up, booting or requested."""
+"""Capacity that the autoscaler expects: machines that are up, booting or requested."""
 
 from collections import Counter
 
@@ -13,7 +13,7 @@
 
 
 class ExpectedCapacity:
-    """Lists the slots of a pass and notes which kinds of instances boot late or never."""
+    """Lists the slots of a pass, and records which kinds of instances boot late or never."""
 
     def __init__(
         self, context: Context, inventory: InstanceInventory, rentals: RentalRequests
@@ -21,7 +21,7 @@
         self.context = context
         self.inventory = inventory
         self.rentals = rentals
-        # Kinds with boot trouble of late; others are preferred.
+        # Kinds with recent late or failed boots; other kinds are preferred.
         self.unreliable_kinds: set[InstanceKind] = set()
 
     def slots(self) -> list[Slot]:
@@ -60,8 +60,9 @@
             if age_s > constants.BOOT_TIMEOUT_FACTOR * machine_type.boot_s:
                 continue
             if age_s > constants.BOOT_LATE_FACTOR * machine_type.boot_s:
-                # Every second late instance is counted on. With all of them, jobs would wait for
-                # instances that never come up; with none, a slow hour would rent everything twice.
+                # Every second late instance counts as capacity. If all did, jobs would wait for
+                # instances that never come up; if none did, a period of slow boots would rent
+                # everything twice.
                 late[instance.kind] += 1
                 if late.total() % 2:
                     continue
@@ -77,7 +78,7 @@
         ]
 
     def _update_unreliable_kinds(self, late: Counter[InstanceKind]) -> None:
-        """Find the kinds with several late or failed boots within BOOT_TROUBLE_S."""
+        """Find kinds with several boots that are late now or failed within BOOT_TROUBLE_S."""
         inventory, now = self.inventory, self.context.now
         inventory.failed_boots = [
             failed
--- a/oakmux/core/autoscaling/instance_inventory.py
+++ b/oakmux/core/autoscaling/instance_inventory.py
@@ -1,4 +1,4 @@
-"""Which instances exist according to the cloud, and which machines are certainly terminated."""
+"""Tracks the instances that the cloud lists, and the machines that are certainly terminated."""
 
 from typing import Any, NamedTuple
 
@@ -15,14 +15,14 @@
 from oakmux.logs import event
 
 StoreWrite = tuple[Any, ...]
-"""(key, value, lease) to put a record, or (key,) to delete it."""
+"""`(key, value, lease)` puts a record, `(key,)` deletes it."""
 
 UNKNOWN_KIND = InstanceKind("", "", False)
-"""Kind of a machine that sends heartbeats but that no list has shown."""
+"""Kind of a machine that sends heartbeats or has bindings but is in no list."""
 
 
 class Instance:
-    """An instance that the cloud's list or the answer to a rental has named."""
+    """An instance named in the cloud's list or in the answer to a rental request."""
 
     __slots__ = ("absent_lists", "created_at", "kind", "listed", "running_since", "state")
 
@@ -31,42 +31,42 @@
         self.state = state
         self.created_at = created_at
         self.running_since: float | None = None
-        # Lists in a row that lacked it, among those that should have shown it.
+        # Consecutive lists without the instance that should have contained it.
         self.absent_lists = 0
-        # Whether any list has shown it.
+        # Whether any list has contained the instance.
         self.listed = False
 
 
 class FailedBoot(NamedTuple):
-    """An instance that was given up because it never came up."""
+    """An instance that is returned because it did not boot in time."""
 
     at: float
     kind: InstanceKind
 
 
 class InstanceInventory:
-    """Reads the cloud's list and records which machines are terminated."""
+    """Reads the cloud's list of instances and records terminated machines."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
         self.role_acquired_at = 0.0
         self.instances: dict[str, Instance] = {}
-        # Machines that are certainly terminated, and when that was found.
+        # Machines that are certainly terminated, and when this was found.
         self.terminated_at: dict[str, float] = {}
-        # Machines whose return the cloud has not confirmed yet.
+        # Machines with a return request that the cloud has not answered yet.
         self.returning: set[str] = set()
         self.failed_boots: list[FailedBoot] = []
-        # When a machine was first known; lists requested soon after may not show it yet.
+        # When each machine was first seen; lists requested soon after may still lack it.
         self.known_since: dict[str, float] = {}
         self.list_in_flight = False
         self.next_list_at = 0.0
-        # Calls to the cloud pause until then.
+        # No calls to the cloud are made before this time, after one failed.
         self.cloud_retry_at = 0.0
-        # When the termination record of a machine was last written, needed or deleted.
+        # When each machine's termination record was last written, needed or deleted.
         self.record_touched_at: dict[str, float] = {}
 
     def on_role_acquired(self) -> None:
-        """Start from an empty inventory; what is known to be terminated stays."""
+        """Clear the inventory, but keep the machines known to be terminated."""
         self.role_acquired_at = self.context.now
         self.instances.clear()
         self.known_since.clear()
@@ -74,7 +74,7 @@
         self.next_list_at = 0.0
 
     def back_off(self) -> None:
-        """Pause calls to the cloud after one that failed."""
+        """Pause calls to the cloud for BACKOFF_MAX_S after a failed call."""
         self.cloud_retry_at = self.context.now + constants.BACKOFF_MAX_S
 
     def request_list(self) -> None:
@@ -108,8 +108,9 @@
             self._check_absent(name, requested_at)
 
     def _update_listed(self, entry: ListedInstance, requested_at: float) -> None:
-        # Known from here on, not from the first list that lacks it: after a takeover of the fleet
-        # role, a machine that vanished would be proven terminated later than it could be.
+        # The instance counts as known from this list on, not from the first list that lacks it.
+        # Otherwise termination of a machine that vanishes after a takeover of the fleet role would
+        # be proven later than possible.
         self.known_since.setdefault(entry.name, requested_at)
         instance = self.instances.get(entry.name)
         if instance is None:
@@ -124,17 +125,17 @@
             self.terminate(entry.name, InstanceState.FAILED)
 
     def _check_absent(self, name: str, requested_at: float) -> None:
-        """Terminate a machine once ABSENT_LISTS lists that should show it lack it.
+        """Mark a machine as terminated after ABSENT_LISTS lists that should contain it but don't.
 
-        A list counts if it is certainly newer than our knowledge of the machine, and if no
-        heartbeat came lately.
+        A list counts if it is certainly newer than the first sign of the machine, and if the
+        machine has sent no heartbeat lately.
         """
         context = self.context
         since = self.known_since.setdefault(name, context.now)
         instance = self.instances.get(name)
         if instance is not None and instance.listed:
-            # An instance once listed stays listed until it is terminated, so newer lists prove it;
-            # the missing heartbeats only guard against mistakes of our own.
+            # A listed instance stays listed until it is terminated, so newer lists without it are
+            # proof. Checking for silence only guards against errors in this controller.
             silence_s = heartbeat_timeout_s(context)
         else:
             silence_s = context.facts.workers.lease_s
@@ -153,9 +154,9 @@
             self.terminate(name, "absent")
 
     def terminate(self, name: str, reason: str) -> None:
-        """Tell all controllers that a machine and its tasks are certainly terminated.
+        """Announce to all controllers that a machine and its tasks are certainly terminated.
 
-        Names of machines are never used again.
+        Machine names are never reused.
         """
         context = self.context
         if name not in self.terminated_at:
@@ -170,14 +171,14 @@
             context.call(lambda _status, _result: None, messages.ReturnInstances, [name])
 
     def controllers(self) -> list[str]:
-        """Return the ids of all controllers, our own first."""
+        """Return the ids of all controllers, this one first."""
         return [
             self.context.controller_id,
             *(m.controller_id for m in self.context.settings.peers),
         ]
 
     def write_records(self) -> None:
-        """Write changed machine types and terminations, and delete terminations not needed."""
+        """Write changed machine types and new terminations; delete terminations not needed."""
         writes = [*self._changed_types(), *self._missing_terminations()]
         writes += self._expired_terminations()
         if writes:
@@ -204,7 +205,7 @@
         return [(TYPES_KEY, records, None)]
 
     def _missing_terminations(self) -> list[StoreWrite]:
-        """Return the records of terminated machines that bindings still refer to."""
+        """Return the missing records of terminated machines that bindings still refer to."""
         now, replica = self.context.now, self.context.replica
         writes: list[StoreWrite] = []
         for name in replica.bindings.by_machine:
@@ -219,7 +220,7 @@
         return writes
 
     def _expired_terminations(self) -> list[StoreWrite]:
-        """Return the deletions of records that no binding has needed for TERMINATION_KEEP_S."""
+        """Return deletions of records that no binding has needed for TERMINATION_KEEP_S."""
         now, replica = self.context.now, self.context.replica
         writes: list[StoreWrite] = []
         for name in replica.terminated_machines:
--- a/oakmux/core/autoscaling/machine_returns.py
+++ b/oakmux/core/autoscaling/machine_returns.py
@@ -1,4 +1,4 @@
-"""Returning machines to the cloud."""
+"""Returns machines to the cloud."""
 
 from enum import StrEnum
 
@@ -9,7 +9,7 @@
 
 
 class ReturnReason(StrEnum):
-    """Why a machine is returned, as the log event `return` states it."""
+    """Why a machine is returned; logged as `why` in the event `instances_returned`."""
 
     IDLE = "idle"
     BOOT_TIMEOUT = "boot_timeout"
@@ -20,7 +20,7 @@
 
 
 class MachineReturns:
-    """Sends return requests; the inventory then lists the machines as terminated."""
+    """Sends return requests; once confirmed, the inventory lists machines as terminated."""
 
     def __init__(self, context: Context, inventory: InstanceInventory) -> None:
         self.context = context
--- a/oakmux/core/autoscaling/rental_requests.py
+++ b/oakmux/core/autoscaling/rental_requests.py
@@ -1,4 +1,4 @@
-"""Rental requests to the cloud: sending, repeating, and remembering where capacity ran out."""
+"""Sends and repeats rental requests to the cloud, and tracks kinds without capacity."""
 
 from typing import Any, NamedTuple
 
@@ -10,10 +10,10 @@
 from oakmux.logs import event
 
 NO_ANSWER = 0
-"""Status of a call to the cloud that got no answer."""
+"""Status of a call to the cloud without an answer."""
 
 NO_CAPACITY = "no capacity"
-"""Result of a refused rental (status 503) when the cloud has no such instances."""
+"""Result of a rental refused with status 503 because the cloud has no such instances."""
 
 
 class RentalRequest(NamedTuple):
@@ -24,29 +24,29 @@
 
 
 class RentalRequests:
-    """Rents instances. A request's name is its idempotency key: repeating it never rents twice."""
+    """Rents instances. A request's name is its idempotency key: a repeat never rents twice."""
 
     def __init__(self, context: Context, inventory: InstanceInventory) -> None:
         self.context = context
         self.inventory = inventory
         # Unanswered requests by name.
         self.pending: dict[str, RentalRequest] = {}
-        # Until when a kind is not asked for because the cloud had none left.
+        # Time before which a kind is not requested again because the cloud had none left.
         self.no_capacity_until: dict[InstanceKind, float] = {}
         self.last_number = 0
 
     def on_role_acquired(self) -> None:
-        """Forget requests of an earlier time in the fleet role; the cloud's list shows them."""
+        """Drop requests of an earlier tenure of the fleet role; the cloud's list covers them."""
         self.pending.clear()
 
     def rent_all(self, counts: dict[InstanceKind, int]) -> None:
-        """Rent so many instances of each kind, MAX_RENTAL_SIZE at most in one request."""
+        """Rent the given count of each kind, at most MAX_RENTAL_SIZE instances in one request."""
         for kind, count in counts.items():
             for start in range(0, count, constants.MAX_RENTAL_SIZE):
                 self.rent(kind, min(count - start, constants.MAX_RENTAL_SIZE))
 
     def rent(self, kind: InstanceKind, count: int) -> None:
-        """Send one request, unless calls to the cloud are backing off."""
+        """Send one rental request, unless calls to the cloud are backing off."""
         if self.context.now < self.inventory.cloud_retry_at:
             return
         self.last_number += 1
--- a/oakmux/core/autoscaling/scale_in.py
+++ b/oakmux/core/autoscaling/scale_in.py
@@ -1,4 +1,4 @@
-"""Scaling in: idle machines are drained and returned."""
+"""Scaling in: drains idle machines and returns them."""
 
 from oakmux import constants
 from oakmux.core.agents.cancellation_log import CancellationLog
@@ -15,7 +15,7 @@
 
 
 class ScaleIn:
-    """Drains and returns machines."""
+    """Drains and returns idle machines."""
 
     def __init__(
         self, context: Context, cancellations: CancellationLog, inventory: InstanceInventory
@@ -27,7 +27,7 @@
         self.unhealthy = UnhealthyMachines(context, cancellations, inventory, self.returns)
 
     def return_idle(self, slots: list[Slot]) -> None:
-        """Drain machines without work, return drained ones, and tell the peers of drains."""
+        """Drain machines without work, return drained ones, and announce drains to the peers."""
         context, inventory = self.context, self.inventory
         needed = {slot.name for slot in slots if slot.needed}
         for name, machine in context.machines.items():
@@ -46,7 +46,7 @@
     def _check_drained(self, machine: Machine, drained_at: float) -> None:
         context, name = self.context, machine.name
         if not self.returns.is_empty(name):
-            # A task was bound before all controllers knew of the drain, or a move did not finish.
+            # A task was bound before the drain reached all controllers, or a move timed out.
             if not is_quarantined(context, machine) and not self.consolidation.is_moving(name):
                 context.undrain(name)
                 self.consolidation.forget(name)
@@ -57,14 +57,14 @@
             self.returns.request(name, ReturnReason.IDLE)
 
     def _is_unused(self, machine: Machine) -> bool:
-        """Whether a machine has been idle for IDLE_KEEP_S and nothing is planned for it."""
+        """Whether a machine has been idle for IDLE_KEEP_S and is not reserved."""
         context = self.context
         return (
             machine.idle_since is not None
             and is_reachable(machine)
             and self.returns.is_empty(machine.name)
             and not context.backfill.is_reserved(machine.name)
-            # During an outage of the store no task can start, so idle time counts from its end.
+            # No task can start during a store outage, so idle time counts from its end.
             and context.now - max(machine.idle_since, context.store_recovered_at)
             > constants.IDLE_KEEP_S
             and context.now - machine.first_heartbeat_at > constants.IDLE_KEEP_S
--- a/oakmux/core/autoscaling/scale_out.py
+++ b/oakmux/core/autoscaling/scale_out.py
@@ -1,4 +1,4 @@
-"""Scaling out: pending tasks are placed on expected capacity, and the rest is rented for."""
+"""Scaling out: places pending tasks on expected capacity, and rents machines for the rest."""
 
 import heapq
 from typing import NamedTuple
@@ -23,7 +23,7 @@
 
 
 class _QueueHead(NamedTuple):
-    """The next job of a queue, ordered by rank, age and id among the heads of all queues."""
+    """The next job of a queue; heads of all queues are ordered by rank, age and job id."""
 
     rank: tuple[object, ...]
     since: float
@@ -33,7 +33,7 @@
 
 
 class ScaleOut:
-    """Determines what capacity is missing, and rents it."""
+    """Determines missing capacity and rents it."""
 
     def __init__(
         self, context: Context, cancellations: CancellationLog, inventory: InstanceInventory
@@ -42,20 +42,20 @@
         self.cancellations = cancellations
         self.rentals = RentalRequests(context, inventory)
         self.expected = ExpectedCapacity(context, inventory, self.rentals)
-        # Whether the last pass found tasks that no running or booting machine has capacity for.
+        # Whether the last pass found tasks without capacity on running or booting machines.
         self.unplaced = False
-        # Unfinished jobs of all teams that have unbound tasks, by the records.
+        # Unfinished jobs with unbound tasks, of all teams, according to the records.
         self.queues = PendingQueues(context)
 
     def on_role_acquired(self) -> None:
-        """Start with the jobs of the records when the fleet role is acquired."""
+        """Rebuild the queues from the records when the fleet role is acquired."""
         self.rentals.on_role_acquired()
         self.queues.clear()
         for job_id in self.context.replica.active:
             self.changed(job_id)
 
     def changed(self, job_id: str) -> None:
-        """Add a job to the queues, or remove it, after its records changed."""
+        """Add a job to the queues or remove it after a change of its records."""
         job = self.context.replica.jobs.get(job_id)
         if (
             job is not None
@@ -69,7 +69,7 @@
             self.queues.drop(job_id)
 
     def plan(self) -> list[Slot]:
-        """Place pending tasks on expected capacity, rent for the rest, and return all slots."""
+        """Place pending tasks on expected capacity, rent for the others, and return all slots."""
         placement = DemandPlacement(self.context, self.expected, self.rentals)
         self.unplaced = False
         self.queues.resize()
@@ -79,9 +79,9 @@
         return placement.slots
 
     def _place_pending(self, placement: DemandPlacement) -> None:
-        """Place the jobs of all queues in their order, MAX_DEMAND_TASKS tasks at most.
+        """Place the jobs of all queues in order of rank, at most MAX_DEMAND_TASKS tasks.
 
-        A queue is left at the first job for which nothing is found: the jobs behind it need the
+        A queue is abandoned at the first job that can't be placed: the jobs behind it need the
         same resources.
         """
         usage = dict(quotas.usage(self.context))
@@ -120,12 +120,12 @@
     def _place_job(
         self, job_id: str, placement: DemandPlacement, usage: TeamUsage, budget: int
     ) -> tuple[int, bool]:
-        """Return how many tasks of a job were placed, and whether to go on with its queue."""
+        """Place a job; return how many tasks were placed and whether to continue its queue."""
         context = self.context
         job, spec = self._pending(job_id)
         wanted = min(job.unbound(), budget, quotas.tasks_left(context, job.team, spec, usage))
         if context.failures.is_suspect(job):
-            wanted = min(wanted, 1)  # tasks of a job that is suspected to fail start one by one
+            wanted = min(wanted, 1)  # a job suspected to fail starts one task at a time
         if wanted <= 0:
             return 0, False  # the team is at its limit
         if job_id in self.cancellations.cancelled:
@@ -138,5 +138,5 @@
             slot.needed = True
         cpus, gpus = usage.get(job.team, NO_USAGE)
         usage[job.team] = Usage(cpus + len(slots) * spec.cpus, gpus + len(slots) * spec.gpus)
-        # A job with bindings may be confined to their zones; those behind it may not be.
+        # A job with bindings may be limited to their zones; the jobs behind it may not be.
         return len(slots), bool(slots) or bool(zones)
--- a/oakmux/core/autoscaling/slot_pool.py
+++ b/oakmux/core/autoscaling/slot_pool.py
@@ -1,4 +1,4 @@
-"""Free capacity that the autoscaler plans with: on machines that run, boot or are to be rented."""
+"""Free capacity for autoscaling plans, on machines that run, boot or are to be rented."""
 
 from collections.abc import Callable
 
@@ -11,7 +11,7 @@
 from oakmux.core.scheduling.machine_index import CapacityClass, capacity_class, may_fit
 
 UNNAMED = ""
-"""Name of a slot whose instance the cloud has not confirmed yet."""
+"""Name of a slot whose instance the cloud has not named yet."""
 
 
 class Slot:
@@ -27,17 +27,18 @@
         self.free = free
         # Whether the current pass has placed a task here.
         self.needed = False
+        # Whether the machine is not up yet: it is booting, requested or to be rented.
         self.booting = booting
 
 
 def empty_slot(name: str, kind: InstanceKind, machine_type: MachineType) -> Slot:
-    """Return the slot of an instance that does not run yet."""
+    """Return the slot of an instance that is not up yet, with all its resources free."""
     free = Resources(machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
     return Slot(name, kind, free)
 
 
 class SlotPool:
-    """Slots grouped by capacity class, so that a task finds one without a scan of all."""
+    """Slots grouped by capacity class, so that finding one does not scan all slots."""
 
     def __init__(self, context: Context, slots: list[Slot]) -> None:
         self.context = context
@@ -46,7 +47,7 @@
             self.add(slot)
 
     def add(self, slot: Slot) -> None:
-        """Add a slot to the class of its free resources; a full one is left out."""
+        """Add a slot to the class of its free resources; full slots are left out."""
         if is_full(self.context, slot.free):
             return
         machine_type = self.context.types[slot.kind.type]
@@ -56,11 +57,11 @@
         self.classes.setdefault(capacity, []).append(slot)
 
     def ranked_classes(self, spec: JobSpec, zones: list[str]) -> list[CapacityClass]:
-        """Return the classes in these zones where a task may fit, the best first.
+        """Return the classes in these zones where a task may fit, best first.
 
-        Jobs with GPUs prefer spot instances if they allow them; jobs without prefer classes with
-        few free GPUs. Then machines that are up come before those that are not, and fuller ones
-        before emptier ones.
+        Jobs that need GPUs prefer spot instances if they allow them; other jobs prefer classes
+        with few free GPUs. After that, machines that are up come before booting ones, and fuller
+        machines before emptier ones.
         """
         ranked = []
         for capacity in self.classes:
@@ -71,7 +72,7 @@
                 and may_fit(spec, machine_type, capacity)
                 and self.context.fits_type(spec, capacity.type)
             ):
-                # Free GPUs, and the CPUs that they need, are left to jobs that need them.
+                # Free GPUs, and the CPUs that go with them, are left to jobs that need GPUs.
                 ranked.append(
                     (
                         spec.spot and not capacity.spot if spec.gpus else capacity.gpus,
@@ -85,7 +86,7 @@
         return [candidate[-1] for candidate in ranked]
 
     def estimate_tasks(self, spec: JobSpec, capacity: CapacityClass) -> int:
-        """Return a lower bound of how many tasks of a job fit into a class."""
+        """Return a lower bound for the number of a job's tasks that fit into a class."""
         machine_type = self.context.types[capacity.type]
         cpus = capacity.cpu_level / constants.CAPACITY_LEVELS * machine_type.cpus
         memory_gb = capacity.memory_level / constants.CAPACITY_LEVELS * machine_type.memory_gb
@@ -95,8 +96,8 @@
     def fill_class(self, capacity: CapacityClass, fill: Callable[[Slot], bool]) -> bool:
         """Pass the slots of a class to `fill` until it returns True; return whether it did.
 
-        Slots that `fill` took resources from move to the class of what is left. The search ends
-        after SAMPLE_EXTRA_MACHINES slots that nothing was placed on.
+        Slots that `fill` took resources from move to the class of their remaining resources. The
+        search ends after SAMPLE_EXTRA_MACHINES slots on which nothing was placed.
         """
         slots = self.classes.pop(capacity)
         unchanged: list[Slot] = []
--- a/oakmux/core/autoscaling/unhealthy_machines.py
+++ b/oakmux/core/autoscaling/unhealthy_machines.py
@@ -1,4 +1,4 @@
-"""Returning machines that did not boot, lost contact, or fail the tasks of several jobs."""
+"""Returns machines that did not boot, lost contact, or fail the tasks of several jobs."""
 
 from collections import Counter
 
@@ -32,11 +32,11 @@
         self.inventory = inventory
         self.returns = returns
         self.quarantined_since: dict[str, float] = {}
-        # Zones where most machines were unreachable, and until when that counts.
+        # Zones where most machines were unreachable, and until when each still counts as such.
         self.zone_unreachable_until: dict[str, float] = {}
 
     def run(self) -> None:
-        """Check all listed instances."""
+        """Check all listed instances and return unhealthy ones."""
         context, inventory = self.context, self.inventory
         unreachable_zones = self._unreachable_zones()
         self.quarantined_since = {
@@ -63,7 +63,7 @@
         return constants.CONTACT_TIMEOUT_LEASES * self.context.facts.workers.lease_s
 
     def _check_unregistered(self, name: str, instance: Instance) -> None:
-        """Return an instance that has sent no heartbeat and is overdue."""
+        """Return an instance to the cloud if its first heartbeat is overdue."""
         now, inventory = self.context.now, self.inventory
         machine_type = self.context.types.get(instance.kind.type)
         boot_timeout_s = (
@@ -82,7 +82,7 @@
             self.returns.request(name, ReturnReason.NEVER_REGISTERED)
 
     def _lost_contact(self, machine: Machine, unreachable_zones: set[str]) -> ReturnReason | None:
-        """Return why a machine that has sent heartbeats before is to be returned, if it is."""
+        """Return why to return a machine that lost contact after its first heartbeat, or None."""
         context, inventory = self.context, self.inventory
         silent_s = context.now - max(
             machine.last_heartbeat_at, inventory.role_acquired_at, context.resumed_at
@@ -99,7 +99,7 @@
         return None
 
     def _manager_out_of_contact(self, machine: Machine) -> bool:
-        """Whether the machine may send heartbeats to a live peer that we lost contact with."""
+        """Whether a machine's manager is a live peer that this controller lost contact with."""
         context = self.context
         manager = machine.manager
         peer_seen_at = self.cancellations.peer_seen_at.get(manager, constants.NEVER)
@@ -110,7 +110,7 @@
         )
 
     def _check_quarantine(self, machine: Machine) -> None:
-        """Drain a quarantined machine; return it if it still is once others tried its jobs."""
+        """Drain a quarantined machine; return it unless its jobs soon fail elsewhere too."""
         context, name = self.context, machine.name
         if not is_quarantined(context, machine):
             if self.quarantined_since.pop(name, None) is not None:
@@ -125,10 +125,10 @@
             self.returns.request(name, ReturnReason.QUARANTINED)
 
     def _unreachable_zones(self) -> set[str]:
-        """Return the zones where most machines are unreachable, or were within a lease.
+        """Return the zones where most machines are unreachable, or were within the last lease.
 
-        That points to the network between the controllers and the zone. Such a fault ends for
-        all machines of the zone, though not at the same second.
+        This indicates a network fault between the controllers and the zone. Such a fault ends for
+        all machines of the zone, but not in the same second.
         """
         now = self.context.now
         total, unreachable = Counter[str](), Counter[str]()
