--- a/oakmux/core/scheduling/binding.py
+++ b/oakmux/core/scheduling/binding.py
@@ -26,7 +26,7 @@
 from oakmux.task_status import DONE, ERROR, RUNNING
 
 NOT_ACCEPTED = frozenset(("unknown", "busy", "no_room"))
-"""Termination reasons of tasks that the worker could not take; the next attempt waits a moment."""
+"""Termination reasons of tasks that the worker did not accept; a retry waits RETRY_FIRST_S."""
 
 
 class Binder:
@@ -47,13 +47,13 @@
         self.quota_claims = quota_claims
         self.pending_jobs = pending_jobs
         self.schedule = schedule
-        # Jobs that collect offers, of which the best are taken soon, by their first offer.
+        # Jobs that collect offers before the best are bound, in the order of their first offers.
         self.collecting: dict[str, None] = {}
 
     # --- changes of the records ---
 
     def on_role_acquired(self) -> None:
-        """Start to schedule the jobs of a team whose role was acquired."""
+        """Start scheduling the jobs of teams whose roles were acquired."""
         for job in list(self.context.replica.active.values()):
             if self.buffer.owns(job):
                 self.on_job_changed(job.id)
@@ -62,7 +62,7 @@
                 self.context.changed_workers.update(b.machine for b in job.bindings())
 
     def drop_lost(self, kept_roles: set[str]) -> None:
-        """Forget the jobs of teams that are not among those held without a break."""
+        """Drop the jobs of all teams but those in `kept_roles`, held without interruption."""
         jobs = self.context.replica.jobs
         for job_id in [
             job_id for job_id in self.pending_jobs if jobs[job_id].team not in kept_roles
@@ -72,14 +72,14 @@
             self.buffer.finished_jobs.pop(job_id, None)
 
     def on_job_changed(self, job_id: str) -> None:
-        """Follow a change of a job's records."""
+        """Update the scheduling of a job after its records changed."""
         job = self.context.replica.jobs.get(job_id)
         if job is None or not self.buffer.owns(job):
             return
         if job.final:
             self._close_job(job)
         elif not job.ready:
-            return  # no reservations while it waits for its dependencies
+            return  # no reservations while the job waits for its dependencies
         elif job_id not in self.pending_jobs:
             self.pending_jobs[job_id] = PendingJob()
             self.schedule.enqueue(job)
@@ -125,7 +125,7 @@
             context.send(offer.manager, DeclineOffer(offer.machine, offer.offer_id))
 
     def _accept_offer(self, job_id: str, machine: Machine, offer: CapacityOffer) -> bool:
-        """Accept an offer unless the job or the machine can't use it any more."""
+        """Accept an offer if the job can still use it and the machine is still suitable."""
         context = self.context
         job = context.replica.jobs.get(job_id)
         state = self.pending_jobs.get(job_id)
@@ -156,7 +156,7 @@
     def _collect_offer(
         self, job: Job, spec: JobSpec, state: PendingJob, offer: CapacityOffer
     ) -> bool:
-        """Keep an offer until the best of the collected offers are taken."""
+        """Keep an offer until the best of the collected offers are bound."""
         zones = [binding.zone for binding in self.buffer.bindings(job)]
         if not zone_allowed(spec, zones, offer.zone) or not self.buffer.unbound_tasks(job):
             return False
@@ -167,11 +167,11 @@
     def _accept_gang_offer(
         self, job: Job, spec: JobSpec, state: PendingJob, offer: CapacityOffer
     ) -> bool:
-        """Keep an offer to a gang; once there are enough for all tasks, bind them all."""
+        """Keep an offer to a gang; once there are enough offers, bind all tasks."""
         if self.buffer.bindings(job):
             return False
         if offer.machine not in state.requested:
-            return False  # it answers a reservation of an earlier, abandoned gathering
+            return False  # the offer answers a reservation of an earlier, abandoned gathering
         state.offers.append(offer)
         if len(state.offers) < spec.tasks:
             return True
@@ -219,8 +219,8 @@
     def _bind(self, job: Job, indexes: list[int], offers: list[CapacityOffer]) -> None:
         """Bind tasks to offered capacity.
 
-        No binding is written before the records of all the job's dependencies are done
-        (R too_early); nothing else writes bindings.
+        No binding is written before the records of all the job's dependencies are done (rule
+        `too_early`). No other code writes bindings.
         """
         if not job.ready:
             return
@@ -236,7 +236,7 @@
     # --- ends of bindings ---
 
     def on_machine_changed(self, name: str) -> None:
-        """End the shard's bindings on a machine for which there is a termination proof now."""
+        """End the shard's bindings on a machine that now have a termination proof."""
         context = self.context
         bound = context.replica.bindings.by_machine.get(name)
         if not bound:
@@ -263,9 +263,9 @@
     def _stop_gang_on_notice(
         self, job: Job, task: Task, visible_tasks: dict[Task, tuple[str, str, bool]]
     ) -> None:
-        """Stop a gang of which the cloud is about to reclaim a machine.
+        """Stop a gang when the cloud is about to reclaim one of its machines.
 
-        So its checkpoint is saved while all its tasks still run.
+        The gang's checkpoint is then saved while all its tasks still run.
         """
         spec = job.spec
         if (
@@ -277,7 +277,7 @@
             stop_attempt(self.buffer, job, spec, task[1])
 
     def _unbind(self, job: Job, index: int, binding: Binding, termination: Termination) -> None:
-        """End a binding of a task that certainly does not run and never will."""
+        """End the binding of a task that is proven not to run, now or later."""
         reason, saved = termination
         number = index // self.buffer.tasks_per_record
         due = self._unbind_due(job, number, reason)
@@ -305,8 +305,9 @@
     def _unbind_due(self, job: Job, number: int, reason: str) -> float:
         """Return the time (s) by which the end of a binding in a task block is written.
 
-        Starts are written first. Completed tasks of arrays, and all in binding batches, are
-        written together with others a little later. That a job is done is written at once.
+        Starts are written first. Completed tasks of arrays, completed tasks in binding batches,
+        and all other ends of a finished job in binding batches are written together with others
+        `coalesce_s` later.
         """
         in_batch = self.buffer.block(job, number).batch is not None
         is_array = job.spec is not None and job.spec.kind == "array"
@@ -314,7 +315,10 @@
         return self.context.now + (self.buffer.coalesce_s if coalesces else 0.0)
 
     def _complete(self, job: Job, spec: JobSpec, index: int, due: float) -> None:
-        """Record that a task completed, or a whole gang: its tasks complete together."""
+        """Record that a task completed; the tasks of a gang complete together.
+
+        The completion of a job outside binding batches is written at once.
+        """
         size = self.buffer.tasks_per_record
         for completed in range(spec.tasks) if spec.kind == "gang" else (index,):
             block = self.buffer.edit(job, completed // size, due)
@@ -338,9 +342,10 @@
             state.retry_at = self.context.now + constants.RETRY_FIRST_S
 
     def _back_off(self, state: PendingJob, machine: str) -> None:
-        """Avoid a machine on which a task failed; after repeated failures, wait longer each time.
+        """Exclude a machine on which a task failed; repeated failures back off exponentially.
 
-        Once half of the machines are excluded, none is: the failures are the job's own.
+        Once more than half of the machines are excluded, all are allowed again: the job itself
+        is at fault.
         """
         state.failures += 1
         state.excluded_machines.add(machine)
--- a/oakmux/core/scheduling/capacity_claims.py
+++ b/oakmux/core/scheduling/capacity_claims.py
@@ -19,11 +19,11 @@
 
 
 class CapacityClaims:
-    """Counts capacity that one job of the shard has requested as taken for the shard's other jobs.
+    """Hides capacity that one job of the shard has requested from the shard's other jobs.
 
-    Without claims all jobs sampled in one tick request the same few machines, and most of them in
+    Without claims all jobs sampled in one tick request the same few machines, most of them in
     vain. Two gangs that see the same capacity as free each get a part of it and both start over;
-    in a full fleet this went on for minutes.
+    in a full fleet this goes on for minutes.
 
     With `until_bound` a claim also ends once the records show a task of the job bound on the
     machine.
@@ -44,8 +44,8 @@
     ) -> None:
         """Claim capacity on machines for tasks of a job.
 
-        A job may request more than the `wanted` tasks that it needs, to have a choice; only the
-        first `wanted` are claimed. None claims all.
+        A job may request capacity for more tasks than `wanted`, to have a choice; only the first
+        `wanted` are claimed. If `wanted` is None, all are claimed.
         """
         self._prune()
         for name, tasks in tasks_by_machine.items():
@@ -57,7 +57,7 @@
                 self.by_machine.setdefault(name, {})[job_id] = Claim(until, count, spec)
 
     def _prune(self) -> None:
-        """Drop the claims on vanished machines once they make up half of all."""
+        """Drop claims on removed machines once twice as many machines have claims as exist."""
         machines = self.context.machines
         if len(self.by_machine) > 2 * len(machines):
             self.by_machine = {
@@ -72,7 +72,7 @@
             self.by_machine.pop(machine_name, None)
 
     def remaining(self, job_id: str, machine: Machine, free: Resources) -> Resources:
-        """Return what other jobs' claims leave of a machine's free resources."""
+        """Return the part of a machine's free resources that other jobs' claims leave."""
         claims = self.by_machine.get(machine.name)
         if not claims:
             return free
@@ -88,7 +88,7 @@
         return free
 
     def available(self, job: Job, spec: JobSpec, machine: Machine, free: Resources) -> Resources:
-        """Return what backfill reservations and other jobs' claims leave a job on a machine."""
+        """Return a machine's resources that backfill reservations and other claims leave a job."""
         backfill = self.context.backfill
         if backfill.by_machine and backfill.blocks_job(machine.name, job, spec):
             return NO_RESOURCES
--- a/oakmux/core/scheduling/failure_attribution.py
+++ b/oakmux/core/scheduling/failure_attribution.py
@@ -1,7 +1,7 @@
-"""Tells jobs that fail on every machine from machines on which every job fails.
+"""Distinguishes jobs that fail on every machine from machines on which every job fails.
 
-Failures are known from heartbeats, so all controllers that receive them come to the same result.
-It is not stored: a new process starts such a job a few more times.
+Failures are reported in heartbeats, so all controllers that receive them get the same result. The
+result is not stored: a new process starts a faulty job a few more times.
 """
 
 from oakmux import constants
@@ -31,8 +31,8 @@
     def is_suspect(self, job: Job) -> bool:
         """Whether a job itself seems to be at fault.
 
-        It has failed on several machines and never completed a task. Such a job is still tried,
-        but it reserves and preempts nothing that others need.
+        A suspect job has failed on several machines and never completed a task. It is still
+        tried, but it reserves and preempts nothing that others need.
         """
         return (
             len(self.failed_on.get(job.id, ())) >= constants.SUSPECT_MACHINES
@@ -43,7 +43,7 @@
         """Whether a job's failure on a machine counts against the machine.
 
         It does not if the job has failed on other machines too and never completed a task.
-        Otherwise three jobs with mistakes would have every machine quarantined in turn.
+        Otherwise three faulty jobs would cause the quarantine of every machine in turn.
         """
         job = self.replica.jobs.get(job_id)
         elsewhere = self.failed_on.get(job_id, set()) - {machine}
--- a/oakmux/core/scheduling/gangs.py
+++ b/oakmux/core/scheduling/gangs.py
@@ -1,6 +1,6 @@
 """Gang scheduling: capacity for all tasks of a gang at once or for none.
 
-A gang whose task is lost ends as a whole (`stop_attempt`).
+If a task of a gang is lost, `stop_attempt` stops all others.
 """
 
 import functools
@@ -35,8 +35,8 @@
 class Group(NamedTuple):
     """Capacity for a gang in the zones that it may use together.
 
-    `tasks` counts what is held, requested and newly sampled. `image_score` counts those of the
-    tasks that need no image fetch, plus a random part below 1 that decides between equals.
+    `tasks` is the number of tasks that fit into held, requested and newly sampled capacity.
+    `image_score` is how many of them need no image fetch, plus a random tie-breaker below 1.
     """
 
     image_score: float
@@ -56,7 +56,7 @@
 class GangScheduler:
     """Gathers capacity for the shard's gangs: free capacity first, then by preemption.
 
-    One gang of the shard at a time may hold a part of what it needs while it waits for the rest.
+    Only one gang of the shard at a time may hold part of its capacity while it waits for the rest.
     """
 
     def __init__(
@@ -67,11 +67,11 @@
         self.pending_jobs = pending_jobs
         self.claims = CapacityClaims(context, until_bound=False)
         self.backfill_planner = BackfillPlanner(context, index)
-        # The gang that may hold a part of what it needs; empty if there is none.
+        # Id of the gang that may hold part of its capacity; empty if there is none.
         self.holder = ""
 
     def end_gathering(self, job: Job, state: PendingJob) -> None:
-        """End a gathering: the gang is bound, or starts over later."""
+        """Stop gathering capacity: the gang is bound, or starts over later."""
         if not state.backfill_machines:
             self._stop_holding(job)
         self.index.capacity_released(state.requested)
@@ -81,7 +81,7 @@
         state.hold_until = 0.0
 
     def end_backfill(self, job: Job, state: PendingJob) -> None:
-        """End a job's backfill reservation: it is bound, or can't start."""
+        """End a job's backfill reservation: the job is bound, or can't start."""
         if self.backfill_planner.end(job, state):
             self._stop_holding(job)
 
@@ -91,12 +91,15 @@
             self.holder = ""
 
     def sample(self, job: Job, spec: JobSpec, state: PendingJob) -> bool:
-        """Request the capacity that a gang still lacks; return whether there is any.
-
-        Of the zones with capacity for all tasks, the one where the fewest need an image fetch is
-        taken. If there is none, a zone is taken where preemption makes capacity for all. If there
-        is none either, a backfill reservation is made, or one gang at a time, the oldest, holds
-        what is free until there is more: several would each hold a part of what the others need.
+        """Request the capacity that a gang still lacks; return whether any is requested or held.
+
+        These steps are tried in order:
+        1. Reserve in the zone, among those with capacity for all tasks, where the fewest tasks
+           need an image fetch.
+        2. Preempt in a zone where that makes capacity for all tasks.
+        3. Make a backfill reservation.
+        4. Hold the free capacity until there is more. Only one gang at a time, the oldest, may do
+           so: several would each hold a part of what the others need.
         """
         gang = Gang(job, spec, state)
         if not state.hold_until:
@@ -117,7 +120,7 @@
         return bool(state.requested or state.offers)
 
     def _sample_groups(self, gang: Gang) -> list[Group] | None:
-        """Sample machines in each zone, or in all zones at once where the gang allows that.
+        """Sample machines in each zone, or in all zones at once if the gang may span zones.
 
         Returns None if all tasks have an offer or may still get one.
         """
@@ -143,9 +146,9 @@
         return groups
 
     def _preempt_for_all(self, gang: Gang, groups: list[Group]) -> bool:
-        """Request preemption for all that a gang lacks in one of the groups.
+        """Request preemption for all missing tasks of a gang in one of the groups.
 
-        The capacity that is free there is reserved. Returns whether there is such a group.
+        The group's free capacity is reserved. Returns whether there is such a group.
         """
         spec, state = gang.spec, gang.state
         if self.context.now < max(state.next_wide_sample_at, state.preempt_at):
@@ -162,9 +165,10 @@
         return False
 
     def _wait_for_capacity(self, gang: Gang, largest: Group) -> None:
-        """Have a gang wait for more capacity, with a backfill reservation if it gets one.
+        """Let a gang wait for more capacity, with a backfill reservation if it gets one.
 
-        Otherwise it holds the largest group's capacity, if no other gang holds any.
+        Otherwise the gang holds the largest group's capacity, unless another gang is the holder.
+        A starving gang that precedes the holder replaces it.
         """
         job, spec, state = gang
         if (
@@ -184,7 +188,7 @@
             self._reserve(gang, largest)
 
     def _precedes_holder(self, job: Job) -> bool:
-        """Whether a starving gang comes before the one that holds capacity now."""
+        """Whether a starving gang comes before the current holder."""
         candidate, holder = (
             (-other.priority, not is_starving(self.context, other), other.since, other.id)
             for other in (job, self.context.replica.jobs[self.holder])
@@ -192,7 +196,7 @@
         return candidate < holder
 
     def _expected_tasks(self, state: PendingJob, zones: list[str]) -> int:
-        """Count the tasks of a gang that have an offer, or may still get one, in some zones."""
+        """Count the tasks of a gang that have an offer, or may still get one, in these zones."""
         now = self.context.now
         offered = Counter(offer.machine for offer in state.offers if offer.zone in zones)
         expected = offered.total()
@@ -203,10 +207,10 @@
         return expected
 
     def _preempt_at_image_holders(self, gang: Gang, group: Group) -> bool:
-        """Request preemption where the image is, for all tasks that would otherwise fetch it.
+        """Request preemption on image holders, for all tasks that would otherwise fetch the image.
 
-        That is done if it costs less than the fetch: one task that fetches keeps the whole gang
-        waiting. Returns whether it was requested.
+        One fetch delays the whole gang, so work is preempted if that costs less than the fetch.
+        Returns whether preemption was requested.
         """
         spec, state = gang.spec, gang.state
         fetching = [candidate for candidate in group.sampled if not candidate.has_image]
@@ -250,7 +254,7 @@
         return bool(names)
 
     def _claim(self, gang: Gang, tasks_by_machine: dict[str, int], answer_s: float) -> None:
-        """Record requests that may be answered within `answer_s` seconds."""
+        """Claim capacity and record requests that may be answered within `answer_s` seconds."""
         job, spec, state = gang
         self.claims.add(job.id, spec, tasks_by_machine, state.hold_until)
         until = self.context.now + answer_s
@@ -260,7 +264,7 @@
     def _draw(self, gang: Gang, zones: list[str], missing: int) -> list[SampledMachine]:
         """Draw machines with unclaimed capacity for a gang.
 
-        Of a gang that is spread over zones, no zone gets more tasks than allowed there.
+        If the gang is spread over zones, no zone gets more tasks than allowed there.
         """
         job, spec, state = gang
         available = functools.partial(self.claims.available, job, spec)
@@ -283,7 +287,7 @@
         return sampled
 
     def _reserve(self, gang: Gang, group: Group) -> None:
-        """Send reservations for what is still missing to the sampled machines of a group."""
+        """Send reservations for the missing tasks to the sampled machines of a group."""
         job, spec, state = gang
         missing = spec.tasks - self._expected_tasks(state, group.zones)
         chosen = choose_machines(self.context, job, spec, group.sampled, missing)
@@ -292,7 +296,7 @@
 
 
 def stop_attempt(buffer: WriteBuffer, job: Job, spec: JobSpec, attempt: int) -> None:
-    """Stop the remaining tasks of a gang's attempt, of which a task was lost."""
+    """Stop the remaining tasks of a gang's attempt; one task is lost or about to be."""
     for index in range(spec.tasks):
         number = index // buffer.tasks_per_record
         binding = buffer.block(job, number).bound.get(index)
--- a/oakmux/core/scheduling/machine_index.py
+++ b/oakmux/core/scheduling/machine_index.py
@@ -1,8 +1,8 @@
-"""Index of machines by free capacity, kept up to date with changes.
+"""Index of machines by free capacity, updated after changes.
 
-Batch sampling draws from it a number of machines that depends on the job and not on the size of
-the fleet. Sets of machines are bitmaps over small numbers. A machine is classified anew only
-after its heartbeat, its bindings or its images changed.
+Batch sampling draws machines from the index; how many depends on the job and not on the size of
+the fleet. Sets of machines are bitmaps over small integer ids. A machine is reclassified only
+after its heartbeat, its bindings or its images change.
 """
 
 import math
@@ -24,17 +24,17 @@
 KeyT = TypeVar("KeyT", bound=Hashable)
 
 ClassRank = tuple[bool, int, bool, float]
-"""Order of capacity classes for a task, the least first; see `MachineIndex._class_rank`."""
+"""Sort key of capacity classes for a task, the lowest first; see `MachineIndex._class_rank`."""
 
 AvailableResources = Callable[[Machine, Resources], Resources]
-"""Returns what of a machine's free resources a job may use."""
+"""Returns the part of a machine's free resources that a job may use."""
 
 
 class CapacityClass(NamedTuple):
     """Machines that are alike for sampling.
 
-    `gpus` are whole free GPUs. The levels are the free shares of CPUs and of memory, in steps of
-    1 / CAPACITY_LEVELS, rounded down. `idle` machines run nothing.
+    `gpus` is the number of whole free GPUs. The levels are the free shares of CPUs and of memory,
+    in steps of 1 / CAPACITY_LEVELS, rounded down. `idle` machines run nothing.
     """
 
     type: str
@@ -56,7 +56,7 @@
         return InstanceKind(self.type, self.zone, self.spot)
 
     def has_more_than(self, other: "CapacityClass") -> bool:
-        """Whether more is free of any resource than in another class."""
+        """Whether more of any resource is free than in another class."""
         return (
             self.gpus > other.gpus
             or self.cpu_level > other.cpu_level
@@ -118,8 +118,8 @@
 def may_fit(spec: JobSpec, kind: MachineType, capacity: CapacityClass) -> bool:
     """Whether a machine of a class may have capacity for a task; if not, none has.
 
-    CPUs and memory are compared one by one. By the scarcer alone, machines whose CPUs were all
-    taken, more of them than a draw looks at, once hid all machines that had capacity.
+    CPUs and memory are compared separately. If only the scarcer counted, more machines without
+    free CPUs than a draw looks at could hide all machines that have capacity.
     """
     return (
         spec.gpus < capacity.gpus + 1
@@ -135,7 +135,7 @@
 
 
 class MachineIndex:
-    """Sets of machines by what batch sampling and preemption look for."""
+    """Sets of machines by the properties that batch sampling and preemption look for."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
@@ -149,20 +149,20 @@
         # Machines with work that may be preempted, by the work's priority and by its team.
         self.preemptible_by_priority: dict[int, BitMap] = {}
         self.preemptible_by_team: dict[str, BitMap] = {}
-        # The reverse: by machine, its class, its images, and its preemptible work.
+        # The reverse, by machine id: its class, its images, and its preemptible work.
         self.class_of: dict[int, CapacityClass] = {}
         self.images_of: dict[int, set[str]] = {}
         self.preemptible_of: dict[int, PreemptibleWork] = {}
-        # Classes to draw from, valid until the classes or the machine types change.
+        # Cached orders of classes to draw from, valid until the classes or machine types change.
         self.class_orders: dict[OrderKey, list[CapacityClass]] = {}
         self.types = context.types
-        # Classes that a machine has entered by gaining capacity, until the sampler resets this.
+        # Classes that machines have entered by gaining capacity since the sampler's last reset.
         self.gained_classes: set[CapacityClass] = set()
 
     # --- updates ---
 
     def refresh(self) -> None:
-        """Classify anew every machine of which something changed."""
+        """Reclassify the machines that changed."""
         if self.types is not self.context.types:
             self.types = self.context.types
             self.class_orders.clear()
@@ -241,7 +241,7 @@
         self.kinds[old.kind].discard(machine_id)
 
     def _withdraw(self, machine_id: int) -> None:
-        """Take a machine out of all sets that are drawn from."""
+        """Remove a machine from the sets that are used for draws and preemption."""
         old = self.class_of.pop(machine_id, None)
         if old is not None:
             self._leave_class(machine_id, old)
@@ -258,7 +258,7 @@
             self.images_of[machine_id] = images
 
     def _update_preemptible(self, machine_id: int, machine: Machine) -> None:
-        """Record which of a machine's work may be preempted at all."""
+        """Record which work on a machine may be preempted at all."""
         work = self._preemptible_work(machine)
         old = self.preemptible_of.get(machine_id)
         if old == work:
@@ -290,8 +290,8 @@
     def _class_order(self, spec: JobSpec) -> list[CapacityClass]:
         """Return the classes that may fit a task, the best first.
 
-        Preferred are the cheaper of spot and on-demand for the job, machines in use, and the
-        fullest.
+        The order prefers the cheaper of spot and on-demand for the job, then machines in use, then
+        the fullest machines.
         """
         key = OrderKey(
             None if spec.types is None else tuple(spec.types),
@@ -317,8 +317,9 @@
     def _class_rank(self, spec: JobSpec, capacity: CapacityClass) -> ClassRank | None:
         """Return the rank of a class for a task, or None if the task never fits it.
 
-        The rank says in this order whether its machines cost more than others, how many GPUs a
-        task without any would leave unused, whether they are idle, and which share is free.
+        The rank compares in this order: whether the class's machines cost more than others, how
+        many GPUs a task without GPUs would leave unused, whether the machines are idle, and which
+        share of them is free.
         """
         kind = self.context.types.get(capacity.type)
         if (
@@ -347,7 +348,7 @@
         """Draw machines at random with capacity for `wanted` tasks and some more.
 
         Machines that hold the image come before all others, better classes before worse ones.
-        `available` may reduce a machine's free resources by what is promised to others.
+        `available` may reduce a machine's free resources by capacity promised to other jobs.
         """
         missing = wanted * constants.SAMPLE_RATIO + constants.SAMPLE_EXTRA_TASKS
         probes_left = constants.SAMPLE_EXTRA_MACHINES + math.ceil(missing)
@@ -374,7 +375,7 @@
     def _member_sets(self, spec: JobSpec, zones: Collection[str]) -> Iterator[tuple[BitMap, bool]]:
         """Yield the sets to draw from in order, and whether their machines hold the image.
 
-        Each set is read when its turn comes: the draw may have withdrawn machines meanwhile.
+        Each set is read only when it is reached, since the draw may withdraw machines meanwhile.
         """
         holders = self.image_holders.get(spec.image)
         for has_image in (True, False) if holders is not None else (False,):
@@ -389,7 +390,7 @@
     def _schedulable(self, machine_id: int) -> Machine | None:
         """Return a machine, or None if it is not schedulable any more.
 
-        Then it is withdrawn until its next heartbeat.
+        A machine that is not schedulable is withdrawn until its next heartbeat.
         """
         machine = self.machines[machine_id]
         if machine is not None and not is_schedulable(self.context, machine):
@@ -399,7 +400,7 @@
         return machine
 
     def feasible(self, spec: JobSpec, zones: Collection[str]) -> BitMap:
-        """Return the machines that satisfy a job's constraints, full ones included."""
+        """Return the machines that satisfy a job's constraints, including full machines."""
         return BitMap.union(
             BitMap(),
             *(
@@ -437,7 +438,7 @@
         )
 
     def capacity_released(self, names: Iterable[str]) -> None:
-        """Count machines as having gained capacity: claims on them have ended."""
+        """Record that machines gained capacity because claims on them have ended."""
         for machine_id in self.bitmap(names):
             if machine_id in self.class_of:
                 self.gained_classes.add(self.class_of[machine_id])
@@ -463,7 +464,7 @@
 
 
 def _discard(sets: dict[KeyT, BitMap], keys: Iterable[KeyT], machine_id: int) -> None:
-    """Take a machine out of the sets under these keys and delete those that become empty."""
+    """Remove a machine from the sets under these keys; delete sets that become empty."""
     for key in keys:
         members = sets[key]
         members.discard(machine_id)
--- a/oakmux/core/scheduling/pending_job.py
+++ b/oakmux/core/scheduling/pending_job.py
@@ -28,7 +28,7 @@
 
 
 class PendingJob(msgspec.Struct, eq=False):
-    """What the shard scheduler remembers of an unfinished job; lost with the process.
+    """The shard scheduler's state of an unfinished job; lost when the process ends.
 
     Fields that end in `_at` or `_until` are local times in seconds.
     """
@@ -42,10 +42,10 @@
     # Machines on which a task of the job ended with an error.
     excluded_machines: set[str] = set()
     backoff_until: float = 0.0
-    # Capacity that preemption was requested for may be offered until then.
+    # Until this time, capacity from requested preemption may be offered.
     preempt_at: float = 0.0
     next_wide_sample_at: float = 0.0
-    # How long to wait for machines that hold the image; None until the first such wait.
+    # Until when to wait for machines that hold the image; None before the first such wait.
     image_wait_until: float | None = None
     # Gangs only: requests by machine, and when the offers gathered so far are declined.
     requested: dict[str, CapacityRequest] = {}
--- a/oakmux/core/scheduling/placement.py
+++ b/oakmux/core/scheduling/placement.py
@@ -19,14 +19,14 @@
 from oakmux.core.state.records import Job
 
 Preference = tuple[bool, bool, bool, bool, bool, float]
-"""Order of machines for a task, the least first; see `preference`."""
+"""Sort key of machines for a task, the lowest first; see `preference`."""
 
 
 class PreemptionRequest(NamedTuple):
     """A job's request to preempt work on `wanted` of the `candidates`.
 
-    Only machines where that costs less than `max_cost_s` seconds of lost work and image fetch
-    are asked.
+    Only machines are chosen where preemption costs less than `max_cost_s` seconds of lost work
+    and image fetch.
     """
 
     job: Job
@@ -50,13 +50,12 @@
 
 
 def image_fetches(context: Context, spec: JobSpec, machine: Machine) -> tuple[bool, list[Job]]:
-    """Return what a machine fetches by its heartbeat and by bindings not in the heartbeat yet.
+    """Return the state of a machine's image fetches for a task.
 
-    That is whether it will have the image of `spec` without another fetch, and the jobs of which
-    it fetches other images.
-
-    Without these bindings, tasks bound in succession to a new machine fetched side by side, each
-    for twice as long.
+    The result is whether the machine will have the image of `spec` without another fetch, and the
+    jobs for which it fetches other images. Bindings that the heartbeat doesn't show yet count too.
+    Otherwise tasks bound in succession to a new machine would fetch in parallel, each for twice as
+    long.
     """
     has_image = spec.image in machine.images
     others: list[Job] = []
@@ -107,16 +106,18 @@
 def preference(
     context: Context, job: Job, spec: JobSpec, machine: Machine, free: Resources
 ) -> Preference:
-    """Return the rank of a machine for a task, the least first.
-
-    The rank says in this order whether the task would strand GPUs, whether the image is missing,
-    whether its fetch would be shared, whether the machine costs more than others, whether it is
-    idle, and which share of it is free.
-
-    A fetch under way counts only where either job is urgent, since fetches share the machine's
-    bandwidth. Spot machines are cheaper; a task without GPUs nevertheless prefers on-demand
-    machines, since it uses up leftovers on any machine and may be lost with a spot machine. Of
-    equals, the fullest machine comes first.
+    """Return the rank of a machine for a task; the lowest rank is preferred.
+
+    The rank compares in this order:
+    - whether the task would strand GPUs;
+    - whether the image is missing;
+    - whether its fetch would share the machine's bandwidth with another fetch; this counts only
+      if either job is urgent;
+    - whether the machine costs more than others. Spot machines are cheaper, but a task without
+      GPUs prefers on-demand machines: it uses up leftovers on any machine and may be lost with a
+      spot machine;
+    - whether the machine is idle;
+    - the free share of the machine: the fullest comes first.
     """
     kind = context.types[machine.type]
     urgent = job.priority >= Priority.URGENT
@@ -139,7 +140,7 @@
 ) -> dict[str, int]:
     """Choose the preferred of the sampled machines for `count` tasks: {machine: tasks}.
 
-    Equals are ordered at random.
+    Ties are broken at random.
     """
     ranked = sorted(
         (
@@ -168,10 +169,10 @@
 
 
 def preemption_budget_s(context: Context, spec: JobSpec, machine: Machine) -> float:
-    """Return how many seconds of lost work are worth sparing a job the fetch on a machine.
+    """Return how many seconds of work may be lost to avoid an image fetch on a machine.
 
-    That is the duration of the fetch, and more if the fetch alone would miss a start objective of
-    the job's class.
+    That is the duration of the fetch, and OBJECTIVE_WORTH_S more if the fetch alone would miss a
+    start objective of the job's class.
     """
     estimate_s = fetch_s(context, spec, machine)
     slow_fetch_s = estimate_s * constants.FETCH_TIME_FACTOR
@@ -185,11 +186,11 @@
 def request_preemption(
     context: Context, index: MachineIndex, request: PreemptionRequest
 ) -> list[str]:
-    """Ask agent managers to preempt work for a job; return the machines that were asked.
+    """Request preemption for a job from agent managers; return the machines of the requests.
 
-    A random sample of the candidates is considered, those that hold the image first. For a gang,
-    either all wanted tasks get a machine or none is asked. Until `state.preempt_at` the capacity
-    may be offered, and no further request is made.
+    A random sample of the candidates is considered, image holders first. For a gang, either all
+    wanted tasks get a machine or no request is made. Until `state.preempt_at` the capacity may be
+    offered, and no further request is made.
     """
     job, spec, state, _, wanted, _ = request
     if context.now < state.preempt_at or context.failures.is_suspect(job):
--- a/oakmux/core/scheduling/sampling.py
+++ b/oakmux/core/scheduling/sampling.py
@@ -33,8 +33,8 @@
 class Sample(NamedTuple):
     """One attempt to find capacity for `wanted` tasks of a job.
 
-    `zones` are those that the job's other tasks leave it. `probes` reservations are sent to have
-    a choice between offers.
+    `zones` are the zones that the job's other tasks allow. `probes` is the number of reservations
+    to send; extra ones give a choice between offers.
     """
 
     job: Job
@@ -72,8 +72,8 @@
     def sample(self) -> None:
         """Sample machines for the jobs that are due.
 
-        With thousands of pending jobs, the work of one tick stays bounded: those of higher
-        priority and those that waited longest come first, and a few others are drawn at random.
+        With thousands of pending jobs, the work of one tick stays bounded: jobs of higher
+        priority and jobs that waited longest come first, and a few others are drawn at random.
         """
         self._bind_collected()
         self.schedule.enqueue_due()
@@ -100,7 +100,7 @@
             self._sample(head.position.job_id)
 
     def _bind_collected(self) -> None:
-        """Bind tasks of the jobs whose offers were collected for long enough."""
+        """Bind tasks of the jobs that have collected offers for OFFER_WINDOW_S."""
         for job_id in list(self.binder.collecting):
             state = self.pending_jobs.get(job_id)
             job = self.context.replica.jobs[job_id]
@@ -111,7 +111,7 @@
                 self.binder.bind_best_offers(job, job.spec, state)
 
     def _teams_with_less_usage(self) -> list[str]:
-        """Return the shard's teams that use less than at the last tick."""
+        """Return the shard's teams that use fewer CPUs or GPUs than at the last tick."""
         usage = {
             team: self.buffer.team_usage(team)
             for team in self.context.held_roles
@@ -148,15 +148,15 @@
         if not wanted:
             self.gangs.end_gathering(job, state)
             self.gangs.end_backfill(job, state)
-            schedule.defer(job.id, math.inf)  # until a task of it is proven to have ended
+            schedule.defer(job.id, math.inf)  # until one of its tasks is proven to have ended
             return
         shape = schedule.queues.put(job, spec)
         if self.quota_claims.exceeds_limit(job, spec, spec.tasks if spec.kind == "gang" else 1):
             self._wait_for_limit(job, spec, state, shape)
             return
-        # Zones that the job's other tasks rule out don't count: free capacity there once hid that
-        # work had to be preempted in another zone, and a spread service waited 50 s for its
-        # second replica.
+        # Zones that the job's other tasks rule out don't count. Free capacity there would hide
+        # that work must be preempted in another zone, and a spread service would wait 50 s for
+        # its second replica.
         allowed = [zone for zone in context.facts.zones if zone_allowed(spec, zones, zone)]
         state.next_sample_at = context.now + constants.RESAMPLE_S
         probes = min(math.ceil(constants.PROBE_RATIO * wanted), constants.MAX_RESERVATIONS_PER_JOB)
@@ -167,7 +167,7 @@
             self._sample_tasks(sample)
 
     def _give_up_gathering(self, job: Job, state: PendingJob) -> None:
-        """Decline what a gang has gathered; it starts over after a random backoff."""
+        """Decline the offers that a gang gathered; it starts over after a random backoff."""
         self.binder.decline_offers(state)
         self.gangs.end_gathering(job, state)
         state.backoff_until = self.context.now + self.context.rng.uniform(
@@ -175,19 +175,19 @@
         )
 
     def _tasks_to_start(self, job: Job, spec: JobSpec, bound: bool) -> int:
-        """Return how many tasks of a job may start now; `bound` if any is bound."""
+        """Return how many tasks of a job may start now; `bound` says whether any task is bound."""
         wanted = self.buffer.unbound_tasks(job)
         if spec.kind == "gang" and bound:
-            return 0  # a new attempt waits until every task of the old one has ended
+            return 0  # a new attempt waits until every task of the old attempt has ended
         if not spec.joint and self.context.failures.is_suspect(job):
-            # It fails on every machine: one task at a time. An array with a mistake would
-            # otherwise take hundreds of places, and as many image fetches, at each attempt.
+            # The job fails on every machine: start one task at a time. Otherwise each attempt of a
+            # faulty array would occupy hundreds of slots and cause as many image fetches.
             return min(wanted, 0 if bound else 1)
         return wanted
 
     def _wait_for_limit(self, job: Job, spec: JobSpec, state: PendingJob, shape: Shape) -> None:
-        """Close the queue of a job that its team's limit keeps from starting."""
-        if state.hold_until:  # what it has gathered is of use to others
+        """Close the queue of a job that can't start because of its team's limit."""
+        if state.hold_until:  # other jobs can use the gathered capacity
             self.binder.decline_offers(state)
             self.gangs.end_gathering(job, state)
         self.gangs.end_backfill(job, state)
@@ -210,8 +210,8 @@
         """Look for capacity for all tasks of a gang."""
         job, spec, state, shape, zones, wanted, _ = sample
         if is_starving(self.context, job):
-            # Its part of the limit is kept while it gathers capacity. Younger work of its team
-            # took it meanwhile, and the gang started over for minutes.
+            # Claims the gang's part of the limit while it gathers capacity. Otherwise younger work
+            # of its team takes that part, and the gang starts over for minutes.
             self.quota_claims.claim(job, spec, wanted)
         if self.gangs.sample(job, spec, state):
             self.schedule.defer(job.id, state.next_sample_at)
@@ -243,7 +243,10 @@
             self._nothing_found(job, state, shape, zones)
 
     def _nothing_found(self, job: Job, state: PendingJob, shape: Shape, zones: list[str]) -> None:
-        """Close the queue of a job that found nothing, unless that is due to the job itself."""
+        """Close the queue of a job that found no capacity.
+
+        If the job's own excluded machines or zones may be the reason, only the job is deferred.
+        """
         if state.excluded_machines or len(zones) < len(self.context.facts.zones):
             self.schedule.defer(job.id, self.context.now + constants.FULL_SAMPLE_INTERVAL_S)
         else:
@@ -252,8 +255,8 @@
     def _sample_widely(self, sample: Sample) -> bool:
         """Request preemption, and queue reservations at feasible machines although they are full.
 
-        Reservations wait there for longer than it takes until the next sample. Returns whether
-        preemption was requested for all wanted tasks.
+        The reservations stay queued there until after the next sample. Returns whether preemption
+        was requested for all wanted tasks.
         """
         job, spec, state, _, zones, wanted, probes = sample
         context = self.context
@@ -278,7 +281,7 @@
         return len(preempted) >= wanted
 
     def _reserve_for_oldest(self, job: Job, spec: JobSpec) -> None:
-        """Send reservations for the oldest job of a job's queue as well, once it is aged.
+        """Also send reservations for the oldest job in the queue of `job`, once it is aged.
 
         Agent managers grant a minimum share of capacity to aged jobs with a reservation.
         """
@@ -301,7 +304,7 @@
         job, spec, state, _, zones, wanted, probes = sample
         image_holders = self.index.feasible_with_image(spec, zones)
         with_image = [candidate for candidate in sampled if candidate.has_image]
-        # A fetch occupies its place too: preempting young work where the image is costs less.
+        # A fetch occupies capacity too: preempting young work on an image holder costs less.
         if (
             image_holders
             and not with_image
@@ -336,9 +339,9 @@
     def _waits_for_image(self, spec: JobSpec, state: PendingJob, machine: Machine) -> bool:
         """Whether to wait for machines that hold the image instead of fetching it.
 
-        The wait is a share of the fetch's duration, as far as the start objectives of the job's
-        class and the guarantee objective leave time. Services don't wait: what runs on the
-        machines that hold their image are mostly services, which don't end.
+        The wait is a share of the fetch's duration, limited by the start objectives of the job's
+        class and by the guarantee objective. Services don't wait: the machines that hold their
+        image mostly run services, which don't end.
         """
         if spec.kind == "service":
             return False
--- a/oakmux/core/scheduling/sampling_schedule.py
+++ b/oakmux/core/scheduling/sampling_schedule.py
@@ -1,9 +1,13 @@
-"""Decides when each job of the shard is sampled: after changes that matter to it, not by polling.
+"""Decides when each job of the shard is sampled: after relevant changes, not by polling.
 
-A job is idle (it has no task to start), deferred to a time (it has just requested capacity, or may
-not start yet), or in a pending queue. A queue is open until its first job finds no capacity, or
-less than it needs. Then it is closed until a machine gained capacity that may suit it, its team's
-usage fell, its first job left, or some seconds have passed: a safety net for missed changes.
+A job is in one of three states:
+- idle: it has no task to start;
+- deferred to a time: it has just requested capacity, or may not start yet;
+- in a pending queue.
+
+A queue is open until its first job finds no capacity, or less than it needs. A closed queue
+reopens when a machine gains capacity that may fit, the team's usage falls, or the first job
+leaves. It also reopens after some seconds, as a safety net for missed changes.
 """
 
 import heapq
@@ -23,7 +27,7 @@
 
 
 class QueueHead(NamedTuple):
-    """The first job of a queue, in the order in which queues are served."""
+    """The first job of a queue; sorts in the order in which queues are served."""
 
     negative_priority: int
     position: QueuePosition
@@ -31,9 +35,10 @@
 
 
 class ClosedQueue(msgspec.Struct, eq=False):
-    """A queue that is closed until `until` (s) at the latest, for `pause_s` the last time.
+    """A queue that is closed until `until` (local time, s) at the latest.
 
-    `by_limit`: the team's limit closed it, so capacity that machines gain does not reopen it.
+    `pause_s` is the length of the last pause. `by_limit`: the team's limit closed the queue, so
+    capacity that machines gain does not reopen it.
     """
 
     until: float
@@ -42,7 +47,7 @@
 
 
 class SamplingSchedule:
-    """The pending jobs of the shard by when they are sampled next."""
+    """The pending jobs of the shard by the time of their next sample."""
 
     def __init__(self, context: Context, pending_jobs: dict[str, PendingJob]) -> None:
         self.context = context
@@ -51,10 +56,10 @@
         self.closed: dict[Shape, ClosedQueue] = {}
         # Capacity that a queue's jobs have requested within RESAMPLE_S.
         self.requested: dict[Shape, list[CapacityRequest]] = {}
-        # Heap of the times to which jobs are deferred. Entries that are out of date stay in it.
+        # Heap of the times to which jobs are deferred. Stale entries are skipped when popped.
         self.timers: list[tuple[float, str]] = []
         # Gangs that hold or have requested capacity and are due: sampled even if their queue is
-        # closed, since what they hold is released in time.
+        # closed, so that the capacity that they hold is released in time.
         self.gathering: list[str] = []
 
     # --- single jobs ---
@@ -62,7 +67,7 @@
     def enqueue(self, job: Job) -> None:
         """Queue a job that has a task to start for which no machine was sampled yet.
 
-        If it comes first, its queue reopens: what found no capacity may have been another job.
+        If the job comes first, its queue reopens: another job may have closed it.
         """
         state = self.pending_jobs.get(job.id)
         if state is not None and job.spec is not None:
@@ -77,14 +82,14 @@
             self.queues.put(job, job.spec)
 
     def defer(self, job_id: str, until: float) -> None:
-        """Sample a job at a time (s), or not before its next `enqueue` if that is infinite."""
+        """Sample a job at `until` (s); if infinite, not before the next `enqueue` or `defer`."""
         self.pending_jobs[job_id].next_sample_at = until
         self.remove(job_id)
         if until < math.inf:
             heapq.heappush(self.timers, (until, job_id))
 
     def remove(self, job_id: str) -> None:
-        """Take a job out of its queue. If it was the first, the queue reopens for the next."""
+        """Remove a job from its queue. If it was the first, the queue reopens for the next job."""
         entry = self.queues.entries.get(job_id)
         if entry is None:
             return
@@ -102,8 +107,8 @@
     def close_queue(self, shape: Shape) -> None:
         """Close a queue whose first job found no capacity.
 
-        The pause before the safety net reopens it doubles each time, up to a maximum that is
-        smaller for urgent work: what it may preempt changes with time.
+        The pause before the safety net reopens the queue doubles each time, up to a maximum. The
+        maximum is smaller for urgent work, because the work that it may preempt changes with time.
         """
         max_pause_s = (
             constants.QUEUE_RESAMPLE_URGENT_S
@@ -123,11 +128,11 @@
         )
 
     def capacity_requested(self, shape: Shape, tasks: int, found: int | None) -> None:
-        """Record that a job of a queue requested capacity for so many tasks.
+        """Record that a job of a queue requested capacity for `tasks` tasks.
 
-        `found` is for how many tasks there is capacity, if all of it was counted. Once the queue
-        has requested all of it, the queue is closed until the first request is over: the jobs
-        behind would request the same.
+        `found` is the number of tasks that fit into all free capacity; None if it was not fully
+        counted. Once the queue has requested all of it, the queue is closed until the first
+        request expires: the next jobs would request the same capacity.
         """
         now = self.context.now
         self.closed.pop(shape, None)
@@ -140,12 +145,12 @@
             )
 
     def reopen_fitting(self, gained_classes: Collection[CapacityClass]) -> None:
-        """Reopen the queues that capacity gained by machines may suit."""
+        """Reopen the queues whose jobs may fit into capacity that machines gained."""
         if not gained_classes:
             return
         for shape, closed in self.closed.items():
             if not closed.by_limit and any(shape.may_fit(capacity) for capacity in gained_classes):
-                closed.until = 0.0  # the pause stays as it is, in case nothing is found
+                closed.until = 0.0  # `pause_s` stays and doubles if nothing is found
 
     def reopen_limited(self, teams: Iterable[str]) -> None:
         """Reopen the queues closed by the limits of teams whose usage fell."""
@@ -157,7 +162,7 @@
     # --- each tick ---
 
     def enqueue_due(self) -> None:
-        """Queue the jobs whose time has come."""
+        """Queue the deferred jobs whose time has come."""
         if self.queues.resize():
             self.closed.clear()
             self.requested.clear()
@@ -167,7 +172,7 @@
             state = self.pending_jobs.get(job_id)
             if (
                 state is None
-                or state.next_sample_at != at  # it was deferred anew
+                or state.next_sample_at != at  # stale: the job was deferred again
                 or job_id in self.queues.entries
             ):
                 continue
--- a/oakmux/core/scheduling/scheduler.py
+++ b/oakmux/core/scheduling/scheduler.py
@@ -14,7 +14,7 @@
 
 
 class ShardScheduler:
-    """Places the jobs of the teams whose roles are held. Its parts share the open jobs."""
+    """Places the jobs of the teams whose roles are held. Its parts share `pending_jobs`."""
 
     def __init__(self, context: Context, agents: AgentManager) -> None:
         self.pending_jobs: dict[str, PendingJob] = {}
@@ -34,8 +34,9 @@
     def on_roles_lost(self, kept_roles: set[str]) -> None:
         """Drop the state of all teams but those in `kept_roles`, held without interruption.
 
-        A role that was lost and won again between two reads of the records had another holder in
-        between. Unwritten changes would overwrite what that controller did (R ran_twice, quota).
+        A role that was lost and reacquired between two reads of the records had another holder
+        meanwhile. Unwritten changes would overwrite that controller's changes and break the rules
+        `ran_twice` and `quota`.
         """
         self.buffer.drop_lost(kept_roles)
         self.binder.drop_lost(kept_roles)
