--- a/oakmux/core/scheduling/backfill_candidates.py
+++ b/oakmux/core/scheduling/backfill_candidates.py
@@ -1,4 +1,4 @@
-"""Candidates for a backfill reservation: when machines' tasks end, and what preemption loses."""
+"""Candidate machines for a backfill reservation: when tasks end, and what preemption loses."""
 
 import math
 from collections.abc import Iterable
@@ -35,7 +35,7 @@
     if spec.kind == "service":
         return math.inf
     state = machine.tasks.get(task, ("",))[0]
-    if state != RUNNING:  # it has yet to fetch its image, or waits for the rest of its gang
+    if state != RUNNING:  # the task fetches its image or waits for the rest of its gang
         return spec.estimate_s + context.fetch_s(spec, machine.type)
     ran_s = context.now - machine.since.get(task, context.now)
     overrun_s = max(constants.OVERRUN_MIN_S, constants.OVERRUN_SHARE * ran_s)
--- a/oakmux/core/scheduling/backfill_plan.py
+++ b/oakmux/core/scheduling/backfill_plan.py
@@ -1,11 +1,14 @@
 """Plans a backfill reservation: which machines to keep for a gang so that all are free soonest.
 
-Without it a gang of many tasks waits until it finds enough capacity by chance: younger gangs take
-what ends on one machine before the next machine is free, and holding free capacity leaves that
-idle. A reservation names the machines in advance. Work that can't be preempted for the gang is no
-longer placed there unless it ends in time. Arrays still are, since they are preempted when all is
-ready. So no capacity stands idle, nothing that ends in time is moved, and a plan that is dropped
-leaves nothing half done.
+Without a reservation, a gang of many tasks finds enough capacity only by chance: younger gangs
+take the capacity freed on one machine before the next machine is free, and capacity held for the
+gang would be idle. A reservation names the machines in advance:
+
+- Work that can't be preempted for the gang is placed there only if it ends in time.
+- Arrays are still placed there, since they are preempted when all machines are ready.
+
+So no capacity is idle, no task that ends in time is moved, and a dropped plan leaves nothing half
+done.
 """
 
 import heapq
@@ -18,9 +21,9 @@
 
 
 class CandidateTask(NamedTuple):
-    """A task on a machine, and when its resources can be had.
+    """A task on a machine, and when its resources become available.
 
-    `ready_s`: in how many seconds; infinite if never. `lost_s`: seconds of work that are lost.
+    `ready_s`: seconds until then; infinite if never. `lost_s`: seconds of work that are lost.
     """
 
     resources: Resources
@@ -40,8 +43,8 @@
 class BackfillPlan(NamedTuple):
     """The number of tasks that each machine is reserved for.
 
-    All are ready in `ready_s` seconds, at the loss of `lost_s` seconds of work. `zone` is None
-    where the gang may use several.
+    All machines are ready in `ready_s` seconds, at the loss of `lost_s` seconds of work. `zone` is
+    None if the gang may use several zones.
     """
 
     zone: str | None
@@ -59,14 +62,14 @@
 
 
 class PlanRank(NamedTuple):
-    """Order of plans; the least is chosen. Keeping the previous machines lowers `ready_s`."""
+    """Sort key of plans; the smallest is chosen. Keeping previous machines lowers `ready_s`."""
 
     ready_s: float
     lost_s: float
 
 
 class SlotRank(NamedTuple):
-    """Order of the slots that are ready in time; the least is chosen first."""
+    """Sort key of the slots that are ready in time; the smallest is chosen first."""
 
     new_machine: bool
     lost_s: float
@@ -77,7 +80,7 @@
 def tasks_that_fit(need: Resources, free: Resources) -> int:
     """Return how many tasks fit into free resources.
 
-    Of tasks that need nothing as many fit as a record can hold.
+    If a task needs no resources, the count is the number of tasks that a record can hold.
     """
     if need == NO_RESOURCES:
         return constants.BLOCK_TASKS
@@ -87,8 +90,8 @@
 def task_slots(need: Resources, candidate: BackfillCandidate, max_slots: int) -> list[TaskSlot]:
     """Return up to `max_slots` slots on a machine, the soonest first.
 
-    Tasks end or are preempted in the order in which that is possible. Those that turn out not to
-    be needed stay.
+    Running tasks end or are preempted in the order in which their resources become available.
+    Tasks whose resources turn out not to be needed stay.
     """
     free = candidate.free
     slot_count = tasks_that_fit(need, free)
@@ -117,7 +120,7 @@
 ) -> list[CandidateTask]:
     """Return the tasks that must end so that `count` tasks fit; the costliest are spared first.
 
-    `free` is what is free once all of `ended` have ended.
+    `free` holds the free resources once all of `ended` have ended.
     """
     needed = list(ended)
     for task in sorted(ended, key=lambda task: (-task.ready_s, -task.lost_s)):
@@ -133,7 +136,7 @@
 
 
 def _released(free: Resources, tasks: Iterable[CandidateTask]) -> Resources:
-    """Return what is free once tasks have ended."""
+    """Return the free resources once tasks have ended."""
     cpus, gpus, memory_gb = free.cpus, free.gpus, free.memory_gb
     for task in tasks:
         cpus += task.resources.cpus
@@ -151,9 +154,9 @@
 ) -> BackfillPlan | None:
     """Return the machines to reserve for all tasks of a gang, or None if they never suffice.
 
-    The zone (or all zones together) with capacity for all tasks soonest is chosen; in it, of the
-    capacity that is ready by then, what costs least. The `previous` plan's machines are kept
-    unless others are ready sooner by BACKFILL_MARGIN_S, so that plans don't alternate.
+    The plan uses the zone (or all zones together) that has capacity for all tasks soonest, and
+    there the cheapest of the capacity that is ready by then. The `previous` plan's machines are
+    kept unless others are ready sooner by BACKFILL_MARGIN_S, so that plans don't alternate.
     """
     previous = previous or {}
     groups: dict[str | None, list[TaskSlot]] = {}
@@ -192,9 +195,9 @@
 def _cheapest_slots(
     slots: list[TaskSlot], tasks: int, ready_s: float, previous: Mapping[str, int]
 ) -> list[TaskSlot]:
-    """Choose the cheapest slots that are ready in time, on each machine in their order."""
+    """Choose the cheapest slots that are ready in time; slots of one machine keep their order."""
     deadline_s = ready_s + min(ready_s, constants.BACKFILL_MARGIN_S)
-    by_machine: dict[str, list[TaskSlot]] = {}  # the next slot of a machine is the last
+    by_machine: dict[str, list[TaskSlot]] = {}  # in reverse: a machine's next slot is last
     for slot in reversed(slots):
         if slot.ready_s <= deadline_s:
             by_machine.setdefault(slot.machine, []).append(slot)
--- a/oakmux/core/scheduling/backfill_planner.py
+++ b/oakmux/core/scheduling/backfill_planner.py
@@ -28,8 +28,8 @@
     def is_required(self, job: Job, spec: JobSpec) -> bool:
         """Whether a gang gets a backfill reservation although the setting is off.
 
-        That is so for a large gang that starves. Smaller gangs find capacity without, and many
-        reservations at a time cost other work more than they gain.
+        Large starving gangs do. Smaller gangs find capacity without a reservation, and many
+        reservations at a time cost other work more than the gangs gain.
         """
         if not is_starving(self.context, job):
             return False
@@ -49,15 +49,15 @@
         return machines >= large_machines
 
     def update(self, job: Job, spec: JobSpec, state: PendingJob) -> bool:
-        """Plan a gang's backfill reservation anew and announce it; return whether it has one.
+        """Update and announce a gang's backfill reservation; return whether the gang has one.
 
-        Called where there is no capacity for all tasks even with preemption. With a reservation
-        the gang holds nothing, and requests all capacity at once when all of it is ready.
+        Called when there is no capacity for all tasks even with preemption. A gang with a
+        reservation holds no capacity, and requests all of it at once when all of it is ready.
         """
         context = self.context
         if not self._is_eligible(job, spec):
             return False
-        if context.now < state.next_backfill_at:  # the announcement is valid for longer than that
+        if context.now < state.next_backfill_at:  # announcements are valid for longer
             return bool(state.backfill_machines)
         state.next_backfill_at = context.now + constants.BACKFILL_PLAN_INTERVAL_S
         plan = self._plan(job, spec, state)
@@ -90,7 +90,7 @@
     def _plan(self, job: Job, spec: JobSpec, state: PendingJob) -> BackfillPlan | None:
         """Choose the machines to reserve, or None if there is no acceptable plan.
 
-        Some more than needed are reserved if there are enough, since machines may fail meanwhile.
+        Spare capacity is reserved too if there is enough, since machines may fail meanwhile.
         """
         context = self.context
         feasible = self.index.feasible(spec, context.facts.zones)
@@ -110,7 +110,7 @@
         ) or choose_plan(need, spec.tasks, candidates, spec.one_zone, state.backfill_machines)
         if plan is None or plan.ready_s > constants.BACKFILL_HORIZON_S:
             return None
-        # The first reservation is always allowed; further ones must leave enough for other work.
+        # The first reservation is always allowed. Others must leave enough machines to other work.
         if reserved and len(reserved) + len(plan.machines) > constants.BACKFILL_FLEET_SHARE * len(
             feasible
         ):
@@ -126,7 +126,7 @@
         return True
 
     def _announce(self, job: Job, machines: list[str], ready_s: float) -> None:
-        """Send a backfill reservation to all controllers; without machines it ends."""
+        """Send a backfill reservation to all controllers; an empty list of machines ends it."""
         for label in (
             self.context.controller_id,
             *(peer.controller_id for peer in self.context.settings.peers),
--- a/oakmux/core/scheduling/backfill_reservations.py
+++ b/oakmux/core/scheduling/backfill_reservations.py
@@ -1,4 +1,4 @@
-"""Backfill reservations of all controllers: which machines are kept for which gang."""
+"""Backfill reservations of all controllers: which machines are reserved for which gang."""
 
 from typing import NamedTuple
 
@@ -11,7 +11,7 @@
 
 
 class BackfillReservation(NamedTuple):
-    """A gang's reservation as last announced; it expires unless it is announced again.
+    """A gang's reservation as last announced; it expires unless announced again.
 
     `submitted_ms` is the gang's submission time; `expires_at` and `ready_at` are local times (s).
     """
@@ -24,7 +24,10 @@
 
 
 class BackfillReservations:
-    """Reservations by job and by machine. Of two for one machine, the older gang's counts."""
+    """Reservations by job and by machine.
+
+    If two gangs reserve a machine, the one with the higher priority gets it, or else the older.
+    """
 
     def __init__(self, context: Context) -> None:
         self.context = context
@@ -32,7 +35,7 @@
         self.by_machine: dict[str, str] = {}
 
     def announced(self, message: AnnounceBackfill) -> None:
-        """Replace a gang's reservation by what its controller announced; no machines end it."""
+        """Replace a gang's reservation by the announced one; an empty list of machines ends it."""
         now = self.context.now
         job_id, machines = message.job_id, message.machines
         self.by_job.pop(job_id, None)
@@ -60,9 +63,10 @@
     def blocks_job(self, machine: str, job: Job, spec: JobSpec) -> bool:
         """Whether a reservation keeps a job off a machine.
 
-        Jobs that come before the gang are not kept off. Of the others, preemptible ones are kept
-        off if the gang is ready so soon that they would be preempted at once, and the rest unless
-        they end in time.
+        - Jobs that precede the gang are never kept off.
+        - Preemptible jobs are kept off if the machines are ready so soon that the jobs would be
+          preempted at once.
+        - Other jobs are kept off unless they end in time.
         """
         gang_id = self.by_machine.get(machine)
         reservation = self.by_job.get(gang_id or "")
@@ -84,26 +88,26 @@
         return spec.kind == "service" or ends_s > left_s
 
     def _precedes(self, job: Job, gang_id: str, reservation: BackfillReservation) -> bool:
-        """Whether a job comes before a gang with a reservation."""
+        """Whether a job precedes a gang with a reservation."""
         if job.priority != reservation.priority:
             return job.priority > reservation.priority
         if (job.since, job.id) >= (reservation.submitted_ms, gang_id):
             return False
-        # An older job does, but not for ever: once some of it has started, a starving gang is not
-        # kept waiting by the rest.
+        # An older job precedes the gang, but not for ever: once some of its tasks have started,
+        # its other tasks no longer delay a starving gang.
         gang = self.context.replica.jobs.get(gang_id)
         return not job.begun or gang is None or not is_starving(self.context, gang)
 
     def is_reserved(self, machine: str) -> bool:
-        """Whether a machine is kept for a gang. If so, it may be idle although there is work."""
+        """Whether a machine is reserved for a gang, so that it may be idle although jobs wait."""
         reservation = self.by_job.get(self.by_machine.get(machine, ""))
         return reservation is not None and reservation.expires_at > self.context.now
 
     def reserved_before(self, job: Job) -> set[str]:
-        """Return the machines reserved for gangs that come before a job.
+        """Return the machines reserved for gangs that precede a job.
 
-        It may take those of later ones. Otherwise the oldest gang finds no machines where several
-        smaller ones wait.
+        The job may take the machines of later gangs. Otherwise the oldest gang finds no machines
+        when several smaller gangs wait.
         """
         own_rank = (job.priority, -job.since, job.id)
         earlier = {
--- a/oakmux/core/scheduling/minimum_share.py
+++ b/oakmux/core/scheduling/minimum_share.py
@@ -20,12 +20,12 @@
 
 
 class MinimumShare:
-    """What an agent manager owes aged jobs of the capacity that its machines have granted.
+    """The debt of an agent manager to aged jobs: their share of the capacity granted to others.
 
-    Each grant to a job by rank adds a share of it to the debt. Once the debt is worth a task of
-    the oldest aged job with a reservation where capacity is free, that job comes first, and the
-    grant is taken off the debt. So aged jobs get their share in the order of age whatever their
-    rank, and never more. Gangs are left out: they gather capacity in their own way.
+    Each grant by rank adds a share of its size to the debt. When capacity on a machine is free and
+    the debt covers a task of the oldest aged job with a reservation there, that job comes first,
+    and its grant is subtracted from the debt. So aged jobs get their share in the order of age
+    whatever their rank, and never more. Gangs are excluded: they gather capacity in another way.
     """
 
     def __init__(self, context: Context) -> None:
@@ -34,12 +34,12 @@
         self.share = context.settings.scheduling.minimum_share
 
     def due_job(self, kind: MachineType, free: Resources, jobs: Iterable[Job]) -> Job | None:
-        """Return the oldest aged job that fits, if the debt is worth a task of it.
+        """Return the oldest aged job that fits, if the debt covers one of its tasks.
 
         Args:
             kind: the type of the machine with free capacity.
-            free: what is free on it.
-            jobs: the jobs with a reservation on it.
+            free: the machine's free resources.
+            jobs: the jobs with a reservation on the machine.
         """
         if self.debt <= 0:
             return None
@@ -57,11 +57,11 @@
         return oldest
 
     def granted_by_age(self, spec: JobSpec, kind: MachineType) -> None:
-        """Take a grant to a job that was due by age off the debt."""
+        """Subtract a grant to a job that was due by age from the debt."""
         self.debt -= machine_share(spec, kind)
 
     def granted_by_rank(self, spec: JobSpec, kind: MachineType) -> None:
-        """Add the aged jobs' share of a grant to another job to the debt."""
+        """Add the aged jobs' share of a grant by rank to the debt."""
         self.debt = min(
             constants.MINIMUM_SHARE_DEBT_MAX,
             self.debt + self.share / (1 - self.share) * machine_share(spec, kind),
--- a/oakmux/core/scheduling/pending_queues.py
+++ b/oakmux/core/scheduling/pending_queues.py
@@ -1,7 +1,7 @@
 """Pending queues: jobs that wait for capacity, one queue for each shape of job.
 
-Where the first job of a queue finds no capacity, the next would not find any either. So the cost
-of waiting depends on the number of queues and not on the number of jobs.
+If the first job of a queue finds no capacity, the jobs behind it find none either. So the cost of
+pending jobs depends on the number of queues and not on the number of jobs.
 """
 
 import heapq
@@ -23,7 +23,7 @@
 
 
 class Requirement(NamedTuple):
-    """What a task takes of a machine type that it fits.
+    """The share of a machine that a task takes, for one machine type that it fits.
 
     The levels are shares of CPUs and of memory in steps of 1 / CAPACITY_LEVELS, rounded up.
     """
@@ -33,7 +33,7 @@
     memory_level: int
 
     def may_fit(self, capacity: CapacityClass) -> bool:
-        """Whether a machine of a class may have as much free."""
+        """Whether a machine of a capacity class may have enough free CPUs and memory."""
         return (
             self.type == capacity.type
             and self.cpu_level <= capacity.cpu_level + 1
@@ -42,7 +42,7 @@
 
 
 class Shape(NamedTuple):
-    """What decides which capacity suits a job.
+    """The properties of a job that decide which capacity suits it.
 
     `tasks` is the size of a gang, and 0 where tasks start one by one.
     """
@@ -59,7 +59,7 @@
     spread: bool
 
     def may_fit(self, capacity: CapacityClass) -> bool:
-        """Whether a machine of a class may have capacity for a task; if not, none has."""
+        """Whether machines of a capacity class may have room for a task; if False, none has."""
         return (
             self.gpus < capacity.gpus + 1
             and self.zone in (None, capacity.zone)
@@ -69,7 +69,7 @@
 
 
 class QueuePosition(NamedTuple):
-    """Order of the jobs in a pending queue; the least comes first. Times are in ms."""
+    """Sort key of a job in a pending queue; the smallest comes first. Times are in ms."""
 
     not_starving: bool
     latest_start_ms: float
@@ -79,7 +79,7 @@
 
 
 class QueueEntry(NamedTuple):
-    """Where a job is queued. `submitted_ms` orders the jobs of a queue by age."""
+    """A job's queue and its position there. `submitted_ms` orders the jobs of a queue by age."""
 
     shape: Shape
     position: QueuePosition
@@ -95,7 +95,7 @@
 
 
 def requirements_of(context: Context, spec: JobSpec) -> tuple[Requirement, ...]:
-    """Return what a task takes of each machine type that it fits."""
+    """Return a task's requirement for each machine type that it fits."""
     return tuple(
         [
             Requirement(
@@ -126,7 +126,7 @@
 
 
 def position_of(context: Context, job: Job, spec: JobSpec) -> QueuePosition:
-    """Return the position in its queue that a job has now."""
+    """Return a job's current position in its queue."""
     return QueuePosition(
         not is_starving(context, job),
         job.latest_start_ms,
@@ -146,15 +146,15 @@
         self.by_age: dict[Shape, SortedList] = {}
         self.entries: dict[str, QueueEntry] = {}
         self.type_sizes: dict[str, TypeSize] = {}
-        # Heap of the times (ms) at which jobs begin to starve. A job is in it at most once,
-        # however often it leaves its queue and comes back.
+        # Heap of the times (ms) at which jobs begin to starve. It holds a job at most once,
+        # however often the job leaves its queue and returns.
         self.starving_at: list[tuple[float, str]] = []
         self.in_starving_heap: set[str] = set()
 
     def refresh_shapes(self) -> bool:
-        """Queue all jobs anew if the machine types, and with them the shapes, changed.
+        """Queue all jobs again if the machine types changed, since the shapes depend on them.
 
-        Returns whether they did.
+        Returns whether the machine types changed.
         """
         type_sizes = {
             kind.name: TypeSize(kind.cpus, kind.gpus, kind.memory_gb)
@@ -192,7 +192,7 @@
         self.entries[position.job_id] = entry
 
     def _watch_starvation(self, job: Job) -> None:
-        """Have `promote_starving` move the job once it begins to starve."""
+        """Let `promote_starving` move a job when it begins to starve."""
         at_ms = job.since + 1000 * starvation_s(job)
         if at_ms >= self.context.wall_clock_ms and job.id not in self.in_starving_heap:
             self.in_starving_heap.add(job.id)
@@ -208,7 +208,7 @@
                 self.put(job, job.spec)
 
     def drop(self, job_id: str) -> None:
-        """Take a job out of its queue."""
+        """Remove a job from its queue."""
         entry = self.entries.pop(job_id, None)
         if entry is None:
             return
@@ -228,9 +228,9 @@
     def head(self, shape: Shape) -> QueuePosition | None:
         """Return the position of a queue's first job, or None if there is no such queue.
 
-        A job that can't meet its finish objective any more is first moved behind those that can.
+        First moves jobs that can no longer meet their finish objective behind jobs that can.
         """
-        # Moving the only job of a queue deletes the queue and makes a new one.
+        # Moving the only job of a queue deletes the queue and creates a new one.
         while queue := self.by_shape.get(shape):
             head: QueuePosition = queue[0]
             job = self.context.replica.jobs[head.job_id]
@@ -249,7 +249,7 @@
         return iter(()) if queue is None else (head.job_id for head in queue.islice(0, count))
 
     def clear(self) -> None:
-        """Drop all jobs."""
+        """Remove all jobs."""
         self.by_shape.clear()
         self.by_age.clear()
         self.entries.clear()
--- a/oakmux/core/scheduling/queue_order.py
+++ b/oakmux/core/scheduling/queue_order.py
@@ -1,11 +1,14 @@
 """Order of the jobs of one priority, and which of them have waited for too long.
 
-In a burst above the fleet's capacity some jobs miss their class's finish objective whatever the
-order. By age alone all of them miss it, since each is served just as its time is over. So an
-array counts as younger by its size, as if each array had a small part of the fleet to itself, and
-jobs that can't meet their objective any more come after those that can. Both would starve large
-arrays. So jobs that have waited for too long are granted a share of the capacity whatever their
-position (`oakmux.core.scheduling.minimum_share`), and starving ones come first.
+In a burst above the fleet's capacity, some jobs miss their class's finish objective in any order.
+In order of age alone, all of them miss it, since each is served just when its time is over. So:
+
+- An array counts as younger the larger it is, as if it had a small part of the fleet to itself.
+- Jobs that can no longer meet their objective come after jobs that can.
+
+Both rules would starve large arrays. So jobs that have waited for too long are granted a share of
+the capacity whatever their position (`oakmux.core.scheduling.minimum_share`), and starving jobs
+come first.
 """
 
 from oakmux import constants
@@ -15,14 +18,14 @@
 from oakmux.core.state.records import Job
 
 QueueRank = tuple[bool, int, bool, float, bool, float, float]
-"""What orders jobs in a queue, the smallest first: see `queue_rank`."""
+"""Sort key of jobs in a queue, the smallest first; see `queue_rank`."""
 
 
 def is_starving(context: Context, job: Job) -> bool:
-    """Whether a job comes before all others of its priority.
+    """Whether a job is starving, so that it precedes all others of its priority.
 
-    That is so if none of it has started and a good part of the time is over by which all jobs, the
-    largest included, must have started.
+    A job is starving if none of its tasks has started and a large share of START_LIMIT_S, within
+    which even the largest jobs must have started, is over.
     """
     return (
         context.wall_clock_ms - job.since > 1000 * starvation_s(job)
@@ -32,10 +35,10 @@
 
 
 def starvation_s(job: Job) -> float:
-    """Return the seconds after which a job starves.
+    """Return the seconds after which a job is starving.
 
-    Gangs starve earlier: they need capacity for all tasks at once, and most of the work that runs
-    on it has to end first.
+    The time is shorter for gangs: they need capacity for all tasks at once, and most of the work
+    that runs on it has to end first.
     """
     joint = job.spec is not None and job.spec.joint
     return constants.START_LIMIT_S * (
@@ -44,7 +47,7 @@
 
 
 def effective_submission_ms(context: Context, job: Job, spec: JobSpec) -> float:
-    """Return the time (ms) that a job's age counts from: later for an array with much work."""
+    """Return the time (ms) from which a job's age counts: later for an array with much work."""
     if spec.kind != "array" or is_starving(context, job):
         return job.since
     work = spec.tasks * spec.estimate_s * max(spec.gpus, constants.CPU_TASK_GPUS)
@@ -52,7 +55,7 @@
 
 
 def misses_objective(context: Context, job: Job, spec: JobSpec) -> bool:
-    """Whether by its estimate an array can't meet its class's finish objective any more."""
+    """Whether an array, by its estimate, can no longer meet its class's finish objective."""
     within_s = context.objectives.finish_s.get(spec.job_class)
     return (
         spec.kind == "array"
@@ -72,9 +75,9 @@
 
 
 def queue_rank(context: Context, job: Job, spec: JobSpec, usage: quotas.TeamUsage) -> QueueRank:
-    """Return the order of a job in a queue, the smallest first.
+    """Return the sort key of a job in a queue, the smallest first.
 
-    Guaranteed work and priority come first, then starving jobs, the latest start that meets a
+    Criteria in order: guaranteed work, priority, starving jobs, the latest start that meets the
     deadline, jobs that can still meet their objective, teams that use little of their guarantee,
     and the age of the job.
     """
--- a/oakmux/core/scheduling/quota_claims.py
+++ b/oakmux/core/scheduling/quota_claims.py
@@ -1,4 +1,4 @@
-"""Claims of jobs on their team's limit, while other jobs of the team use it."""
+"""Claims of pending jobs on their team's limit, while other jobs of the team use it."""
 
 import math
 from typing import NamedTuple
@@ -14,9 +14,10 @@
 
 
 class LimitClaim(NamedTuple):
-    """A part of a team's limit that is reserved for a job until a local time (s).
+    """A part of a team's limit that is reserved for a job until `expires_at` (local time in s).
 
-    It excludes jobs of lower priority, and those of the same that became ready after `since` (ms).
+    The claim excludes jobs of lower priority, and jobs of the same priority that became ready
+    after `since_ms`.
     """
 
     expires_at: float
@@ -28,7 +29,7 @@
 
 
 class QuotaClaims:
-    """Checks jobs against the limits of their teams, with what other jobs claim of them."""
+    """Checks jobs against the limits of their teams, including the claims of other jobs."""
 
     def __init__(self, context: Context, buffer: WriteBuffer) -> None:
         self.context = context
@@ -36,13 +37,13 @@
         self.claims: dict[str, LimitClaim] = {}
 
     def exceeds_limit(self, job: Job, spec: JobSpec, tasks: int = 1) -> bool:
-        """Whether so many more tasks of a job would exceed its team's limit.
+        """Whether `tasks` more tasks of a job would exceed its team's limit.
 
-        What jobs that go before it claim counts as used.
+        The claims of jobs that precede the job count as used.
         """
         quota = self.context.teams.get(job.team)
         if quota is not None and not quota.cpus_max and not quota.gpus_max:
-            # Its usage isn't counted: this is called at each offer to thousands of tiny jobs.
+            # Skips counting the usage: each offer to thousands of tiny jobs gets here.
             return False
         self._drop_expired()
         cpus, gpus = self.buffer.team_usage(job.team)
@@ -64,12 +65,17 @@
                 del self.claims[job_id]
 
     def claim(self, job: Job, spec: JobSpec, wanted: int) -> None:
-        """Reserve for a job that its team's limit holds back what jobs behind it release.
+        """Reserve what jobs behind a job release, if the team's limit delays the job.
 
-        Otherwise a gang never starts beside an array of its own team, whose next task takes each
-        place that one leaves; nor one that has waited beside smaller, younger gangs. Nothing is
-        reserved where the release of these jobs would not suffice: services keep what they use,
-        and a gang that needed it would block the rest of the limit for ever without using it.
+        Otherwise some gangs never start:
+
+        - a gang beside an array of its own team, whose next task takes each place that a task
+          leaves;
+        - a gang that has waited long, beside smaller, younger gangs.
+
+        Nothing is reserved if the resources of the jobs behind would not suffice: services keep
+        what they use, and a gang that needs it would block the rest of the limit for ever without
+        using it.
         """
         starving = is_starving(self.context, job)
         precedes_equals = starving or self._has_waited_long(job, spec)
@@ -95,14 +101,14 @@
         )
 
     def _has_waited_long(self, job: Job, spec: JobSpec) -> bool:
-        """Whether a gang has waited so long that it goes before others of its priority."""
+        """Whether a gang has waited so long that it precedes others of its priority."""
         waited_ms = self.context.wall_clock_ms - job.since
         return spec.kind == "gang" and waited_ms > 1000 * constants.BACKFILL_MIN_WAIT_S
 
     def _usage_without_jobs_behind(self, job: Job, used: Usage, precedes_equals: bool) -> Usage:
-        """Return what a job's team will use once the tasks behind the job have ended.
+        """Return the usage of a job's team once the tasks of jobs behind it have ended.
 
-        Services don't end. With `precedes_equals`, the job goes before others of its priority.
+        Services don't end. With `precedes_equals`, the job precedes others of its priority.
         """
         cpus, gpus = used
         by_priority = self.context.replica.usage.preemptible.get(job.team, {})
--- a/oakmux/core/scheduling/quotas.py
+++ b/oakmux/core/scheduling/quotas.py
@@ -1,4 +1,4 @@
-"""Quotas of teams: the limit of what a team may use, and the guarantee of what it gets."""
+"""Team quotas: the limit on the resources that a team may use, and the guarantee that it gets."""
 
 from collections.abc import Mapping
 
@@ -9,10 +9,10 @@
 from oakmux.core.state.records import Job
 
 TeamUsage = Mapping[str, Usage]
-"""What the tasks of each team use."""
+"""Resources that the tasks of each team use."""
 
 UNKNOWN_TEAM_SHARE = 1e9
-"""Share of its guarantee that a team without an entry in the settings counts as using."""
+"""Share of its guarantee that a team missing from the settings is assumed to use."""
 
 
 def exceeds_limit(context: Context, team: str, cpus: float, gpus: float) -> bool:
@@ -27,7 +27,7 @@
 
 
 def tasks_left(context: Context, team: str, spec: JobSpec, usage: TeamUsage) -> int:
-    """Return how many more tasks of a job its team's limit allows; all of them if it has none."""
+    """Return how many more tasks of a job its team's limit allows; without a limit, all tasks."""
     quota = context.teams.get(team)
     if quota is None:
         return 0
@@ -54,17 +54,17 @@
         return "a task fits no allowed machine type"
     zones = {zone for kind in kinds for zone in kind.zones if spec.zone in (None, zone)}
     if not zones:
-        return "no allowed machine type is there in its zone"
+        return "no allowed machine type is available in its zone"
     concurrent = 1 if spec.kind == "array" else spec.tasks
     if spec.spread and concurrent > 1 and (spec.one_zone or len(zones) < 2):
         return "tasks that run at the same time can't be spread over one zone"
     if exceeds_limit(context, spec.team, spec.cpus * concurrent, spec.gpus * concurrent):
-        return "more than the team's limit"
+        return "needs more than the team's limit"
     return None
 
 
 def usage(context: Context) -> dict[str, Usage]:
-    """Return what the tasks of each team use by the records; not to be modified."""
+    """Return the resources that each team's tasks use by the records; not to be modified."""
     return context.replica.usage.by_team
 
 
@@ -91,7 +91,8 @@
 def teams_over_guarantee(context: Context, job: Job, spec: JobSpec, usage: TeamUsage) -> list[str]:
     """Return the other teams whose work a job may preempt whatever its priority.
 
-    These use more than their guarantee. There are none if the job exceeds its own team's.
+    These teams use more than their guarantee. The list is empty if the job exceeds the guarantee
+    of its own team.
     """
     if not is_guaranteed(context, job, spec, usage, spec.tasks if spec.kind == "gang" else 1):
         return []
@@ -105,7 +106,7 @@
 def guarantee_share(context: Context, team: str, usage: TeamUsage) -> float:
     """Return a team's usage as a share of its guarantee, or of its limit if it has none.
 
-    Of CPUs and GPUs the larger share counts. It decides fairness between teams.
+    The larger share of CPUs and GPUs counts. Fairness between teams is based on it.
     """
     cpus, gpus = usage.get(team, NO_USAGE)
     quota = context.teams.get(team)
