--- a/oakmux/codec/answers.py
+++ b/oakmux/codec/answers.py
@@ -27,8 +27,8 @@
 
 
 def answer_body(answer: tuple[Any, ...]) -> Any:
-    """Return the body of an answer, a kind followed by its fields; raises ValueError."""
+    """Return the body of an answer (a kind followed by its fields); raises ValueError."""
     body_of = _BODIES.get(answer[0])
     if body_of is None:
-        raise ValueError(f"unknown answer {answer[0]}")
+        raise ValueError(f"unknown kind of answer: {answer[0]}")
     return body_of(*answer[1:])
--- a/oakmux/codec/cbor.py
+++ b/oakmux/codec/cbor.py
@@ -1,4 +1,4 @@
-"""CBOR bodies: encoding, decoding, the error for bad input and the limits of field values."""
+"""CBOR bodies: encoding, decoding, the error for malformed input and limits of field values."""
 
 import math
 from typing import Any
@@ -6,17 +6,17 @@
 import cbor2
 
 MAX_INT = 2**64
-"""Integers of messages are smaller."""
+"""Integers in messages must be below this."""
 
 MAX_TEXT = 200
-"""Length of the longest name, and of an error's text."""
+"""Longest accepted name, and longest text of an error, in characters."""
 
 MAX_AMOUNT = 1e12
-"""Quantities are smaller; in seconds, gigabytes or cores."""
+"""Quantities must be below this; in seconds, gigabytes or cores."""
 
 
 class MalformedError(Exception):
-    """A message that can't be understood; the text is the short reason."""
+    """A message is malformed; the text gives the reason in short."""
 
 
 def encode(value: Any) -> bytes:
@@ -28,7 +28,7 @@
     """Decode a body; raises MalformedError."""
     try:
         return cbor2.loads(body)
-    except Exception as error:  # the decoder raises many kinds for hostile bytes
+    except Exception as error:  # hostile bytes make the decoder raise many types
         raise MalformedError("not CBOR") from error
 
 
--- a/oakmux/codec/cloud.py
+++ b/oakmux/codec/cloud.py
@@ -15,7 +15,7 @@
 
 
 class InstancePage(NamedTuple):
-    """A part of the list of instances."""
+    """A page of the list of instances."""
 
     instances: list[ListedInstance]
     has_more: bool
@@ -26,7 +26,7 @@
     try:
         return [_parse_machine_type(row) for row in answer["flavours"]]
     except (TypeError, KeyError, ValueError):
-        raise MalformedError("catalogue") from None
+        raise MalformedError("malformed catalogue") from None
 
 
 def _parse_machine_type(row: dict[str, Any]) -> MachineType:
@@ -47,7 +47,7 @@
 def rental_body(
     request_id: str, type_name: str, zone: str, spot: bool, count: int
 ) -> dict[str, Any]:
-    """Return the request for a rental; repeated under the same id, it rents once."""
+    """Return the body of a rental request; repeated with the same id, it rents only once."""
     return {
         "hire": request_id,
         "flavour": type_name,
@@ -58,7 +58,7 @@
 
 
 def return_body(instances: list[str]) -> dict[str, Any]:
-    """Return the request that gives instances back."""
+    """Return the body of a request that returns instances."""
     return {"boxes": instances}
 
 
@@ -67,7 +67,7 @@
     try:
         return [str(name) for name in answer["boxes"]]
     except (TypeError, KeyError):
-        raise MalformedError("rental's answer") from None
+        raise MalformedError("malformed answer to a rental") from None
 
 
 def parse_instance_page(answer: Any) -> InstancePage:
@@ -76,7 +76,7 @@
         instances = [_parse_instance(row) for row in answer["boxes"]]
         return InstancePage(instances, bool(answer["has_next"]))
     except (TypeError, KeyError, ValueError, AttributeError):
-        raise MalformedError("machine list") from None
+        raise MalformedError("malformed list of instances") from None
 
 
 def _parse_instance(row: dict[str, Any]) -> ListedInstance:
--- a/oakmux/codec/peers.py
+++ b/oakmux/codec/peers.py
@@ -18,7 +18,7 @@
 
 
 class BatchRow(msgspec.Struct, array_like=True):
-    """A request as it is on the wire; earlier versions don't send `since`."""
+    """A request in its wire form; earlier versions don't send `since`."""
 
     tag: str
     sender: str
@@ -29,7 +29,7 @@
 class MessageBatch(msgspec.Struct, frozen=True):
     """The messages of a request.
 
-    `since` is the revision up to which the sender knows all cancellations; -1 if it does not say.
+    `since` is the revision up to which the sender has all cancellations; -1 if it sends none.
     """
 
     sender: str
@@ -40,8 +40,8 @@
 class PeerAnswer(msgspec.Struct, array_like=True):
     """A peer's answer to a request.
 
-    It says how old the peer's records are (in seconds) and what was cancelled since the revision
-    that the request named, up to `until`; earlier versions don't send that.
+    `store_age_s` is the age of the peer's records in seconds. `cancelled` names the jobs cancelled
+    after the request's `since`, up to the revision `until`; earlier versions don't send `until`.
     """
 
     tag: str
@@ -53,7 +53,7 @@
 
 
 def encode_message(message: PeerMessage) -> list[Any]:
-    """Return a message as it is on the wire."""
+    """Return a message in its wire form."""
     row = [message.TAG, *msgspec.structs.astuple(message)]
     if isinstance(message, peer_messages.Reserve) and not message.preempt:
         del row[-1]
@@ -61,11 +61,13 @@
 
 
 def decode_message(row: Sequence[Any]) -> PeerMessage:
-    """Return the message of a row; raises MalformedError."""
+    """Return the message of a wire form; raises MalformedError."""
     try:
         return _TYPES[row[0]](*row[1:])
     except (IndexError, KeyError, TypeError) as error:
-        raise MalformedError(f"peer's message {str(row[:1])[:MAX_TEXT]}: {error!r}") from None
+        raise MalformedError(
+            f"malformed peer message {str(row[:1])[:MAX_TEXT]}: {error!r}"
+        ) from None
 
 
 def encode_batch(sender: str, messages: Sequence[PeerMessage], since: int) -> bytes:
@@ -76,7 +78,7 @@
 def decode_batch(body: bytes) -> MessageBatch:
     """Return the messages of a request; raises MalformedError.
 
-    A single message that can't be read, such as one of a later version, is logged and left out.
+    A single malformed message, such as one of a later version, is logged and left out.
     """
     try:
         row = msgspec.convert(decode(body), BatchRow)
--- a/oakmux/codec/store.py
+++ b/oakmux/codec/store.py
@@ -29,7 +29,7 @@
 
 
 class ItemPage(NamedTuple):
-    """A part of a list, with the revision at which it was read."""
+    """A page of a list, with the revision at which it was read."""
 
     items: list[Item]
     has_more: bool
@@ -51,7 +51,7 @@
 
 
 def transaction_body(conditions: Sequence[Condition], writes: Sequence[Write]) -> dict[str, Any]:
-    """Return the request for a transaction."""
+    """Return the body of a transaction request."""
     return {
         "guards": [{"path": key, "stamp": mod_revision} for key, mod_revision in conditions],
         "writes": [_write_body(write) for write in writes],
@@ -74,7 +74,7 @@
         failed_keys = [str(key) for key in answer.get("failed", ())]
         return TransactionResult(int(answer["epoch"]), failed_keys)
     except (TypeError, KeyError, ValueError, AttributeError):
-        raise MalformedError("transaction's answer") from None
+        raise MalformedError("malformed answer to a transaction") from None
 
 
 def parse_item_page(answer: Any) -> ItemPage:
@@ -83,7 +83,7 @@
         items = [(row["path"], row["v"], row["stamp"]) for row in answer["rows"]]
         return ItemPage(items, bool(answer["has_next"]), int(answer["epoch"]))
     except (TypeError, KeyError, ValueError):
-        raise MalformedError("list's answer") from None
+        raise MalformedError("malformed answer to a list request") from None
 
 
 def parse_value(answer: Any) -> VersionedValue:
@@ -91,7 +91,7 @@
     try:
         return VersionedValue(answer["v"], int(answer["stamp"]))
     except (TypeError, KeyError, ValueError):
-        raise MalformedError("key's answer") from None
+        raise MalformedError("malformed answer to a key's read") from None
 
 
 def parse_watch_events(answer: Any) -> WatchEvents:
@@ -105,7 +105,7 @@
                 events.append((event["write"], event["v"], event["stamp"]))
         return WatchEvents(events, int(answer["epoch"]))
     except (TypeError, KeyError, ValueError):
-        raise MalformedError("watch's answer") from None
+        raise MalformedError("malformed answer to a watch") from None
 
 
 def parse_missing_key(answer: Any) -> int:
@@ -114,13 +114,13 @@
 
 
 def lease_body(duration_s: float) -> dict[str, Any]:
-    """Return the request for a lease."""
+    """Return the body of a lease request."""
     return {"life_ms": int(duration_s * 1000)}
 
 
 def parse_lease(answer: Any) -> int:
-    """Return the lease that was granted; raises MalformedError."""
+    """Return the id of the lease that was granted; raises MalformedError."""
     try:
         return int(answer["permit"])
     except (TypeError, KeyError, ValueError):
-        raise MalformedError("lease's answer") from None
+        raise MalformedError("malformed answer to a lease request") from None
--- a/oakmux/codec/users.py
+++ b/oakmux/codec/users.py
@@ -1,4 +1,4 @@
-"""The users' API: submissions, the state of jobs, and the command line's terms for both."""
+"""The users' API: submissions and the state of jobs, and the command line's names for both."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -16,7 +16,7 @@
 MAX_TYPES = 50
 
 KINDS = {"array": "array", "ensemble": "gang", "daemon": "service"}
-"""Kind of a job: the protocol's name, and ours."""
+"""Kinds of jobs: from the protocol's name to the name in the code."""
 
 PRIORITIES = {
     "production": Priority.PRODUCTION.value,
@@ -24,10 +24,10 @@
     "standard": Priority.STANDARD.value,
     "idle": Priority.IDLE.value,
 }
-"""Priority of a job: the protocol's name, and the level; higher levels go first."""
+"""Priorities of jobs: from the protocol's name to the level; higher levels go first."""
 
 JOB_STATES = {"queued": "queued", "running": "running", "done": "done", "cancelled": "aborted"}
-"""State of a job: our name, and the protocol's."""
+"""States of jobs: from the name in the code to the protocol's name."""
 
 JOB_FIELDS = {
     "id": "id",
@@ -52,15 +52,15 @@
     "deadline_s": "due_s",
     "waits_on": "waits_on",
 }
-"""Field of a job: our name, and the protocol's."""
+"""Fields of a job: from the name in the code to the protocol's name."""
 
 CLI_FIELDS = {
     "class" if name == "job_class" else name: wire_name for name, wire_name in JOB_FIELDS.items()
 }
-"""Field of a job: the command line's name, and the protocol's."""
+"""Fields of a job: from the command line's name to the protocol's name."""
 
 CLI_KINDS = {name: wire_name for wire_name, name in KINDS.items()}
-"""Kind of a job: the command line's name, which is ours, and the protocol's."""
+"""Kinds of jobs: from the command line's name, the same as in the code, to the protocol's name."""
 
 CLI_PRIORITIES = {
     "production": "production",
@@ -68,7 +68,7 @@
     "normal": "standard",
     "low": "idle",
 }
-"""Priority of a job: the command line's name, and the protocol's."""
+"""Priorities of jobs: from the command line's name to the protocol's name."""
 
 _CLI_PRIORITY_OF_LEVEL = {
     PRIORITIES[wire_name]: name for name, wire_name in CLI_PRIORITIES.items()
@@ -77,7 +77,7 @@
 
 
 class _Submission(msgspec.Struct, rename=JOB_FIELDS):
-    """A submission as it is received, with its types checked."""
+    """A submission in its wire form, with its types checked."""
 
     id: str
     job_class: str
@@ -103,7 +103,7 @@
 
 
 class _Check(NamedTuple):
-    """A check of one field's value and the reason to refuse what fails it."""
+    """A check of one field's value, and the reason for refusing a value that fails it."""
 
     field: str
     accepts: Callable[[Any], bool]
@@ -132,7 +132,7 @@
     return all(JOB_ID.match(job_id) for job_id in job_ids or ())
 
 
-# In the order in which a submission with several faults is refused.
+# In this order; a submission is refused for its first fault.
 _CHECKS = (
     _Check("cpus", is_amount, "out of range"),
     _Check("gpus", is_amount, "out of range"),
@@ -202,7 +202,7 @@
 
 
 def submission_body(job: dict[str, Any]) -> dict[str, Any]:
-    """Return the submission of a job that is given in the command line's terms."""
+    """Return the submission of a job that is given with the command line's names."""
     body = {CLI_FIELDS[name]: value for name, value in job.items()}
     kind, priority = JOB_FIELDS["kind"], JOB_FIELDS["priority"]
     body[kind] = CLI_KINDS.get(body[kind], body[kind])
@@ -211,7 +211,7 @@
 
 
 def job_description(spec: JobSpec) -> dict[str, Any]:
-    """Return a job in the command line's terms, without its id and its dependencies."""
+    """Return a job with the command line's names, without its id and its dependencies."""
     description = {}
     for name in CLI_FIELDS:
         if name not in ("id", "kind", "priority", "waits_on"):
@@ -224,20 +224,20 @@
 
 
 class JobSummary(NamedTuple):
-    """The state of a job, as a controller answers it."""
+    """The state of a job, as returned by a controller."""
 
     job_id: str
     state: str
     completed_tasks: int
     running_tasks: int
     waits_on: list[str]
-    """Ids of the jobs that it still waits on."""
+    """Ids of the jobs that the job still waits on."""
 
 
 def job_summary_body(
     job_id: str, state: str, completed_tasks: int, running_tasks: int, *waits_on: list[str]
 ) -> dict[str, Any]:
-    """Return the answer on a job's state; dependencies are in it only if they are given."""
+    """Return the answer to a job query; it lists dependencies only if they are given."""
     body: dict[str, Any] = {
         "id": job_id,
         "status": JOB_STATES[state],
@@ -250,7 +250,7 @@
 
 
 def parse_job_summary(value: Any) -> JobSummary:
-    """Read the answer on a job's state; what is missing or unknown is filled in."""
+    """Read the answer to a job query; missing or unknown fields get default values."""
     if not isinstance(value, dict):
         return JobSummary("?", "unknown", 0, 0, [])
     waits_on = value.get("waits_on")
--- a/oakmux/codec/workers.py
+++ b/oakmux/codec/workers.py
@@ -18,7 +18,7 @@
     "flushing": "saving",
     "ended": "exited",
 }
-"""State of a task on its machine: the protocol's name, and ours."""
+"""States of a task on its machine: from the protocol's name to the name in the code."""
 
 EXIT_REASONS = {
     "done": "done",
@@ -30,10 +30,10 @@
     "in_use": "busy",
     "unknown": "unknown",
 }
-"""Reason for which a task exited: the protocol's name, and ours."""
+"""Reasons for which a task exited: from the protocol's name to the name in the code."""
 
 COMMAND_VERBS = {"start": "launch", "stop": "halt", "forget": "forget"}
-"""Command to a worker: our name, and the protocol's."""
+"""Commands to a worker: from the name in the code to the protocol's name."""
 
 _TASK_FIELDS = {
     "task": "piece",
@@ -57,7 +57,7 @@
 
 
 class _TaskReport(msgspec.Struct, rename=_TASK_FIELDS):
-    """The status of one attempt at a task, as it is received."""
+    """The status of one attempt at a task, in its wire form."""
 
     task: str
     attempt: int
@@ -67,7 +67,7 @@
 
 
 class _HeartbeatBody(msgspec.Struct, rename=_HEARTBEAT_FIELDS):
-    """A heartbeat as it is received, with its types checked."""
+    """A heartbeat in its wire form, with its types checked."""
 
     machine: str
     address: str
@@ -121,7 +121,7 @@
             split_task(report.task)
         except ValueError:
             raise MalformedError(f"{_TASK_FIELDS['task']}: not a task") from None
-        # A reason that is missing or that we do not know counts as an error of the task.
+        # A missing or unknown exit reason counts as an error of the task.
         unknown_reason = ERROR if state == EXITED else ""
         exit_reason = EXIT_REASONS.get(report.exit_reason or "", unknown_reason)
         tasks[(report.task, report.attempt)] = (state, exit_reason, bool(report.saved))
@@ -129,7 +129,7 @@
 
 
 def command_body(kind: str, task: str, attempt: int, grace_s: float = 0.0) -> dict[str, Any]:
-    """Return one command to a worker: start, stop or forget; only a stop has a grace period."""
+    """Return a command to a worker: start, stop or forget; only a stop has a grace period."""
     body: dict[str, Any] = {"verb": COMMAND_VERBS[kind], "piece": task, "try": attempt}
     if kind == "stop":
         body["mercy_s"] = grace_s
@@ -139,7 +139,7 @@
 def commands_body(
     fencing_token: int, agent_epoch: int, commands: list[dict[str, Any]]
 ) -> dict[str, Any]:
-    """Return the request that sends commands to a worker."""
+    """Return the body of a request that sends commands to a worker."""
     return {"baton": fencing_token, "tenure": agent_epoch, "orders": commands}
 
 
--- a/oakmux/transport/__init__.py
+++ b/oakmux/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets and timers round the core: one module for each counterpart."""
+"""Sockets and timers around the core: one module for each counterpart."""
--- a/oakmux/transport/cloud_client.py
+++ b/oakmux/transport/cloud_client.py
@@ -1,4 +1,4 @@
-"""Client of the cloud: catalogue, list of instances, rentals and returns, within its rate."""
+"""Client of the cloud: catalogue, list of instances, rentals and returns, within a rate limit."""
 
 import asyncio
 import logging
@@ -29,12 +29,12 @@
 
 
 class CloudClient:
-    """Carries out the core's calls one after another as the rate allows."""
+    """Carries out the core's cloud operations one at a time, within the rate limit."""
 
     def __init__(self, settings: Settings, put: Callable[[messages.Command], None]) -> None:
         self.addr = settings.services.cloud
         self.put = put
-        # One controller holds the fleet role; the others only read the catalogue now and then.
+        # One controller holds the fleet role; the others only read the catalogue occasionally.
         self.bucket = TokenBucket(
             settings.facts.cloud.rps * constants.CLOUD_RATE_SHARE, constants.CLOUD_BURST_S
         )
@@ -50,9 +50,7 @@
 
     async def _call(self, method: str, path: str, body: Any = None) -> tuple[int, Any]:
         loop = asyncio.get_running_loop()
-        async with (
-            self.request_lock
-        ):  # first come, first served: the most urgent rentals come first
+        async with self.request_lock:  # in order of arrival: the most urgent rentals come first
             while (wait := self.bucket.wait(loop.time(), 1)) > 0:
                 await asyncio.sleep(wait)
             self.bucket.consume(1)
@@ -68,7 +66,7 @@
         return status, decode(answer) if answer else None
 
     async def carry_out(self, operation: messages.CloudOperation) -> None:
-        """Make one call and report its outcome to the core."""
+        """Make the request of an operation and report its outcome to the core."""
         kind = type(operation).__name__
         try:
             status, result = await self._handlers[type(operation)](operation)
@@ -117,7 +115,7 @@
         return status, None
 
     async def poll_catalogue(self) -> None:
-        """Read the catalogue for ever, at CATALOGUE_INTERVAL_S."""
+        """Read the catalogue every CATALOGUE_INTERVAL_S, for ever."""
         failures = 0
         while True:
             try:
--- a/oakmux/transport/http_client.py
+++ b/oakmux/transport/http_client.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 client on asyncio protocols, with reused connections; parsed by httptools."""
+"""HTTP/1.1 client on asyncio protocols, with pooled connections; parsed by httptools."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -11,15 +11,15 @@
 
 
 class TransportError(Exception):
-    """A request got no answer; the text says why."""
+    """A request got no response; the text gives the reason."""
 
 
 class RequestNotSentError(TransportError):
-    """The request was certainly not sent: no connection came about."""
+    """The request was certainly not sent: no connection could be opened."""
 
 
 class NoResponseError(TransportError):
-    """The request may have been carried out, or may yet be."""
+    """No response; the server may have carried out the request, or may still do so."""
 
 
 class ClientProtocol(asyncio.Protocol):
@@ -41,7 +41,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """Fail the request that waits for its response."""
         self.usable = False
-        self._fail("closed")
+        self._fail("connection closed")
 
     def _fail(self, reason: str) -> None:
         if self.waiter is not None and not self.waiter.done():
@@ -53,7 +53,7 @@
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade, AttributeError):
             self.usable = False
-            self._fail("bad HTTP")
+            self._fail("malformed HTTP response")
             self.transport.abort()
 
     def on_body(self, body: bytes) -> None:
@@ -72,7 +72,7 @@
         self.waiter.set_result((self.parser.get_status_code(), b"".join(self.chunks)))
 
     def start(self, data: bytes) -> asyncio.Future[tuple[int, bytes]]:
-        """Send one request; the future brings (status, body)."""
+        """Send one request; the future's result is (status, body)."""
         self.parser = httptools.HttpResponseParser(self)
         self.chunks, self.size = [], 0
         self.waiter = asyncio.get_running_loop().create_future()
@@ -146,9 +146,9 @@
             limit: Size of the largest accepted response body, in bytes.
 
         Raises:
-            RequestNotSentError: No connection came about.
+            RequestNotSentError: No connection could be opened.
             NoResponseError: The response is missing, late or malformed.
-            ValueError: The address is not one.
+            ValueError: The address is not `host:port`.
         """
         data = (
             f"{method} {path} HTTP/1.1\r\nHost: {addr}\r\n"
--- a/oakmux/transport/http_server.py
+++ b/oakmux/transport/http_server.py
@@ -41,7 +41,7 @@
 
 
 class Request:
-    """One request of a client; respond() answers it once."""
+    """One request of a client; respond() sends its response once."""
 
     __slots__ = ("_conn", "body", "method", "path", "too_large")
 
@@ -55,7 +55,7 @@
         self._conn: ServerProtocol | None = conn
 
     def respond(self, status: int, body: bytes, retry_after: int | None = None) -> None:
-        """Answer; a second answer and one to a closed connection are dropped."""
+        """Send the response; a second one, or one on a closed connection, is dropped."""
         conn, self._conn = self._conn, None
         if conn is not None:
             conn.send(self, status, body, retry_after)
@@ -97,7 +97,7 @@
         self.transport = None
 
     def data_received(self, data: bytes) -> None:
-        """Feed the parser; bad HTTP is answered 400 and closed."""
+        """Feed the parser; malformed HTTP gets status 400 and the connection is closed."""
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
@@ -126,7 +126,7 @@
     def on_message_complete(self) -> None:
         """Pass a complete request to the handler."""
         if self.current is not None:  # pipelining is not allowed
-            raise httptools.HttpParserError("pipelined")
+            raise httptools.HttpParserError("pipelined request")
         self.keep_alive = self.parser.should_keep_alive()
         request = self.request(
             self.parser.get_method().decode("ascii", "replace"),
@@ -147,7 +147,7 @@
         return Request(method, path, body, too_large, self)
 
     def send(self, request: Request, status: int, body: bytes, retry_after: int | None) -> None:
-        """Write the answer of the current request."""
+        """Write the response to the current request."""
         if self.transport is None or self.current is not request:
             return
         self.current = None
--- a/oakmux/transport/operation_queue.py
+++ b/oakmux/transport/operation_queue.py
@@ -1,4 +1,4 @@
-"""Operations for the store that wait until the rate limits allow them, the most urgent first."""
+"""Store operations that wait until the rate limits allow them, the most urgent first."""
 
 import asyncio
 import heapq
@@ -7,13 +7,13 @@
 from oakmux.core.messages import ReadKey, StoreOperation, Transaction
 
 LEASE_PRIORITY = -1
-"""Priority of leases: before what users wait for (0) and all else."""
+"""Priority of lease operations: before operations that users wait for (0), and all others."""
 
 
 def priority_of(operation: StoreOperation) -> int:
     """Return an operation's priority.
 
-    The lowest goes first; up to 0, users or other controllers wait for it.
+    The lowest goes first. At 0 or below, users or other controllers wait for the operation.
     """
     if isinstance(operation, Transaction | ReadKey):
         return operation.priority
@@ -21,12 +21,12 @@
 
 
 def count_writes_of(operation: StoreOperation) -> int:
-    """Count an operation's writes, which count against the store's limit of writes."""
+    """Count an operation's writes, to which the store's limit of writes applies."""
     return len(operation.writes) if isinstance(operation, Transaction) else 0
 
 
 class QueuedOperation(NamedTuple):
-    """An operation in its queue, in the order of the first two fields."""
+    """An operation in its queue, ordered by the first two fields."""
 
     priority: int
     sequence: int
@@ -36,15 +36,15 @@
 
 
 class OperationQueue:
-    """Operations that wait, and an event that is set when one is added or tokens arrive."""
+    """Queued operations, and an event that is set when one is added or tokens arrive."""
 
     def __init__(self) -> None:
         self.heap: list[QueuedOperation] = []
         self.woken = asyncio.Event()
         self.writes = 0
-        """Number of the writes of all operations."""
+        """Number of writes in all operations."""
         self.urgent_writes = 0
-        """Number of the writes that users or other controllers wait for."""
+        """Number of writes that users or other controllers wait for."""
 
     def push(self, queued: QueuedOperation) -> None:
         """Add an operation."""
@@ -63,7 +63,7 @@
         return queued
 
     async def wait(self, timeout: float) -> None:
-        """Wait until the queue is woken, for `timeout` seconds at most."""
+        """Wait until `woken` is set, for `timeout` seconds at most."""
         try:
             async with asyncio.timeout(timeout):
                 await self.woken.wait()
--- a/oakmux/transport/peer_client.py
+++ b/oakmux/transport/peer_client.py
@@ -1,4 +1,4 @@
-"""Client of a peer: messages between controllers, many to a request."""
+"""Client of a peer: messages between controllers, sent in batches."""
 
 import asyncio
 import logging
@@ -14,7 +14,7 @@
 
 log = logging.getLogger("oakmux.peers")
 
-# Messages that nothing waits for, so that they may be gathered for longer.
+# Messages that no operation waits for, so that they may be batched for longer.
 DEFERRABLE = (
     peer_messages.MachineView,
     peer_messages.MachinesAlive,
@@ -24,7 +24,7 @@
 
 
 class PeerClient:
-    """Sends messages to one peer; lost updates on machines are sent again."""
+    """Sends messages to one peer; lost machine updates are sent again."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         self.peer = peer
         self.addr = addr
         self.put = put
-        # Returns the revision up to which this controller knows all cancellations.
+        # Returns the revision up to which this controller has all cancellations.
         self.cancellations_until = cancellations_until
         self.client = Client(constants.PEER_CONNECTIONS)
         self.outbox: list[PeerMessage] = []
@@ -88,7 +88,7 @@
                 await pause(failures)
 
     async def _wait_for_batch(self) -> None:
-        """Wait until a batch is worth its request: longer for mere updates on machines."""
+        """Wait for more messages to send in one request; longer for deferrable messages only."""
         if len(self.outbox) < constants.PEER_BATCH and not self.urgent.is_set():
             try:
                 async with asyncio.timeout(constants.PEER_UPDATE_WINDOW_S):
--- a/oakmux/transport/rate_limit.py
+++ b/oakmux/transport/rate_limit.py
@@ -1,4 +1,4 @@
-"""Rate limits that are kept rather than run into: token buckets, advances and back-off."""
+"""Rate limits enforced before sending, to avoid refusals: token buckets, bursts and backoff."""
 
 import asyncio
 import random
@@ -7,7 +7,7 @@
 
 
 class TokenBucket:
-    """Tokens that refill at a rate (tokens a second), up to `seconds` worth of it."""
+    """Tokens that refill at `rate` (tokens a second), up to the tokens of `seconds`."""
 
     def __init__(self, rate: float, seconds: float = 1.0) -> None:
         self.rate = max(rate, 0.1)
@@ -23,16 +23,17 @@
         return max(0.0, (min(cost, self.burst) - self.level) / self.rate)
 
     def consume(self, cost: float) -> None:
-        """Take tokens; the level may fall below zero for a cost above the bucket."""
+        """Consume tokens; a cost above the bucket's size takes the level below zero."""
         self.level -= cost
 
 
 class BurstAllowance:
-    """How many writes users may use in advance of a controller's share of the rate.
+    """Number of writes that users may make ahead of the controller's share of the rate.
 
-    All controllers going ahead at once would break the limit that the share keeps: at a cold
-    start, after an outage, after a crash of all. So the allowance grows from nothing, and does so
-    anew whenever the service refused or did not answer; what others do is independent by then.
+    If all controllers used the full allowance at once, at a cold start, after an outage or after a
+    crash of all, they would exceed the store's limit. So the allowance grows from zero, and again
+    from zero when the store refused a request or did not answer. Once it has grown, the
+    controllers' bursts are independent of each other.
     """
 
     def __init__(self, rate: float) -> None:
@@ -40,11 +41,11 @@
         self.growing_since: float | None = None
 
     def reset(self, now: float) -> None:
-        """Start again from nothing, since something was refused or not answered."""
+        """Start again from zero, after a refused or unanswered request."""
         self.growing_since = now
 
     def allowed(self, now: float) -> float:
-        """Return the writes that may be used in advance."""
+        """Return the number of writes allowed ahead of the share."""
         if self.growing_since is None:
             self.growing_since = now
         grown_share = min(1.0, (now - self.growing_since) / constants.USER_ADVANCE_GROWTH_S)
@@ -52,6 +53,6 @@
 
 
 async def pause(failures: int) -> None:
-    """Wait before another try: doubling, bounded, with jitter."""
+    """Wait before a retry: exponential backoff, bounded, with jitter."""
     max_delay_s = min(constants.BACKOFF_FIRST_S * 2 ** min(failures, 10), constants.BACKOFF_MAX_S)
     await asyncio.sleep(max_delay_s * random.uniform(0.5, 1.0))
--- a/oakmux/transport/request_router.py
+++ b/oakmux/transport/request_router.py
@@ -27,14 +27,14 @@
 
 
 class Route(NamedTuple):
-    """The method that a path accepts, and what serves it."""
+    """The method that a path accepts, and the handler of its requests."""
 
     method: str
     serve: Callable[[Request], None]
 
 
 class RequestRouter:
-    """Turns requests into commands of the core and its answers into responses."""
+    """Turns requests into core commands, and the core's answers into responses."""
 
     def __init__(self, put: Callable[[messages.Command], bool]) -> None:
         self.put = put
@@ -48,11 +48,11 @@
             PATH_HEARTBEAT: Route("POST", self._heartbeat),
             PATH_JOBS: Route("POST", self._submit),
         }
-        # Paths of subsystems that are switched on, by their prefix; the handler gets the rest.
+        # Handlers of enabled subsystems by path prefix; each gets the path after the prefix.
         self.prefix_routes: dict[str, Callable[[Request, str], None]] = {}
 
     def refuse(self, request: Request, status: int, reason: str) -> None:
-        """Answer a request that never reaches the core."""
+        """Refuse a request without passing it to the core."""
         request.respond(
             status,
             encode(error_body(reason)),
@@ -72,7 +72,7 @@
             self.refuse(request, 503, "busy")
 
     def handle_public(self, request: Request) -> None:
-        """Serve the public address."""
+        """Handle a request to the public address."""
         route = self._find(request.path.partition("?")[0])
         if route is None:
             self.refuse(request, 404, "unknown path")
@@ -100,7 +100,7 @@
         return Route("POST", lambda request: serve(request, subpath))
 
     def _job_route(self, subpath: str) -> Route:
-        """Return the route of a job, to query or to cancel it."""
+        """Return the route that queries or cancels a job."""
         if subpath.endswith(CANCEL_SUFFIX):
             job_id = subpath.removesuffix(CANCEL_SUFFIX)
             return Route("POST", lambda request: self._cancel(request, job_id))
@@ -115,11 +115,11 @@
             self._queue(request, messages.CancelJob(request, job_id))
 
     def _is_job_id(self, request: Request, job_id: str, status: int) -> bool:
-        """Whether a path ends in a job id; answers with `status` if not."""
+        """Whether a path ends in a job id; if not, refuses the request with `status` or 404."""
         if "/" in job_id:
             self.refuse(request, 404, "unknown path")
         elif not JOB_ID.match(job_id):
-            # Nobody can have submitted such a job.
+            # No submitted job can have such an id.
             self.refuse(request, status, "not a job id")
         else:
             return True
@@ -148,7 +148,7 @@
         self._queue(request, messages.ReceiveHeartbeat(request, heartbeat))
 
     def handle_internal(self, request: Request) -> None:
-        """Serve the address for peers."""
+        """Handle a request to the internal address, which serves peers."""
         if request.path != PATH_PEERS:
             self.refuse(request, 404, "unknown path")
             return
--- a/oakmux/transport/store_client.py
+++ b/oakmux/transport/store_client.py
@@ -40,14 +40,14 @@
 log = logging.getLogger("oakmux.state")
 
 REVISION_COMPACTED = 410
-"""Status of a watch whose revision the store no longer keeps: all records are read again."""
+"""Status of a watch whose revision the store no longer keeps; all records are then read again."""
 
 MAX_WATCH_BACKOFF = 3
-"""Failures of the watch in a row that lengthen the pause before the next one."""
+"""Consecutive watch failures up to which the backoff grows."""
 
 
 class StoreClient:
-    """Carries out the core's operations within this controller's share of the rate limits."""
+    """Carries out the core's store operations within the controller's share of the rate limits."""
 
     def __init__(self, settings: Settings, put: Callable[[messages.Command], None]) -> None:
         self.addr = settings.services.store
@@ -77,7 +77,7 @@
         }
 
     def submit(self, operation: messages.StoreOperation) -> None:
-        """Queue an operation: leases first, then what users wait for, then the rest."""
+        """Queue an operation: leases first, then those that users wait for, then all others."""
         priority, writes = priority_of(operation), count_writes_of(operation)
         queue = self.writes if writes else self.reads
         if len(queue.heap) >= constants.MAX_QUEUED_COMMANDS:
@@ -85,17 +85,17 @@
             return
         now = asyncio.get_running_loop().time()
         if writes and priority == 0 and self._would_expire(now, writes):
-            self._unavailable(operation)  # at once, rather than when its time is over
+            self._unavailable(operation)  # at once rather than after the timeout
             return
         self.sequence += 1
         queue.push(QueuedOperation(priority, self.sequence, now, writes, operation))
 
     def _unavailable(self, operation: messages.StoreOperation) -> None:
-        """Report that an operation was given up before it was sent."""
+        """Report to the core that an operation was dropped before it was sent."""
         self.put(messages.OperationDone(operation.operation, 503, None))
 
     def _would_expire(self, now: float, writes: int) -> bool:
-        """Whether a user's writes would wait for their turn for longer than they may."""
+        """Whether a user's writes would be queued for longer than STORE_QUEUE_TIMEOUT_S."""
         self.write_tokens.wait(now, 0)  # refills the bucket
         missing = (
             self.writes.urgent_writes
@@ -108,8 +108,8 @@
     async def dispatch(self, queue: OperationQueue) -> None:
         """Start the operations of a queue for ever, as the limits allow, the most urgent first.
 
-        Renewals and reads have a queue of their own: behind writes that waited for their share of
-        the rate, controllers lost their leases for no other reason.
+        Lease renewals and reads have a queue of their own: behind writes that wait for tokens,
+        renewals would be late, and healthy controllers would lose their leases.
         """
         while True:
             queue.woken.clear()
@@ -142,8 +142,8 @@
     def _wait_for_tokens(self, queued: QueuedOperation, now: float) -> float:
         """Return the seconds until the rate limits allow an operation.
 
-        A user's write is sent ahead of its share: behind a scheduler's transaction it waited for
-        up to two seconds. The next transaction waits so much longer.
+        A user's write is sent ahead of the controller's share: behind a scheduler's transaction
+        it would wait for up to two seconds. The next transaction waits longer by as much.
         """
         wait = self.request_tokens.wait(now, 1)
         if not queued.writes:
@@ -152,10 +152,10 @@
         return max(wait, self.write_tokens.wait(now, queued.writes - allowance))
 
     def _borrow(self, now: float) -> None:
-        """Ask the peers for write tokens that they can spare.
+        """Request spare write tokens from the peers.
 
-        The rate is split evenly, the work is not. What is lent was the peers' own share, so that
-        the sum stays within the limit.
+        The rate is split evenly among controllers, but the work is not. Peers lend tokens of their
+        own share, so that the sum stays within the limit.
         """
         missing = self.writes.writes - self.write_tokens.level
         if missing > 0 and now >= self.next_borrow_at:
@@ -163,7 +163,7 @@
             self.put(messages.BorrowQuota(missing))
 
     def lend(self, wanted: float) -> float:
-        """Give up write tokens that are not needed now; return how many."""
+        """Give up write tokens that are not needed now; return the number of tokens."""
         if self.writes.heap:
             return 0.0
         self.write_tokens.wait(asyncio.get_running_loop().time(), 0)
@@ -174,7 +174,7 @@
         return tokens
 
     def credit(self, tokens: float) -> None:
-        """Take the write tokens that a peer lent; those beyond a full bucket are lost."""
+        """Add the write tokens that a peer lent; tokens beyond a full bucket are lost."""
         self.write_tokens.consume(-tokens)
         self.writes.woken.set()
 
@@ -225,7 +225,7 @@
     def _log_refusal(
         self, status: int, conditions: list[Any], writes: list[Any], answer: Any
     ) -> None:
-        """Log once a key that a transaction was refused; values are the users' and not logged."""
+        """Log a refused transaction, once per status and key; values are user data, not logged."""
         key = writes[0][0] if writes else conditions[0][0] if conditions else "none"
         if (status, key) in self.logged_refusals or len(
             self.logged_refusals
@@ -293,10 +293,10 @@
             failures = min(failures + 1, MAX_WATCH_BACKOFF)
 
     async def _watch(self, revision: int) -> tuple[int, WatchEvents | None]:
-        """Report the changes after a revision and wait for the next watch's turn.
+        """Report the changes after a revision, and wait until the next watch is due.
 
         Returns:
-            The status, and the changes if it is 200.
+            The status, and the changes if the status is 200.
         """
         loop = asyncio.get_running_loop()
         requested_at = loop.time()
@@ -317,7 +317,7 @@
     async def _load(self) -> int:
         """Read and report all records; return the revision of the first page.
 
-        The watch continues from it, so that no change made between two pages is missed.
+        The watch starts at that revision, so that no change made between two pages is missed.
         """
         items: list[Item] = []
         since = ""
--- a/oakmux/transport/worker_client.py
+++ b/oakmux/transport/worker_client.py
@@ -13,11 +13,11 @@
 log = logging.getLogger("oakmux.workers")
 
 OUTCOME_OF_STATUS = {200: CommandOutcome.OK, 409: CommandOutcome.REFUSED}
-"""Statuses that a worker answers with a heartbeat."""
+"""Outcome by the status of a worker's answer, for statuses that come with a heartbeat."""
 
 
 class WorkerClient:
-    """Sends commands and hands the workers' answers to the core."""
+    """Sends commands and passes the workers' answers to the core."""
 
     def __init__(self, put: Callable[[messages.Command], None]) -> None:
         self.put = put
@@ -29,7 +29,7 @@
         try:
             body = commands_body(effect.fencing_token, effect.agent_epoch, effect.commands)
             outcome, heartbeat = await self._request(addr, encode(body))
-        except (RequestNotSentError, ValueError):  # ValueError: the worker gave no usable address
+        except (RequestNotSentError, ValueError):  # ValueError: the worker's address is malformed
             outcome = CommandOutcome.UNSENT
         except (NoResponseError, MalformedError) as error:
             log.info("event=worker_commands_lost addr=%s why=%s", addr, error)
