--- a/oakmux/cli/app.py
+++ b/oakmux/cli/app.py
@@ -10,14 +10,14 @@
 
 
 class Commands(click.Group):
-    """The commands, and those of subsystems, which are loaded only when they are named."""
+    """All commands; those of subsystems are imported only when they are used."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         """Return the names of all commands."""
         return sorted([*super().list_commands(ctx), "schedule"])
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Return a command."""
+        """Return the command of a name."""
         if cmd_name == "schedule":
             from oakmux.schedules.commands import schedule
 
@@ -40,7 +40,7 @@
 def main(ctx: click.Context, servers: tuple[str, ...], ini: str | None, as_json: bool) -> None:
     """Run oakmux controllers, and submit and follow jobs.
 
-    Exit codes: 0 all is well, 1 the job or request failed, 2 bad input, 3 no controller answers.
+    Exit codes: 0 success, 1 the job or request failed, 2 bad input, 3 no controller answers.
     """
     for server in servers:
         check_server(server, "--server")
--- a/oakmux/cli/client.py
+++ b/oakmux/cli/client.py
@@ -1,4 +1,4 @@
-"""Requests to the controllers, and what all commands share: output, errors and exit codes."""
+"""Requests to the controllers; output, errors and exit codes of all commands."""
 
 import json
 import sys
@@ -15,29 +15,29 @@
 EXIT_FAILED, EXIT_BAD, EXIT_UNREACHABLE = 1, 2, 3
 
 RETRIED_STATUSES = (429, 503, 504)
-"""Statuses with which a controller asks to try again, or another controller."""
+"""Statuses after which a request is sent to the next controller, or again."""
 
 
 class CliContext:
-    """What all commands share."""
+    """Options that all commands share."""
 
     def __init__(self, servers: list[str], as_json: bool) -> None:
         self.servers = servers
         self.as_json = as_json
 
     def show(self, value: Any, text: str) -> None:
-        """Print a result for people or for programs."""
+        """Print a result as text, or as JSON with --json."""
         click.echo(json.dumps(value) if self.as_json else text)
 
     def require_servers(self) -> list[str]:
-        """Return the controllers' addresses or end with a hint."""
+        """Return the controllers' addresses; exit with a hint if there are none."""
         if not self.servers:
             fail("no controllers: name them with --server or in the INI file", EXIT_BAD)
         return self.servers
 
 
 def fail(text: str, code: int) -> NoReturn:
-    """End with one line and an exit code."""
+    """Print a one-line error and exit with a code."""
     click.echo(f"oakmux: {text}", err=True)
     sys.exit(code)
 
@@ -56,7 +56,7 @@
 
 
 def request(context: CliContext, method: str, path: str, body: Any = None) -> tuple[int, Any]:
-    """Ask one controller after another until one can answer."""
+    """Send a request to one controller after another until one can answer."""
     last_error = ""
     for attempt in range(constants.CLI_ROUNDS):
         for server in context.require_servers():
--- a/oakmux/cli/controllers.py
+++ b/oakmux/cli/controllers.py
@@ -19,16 +19,16 @@
     "--schedules",
     type=click.Path(),
     metavar="FILE",
-    help="Keep cron tables and calendars, by these settings (INI).",
+    help="Enable cron tables and calendars, with these settings (INI).",
 )
 @click.option(
     "--spread",
     type=click.Path(),
     metavar="FILE",
-    help="How load is spread, by these settings (INI).",
+    help="Options of the scheduler: the operator's settings (INI).",
 )
 def serve(config: str, schedules: str | None, spread: str | None) -> None:
-    """Run a controller with the platform's settings file CONFIG until killed."""
+    """Run a controller with the deployment's settings file CONFIG until killed."""
     from oakmux import service  # the service is not needed by the other commands
 
     sys.exit(service.serve(config, schedules, spread))
@@ -38,7 +38,7 @@
 @click.argument("config", type=click.Path())
 @click.pass_obj
 def check_config(context: CliContext, config: str) -> None:
-    """Check the platform's settings file CONFIG."""
+    """Check the deployment's settings file CONFIG."""
     try:
         conf = settings.load(config)
     except settings.SettingsError as error:
@@ -51,7 +51,7 @@
 
 
 def request_health(server: str) -> dict[str, Any]:
-    """Return the health of one controller, or the error that kept it from answering."""
+    """Return the health of one controller, or the error if it does not answer."""
     try:
         status, answer = client.send_request(server, "GET", PATH_HEALTH)
     except (OSError, HTTPException, MalformedError) as error:
--- a/oakmux/cli/jobs.py
+++ b/oakmux/cli/jobs.py
@@ -25,7 +25,7 @@
 from oakmux.core.model import JOB_ID
 
 MIN_POLL_S = 0.1
-"""Shortest time between two requests of `wait`, whatever --every says."""
+"""Shortest time (s) between two requests of `wait`, even if --every is less."""
 
 DEFAULTS: dict[str, Any] = {
     "class": "default",
@@ -65,12 +65,12 @@
     unknown = sorted(set(value) - set(CLI_FIELDS))
     if unknown:
         known = ", ".join(CLI_FIELDS)
-        fail(f"{path}: unknown field {unknown[0]}; known are {known}", EXIT_BAD)
+        fail(f"{path}: unknown field {unknown[0]}; known fields: {known}", EXIT_BAD)
     return value
 
 
 def make_submission(job: dict[str, Any]) -> dict[str, Any]:
-    """Return the submission of a job, with defaults, or end if it is malformed."""
+    """Return the submission of a job, with defaults; exit if it is malformed."""
     submission = submission_body({**DEFAULTS, **job})
     try:
         parse_job_id(submission)
@@ -83,7 +83,7 @@
 @click.command()
 @click.option("--file", "path", type=click.Path(), help="A TOML or JSON file with the job.")
 @click.option("--id", "job_id", help="Job id, like job-000412.")
-@click.option("--class", "job_class", help="Class of jobs that it belongs to.")
+@click.option("--class", "job_class", help="Class of the job.")
 @click.option("--team", help="Team whose guarantee and limit apply.")
 @click.option("--kind", type=click.Choice(sorted(CLI_KINDS)))
 @click.option("--priority", type=click.Choice(sorted(CLI_PRIORITIES)))
@@ -100,8 +100,12 @@
 @click.option("--spot/--no-spot", default=None, help="May use spot machines.")
 @click.option("--estimate-s", type=float, help="Expected run time of a task.")
 @click.option("--checkpoint-s", type=float, help="Progress between checkpoints.")
-@click.option("--save-s", type=float, help="Time a stopped task needs to save.")
-@click.option("--deadline-s", type=float, help="When the job should be complete.")
+@click.option("--save-s", type=float, help="Time that a stopped task needs to save its state.")
+@click.option(
+    "--deadline-s",
+    type=float,
+    help="Time after submission within which the job should be complete.",
+)
 @click.option(
     "--waits-on",
     multiple=True,
@@ -118,7 +122,7 @@
     waits_on: tuple[str, ...],
     **flags: Any,
 ) -> None:
-    """Submit a job from a file, from flags, or from a file with flags on top."""
+    """Submit a job from a file, from flags, or from a file with flags that override it."""
     job = read_job(path) if path else {}
     options = {
         "id": job_id,
@@ -130,7 +134,7 @@
     job.update({name: value for name, value in options.items() if value is not None})
     for name in ("id", "team"):
         if name not in job:
-            fail(f"a job needs {name}", EXIT_BAD)
+            fail(f"the job has no {name}", EXIT_BAD)
     status, answer = request(context, "POST", PATH_JOBS, make_submission(job))
     if status not in (200, 201):
         fail(f"refused ({status}): {refusal_reason(answer)}", EXIT_FAILED)
@@ -140,7 +144,7 @@
 def request_job(
     context: CliContext, job_id: str, method: str = "GET", action: str = ""
 ) -> dict[str, Any]:
-    """Ask about a job, or act on it; end unless the answer is its state."""
+    """Query a job, or act on it; exit unless the answer is the job's state."""
     if not JOB_ID.match(job_id):
         fail(f"not a job id: {job_id}", EXIT_BAD)
     code, answer = request(context, method, f"{PATH_JOBS}/{job_id}{action}")
@@ -170,7 +174,9 @@
 @click.command()
 @click.argument("job_id")
 @click.option("--timeout", type=float, default=None, help="Seconds to wait at most.")
-@click.option("--every", type=float, default=2.0, show_default=True, help="Seconds between looks.")
+@click.option(
+    "--every", type=float, default=2.0, show_default=True, help="Seconds between queries."
+)
 @click.pass_obj
 def wait(context: CliContext, job_id: str, timeout: float | None, every: float) -> None:
     """Wait until JOB_ID is done (exit 0) or cancelled (exit 1)."""
--- a/oakmux/cli/options.py
+++ b/oakmux/cli/options.py
@@ -10,7 +10,7 @@
 
 
 def load_ini(path: str | None) -> list[str]:
-    """Return the controllers that the operator's INI file names."""
+    """Return the addresses of the controllers in the operator's INI file."""
     file = Path(path or DEFAULT_INI).expanduser()
     if not file.exists():
         if path:
@@ -28,7 +28,7 @@
 
 
 def check_server(server: str, source: str) -> None:
-    """End with one line if an address can't be one."""
+    """Exit with an error if an address is not HOST:PORT."""
     try:
         settings.split_addr(server)
     except ValueError as error:
--- a/oakmux/service.py
+++ b/oakmux/service.py
@@ -1,4 +1,4 @@
-"""Wiring: the core, the sockets round it and the timer."""
+"""The controller process: connects the core with its sockets and its timer."""
 
 import argparse
 import asyncio
@@ -31,15 +31,15 @@
 
 
 class Plugin(Protocol):
-    """A subsystem that is switched on, outside the core."""
+    """The parts of an optional subsystem, inside and outside the core."""
 
     subsystems: Sequence[Callable[[Context], Subsystem]]
 
     def paths(self, offer: Callable[[Command], bool]) -> dict[str, Callable[[Request, str], None]]:
-        """Return who serves further paths of the public address, by how they begin."""
+        """Return the handlers of further paths of the public address, by path prefix."""
 
     async def start(self, offer: Callable[[Command], bool], max_connections: int) -> None:
-        """Open what it listens on, for at most so many connections."""
+        """Open the subsystem's listeners, for at most `max_connections` connections."""
 
     def tick(self) -> list[Command]:
         """Return commands for the core, ten times a second."""
@@ -81,21 +81,21 @@
         }
 
     def offer(self, command: Command) -> bool:
-        """Queue a command from outside unless too many wait."""
+        """Queue a command from outside and return True, or return False if the queue is full."""
         if len(self.commands) >= constants.MAX_QUEUED_COMMANDS:
             return False
         self.put(command)
         return True
 
     def put(self, command: Command) -> None:
-        """Queue a command; all that come within a moment are worked through together."""
+        """Queue a command; all commands of COMMAND_BATCH_S are processed in one step."""
         self.commands.append(command)
         if not self.step_scheduled:
             self.step_scheduled = True
             self.loop.call_later(constants.COMMAND_BATCH_S, self.run_step)
 
     def run_step(self) -> None:
-        """Give the core its batch and carry out the effects."""
+        """Pass the queued commands to the core and carry out the resulting effects."""
         self.step_scheduled = False
         batch, self.commands = self.commands, []
         for effect in self.core.step(self.loop.time(), batch):
@@ -105,7 +105,7 @@
                 log.exception("event=effect_failed kind=%s", type(effect).__name__)
 
     def carry_out(self, effect: Effect) -> None:
-        """Hand one effect to the client of its counterpart."""
+        """Pass an effect to the client of its counterpart."""
         match effect:
             case messages.Answer(request, status, body):
                 self.router.answer(request, status, body)
@@ -131,7 +131,7 @@
             self.peers[effect.controller_id].send(LendChanges(lent))
 
     def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
-        """Run something in the background and keep it from being collected."""
+        """Run a coroutine in the background, with a reference that prevents its collection."""
         task = self.loop.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -195,9 +195,9 @@
 
 
 def load_schedules(path: str) -> Plugin:
-    """Return the subsystem of cron tables and calendars; raises SettingsError."""
+    """Return the plugin for cron tables and calendars; raises SettingsError."""
     try:
-        from oakmux.schedules import plugin  # not needed, and not installed, where it is off
+        from oakmux.schedules import plugin  # neither needed nor installed if schedules are off
     except ImportError as error:
         raise settings.SettingsError(
             f"{path}: schedules need {error.name}: install requirements-schedules.txt"
@@ -206,9 +206,9 @@
 
 
 def serve(path: str, schedules: str | None = None, spread: str | None = None) -> int:
-    """Run a controller with the platform's settings file; return the exit code.
+    """Run a controller with the deployment's settings file; return the exit code.
 
-    The operator's own files switch on schedules, and change how load is spread.
+    The operator's files enable schedules and change options of the scheduler.
     """
     plugins: list[Plugin] = []
     try:
@@ -230,7 +230,7 @@
     try:
         asyncio.run(run())
     except OSError as error:
-        print(f"oakmux: can't listen: {error}", file=sys.stderr)
+        print(f"oakmux: can't open a listener: {error}", file=sys.stderr)
         return 2
     except KeyboardInterrupt:
         return 0
@@ -238,16 +238,16 @@
 
 
 def main(argv: list[str]) -> int:
-    """Parse the platform's command line."""
+    """Parse the command line of the deployment and run a controller; return the exit code."""
     parser = argparse.ArgumentParser(prog="run.py", description="Run an oakmux controller.")
-    parser.add_argument("--config", required=True, help="the platform's settings file (TOML)")
+    parser.add_argument("--config", required=True, help="the deployment's settings file (TOML)")
     parser.add_argument(
         "--schedules",
         metavar="FILE",
-        help="keep cron tables and calendars, by the operator's settings (INI)",
+        help="enable cron tables and calendars, with the operator's settings (INI)",
     )
     parser.add_argument(
-        "--spread", metavar="FILE", help="how load is spread, by the operator's settings (INI)"
+        "--spread", metavar="FILE", help="options of the scheduler: the operator's settings (INI)"
     )
     args = parser.parse_args(argv)
     return serve(args.config, args.schedules, args.spread)
--- a/oakmux/settings.py
+++ b/oakmux/settings.py
@@ -1,7 +1,7 @@
 """Settings of a controller: the deployment's file (TOML) and the operator's files (INI).
 
-The fields have the code's names; `name=` maps those that the deployment's file calls otherwise.
-Texts of errors name the file's fields.
+Fields have the code's names; `name=` gives the name in the deployment's file where it differs.
+Error messages use the names in the file.
 """
 
 import configparser
@@ -15,16 +15,16 @@
 from oakmux import constants
 
 MIN_TXN_OPS = 2
-"""A job's end is written together with the end of its last tasks."""
+"""Smallest allowed `txn_ops`: a job's end is written together with the end of its last tasks."""
 
 MAX_VALUE = 1e12
-"""Every number in the settings is smaller."""
+"""Numbers in the settings must be below this."""
 
 MAX_PORT = 65535
 
 
 class SettingsError(Exception):
-    """The settings can't be used; the text says which field and why."""
+    """The settings can't be used; the text names the field and the reason."""
 
 
 class Team(msgspec.Struct, frozen=True):
@@ -47,7 +47,7 @@
 
 
 class WorkerTimings(msgspec.Struct, frozen=True):
-    """Intervals and timeouts that the workers keep to, in seconds."""
+    """Intervals and timeouts of the workers, in seconds."""
 
     heartbeat_interval_s: float = msgspec.field(name="report_s")
     lease_s: float
@@ -57,7 +57,7 @@
 
 
 class UpcomingLimits(msgspec.Struct, frozen=True):
-    """Limits that the store will have from some moment on; what is missing does not change."""
+    """Limits that the store will have at some later time; a missing limit does not change."""
 
     rps: float | None = None
     write_rps: float | None = None
@@ -66,7 +66,7 @@
 
 
 class StoreLimits(msgspec.Struct, frozen=True):
-    """Limits of the store: requests and writes a second, size of a value, writes at a time."""
+    """Limits of the store: requests and writes a second, value size, writes in a transaction."""
 
     rps: float
     write_rps: float
@@ -76,7 +76,7 @@
 
     @property
     def strictest(self) -> "StoreLimits":
-        """The smaller of the present and the upcoming limits: they change without notice."""
+        """The smaller of the present and the upcoming limits, as these apply without notice."""
         smaller = {
             name: min(value, getattr(self, name))
             for name, value in msgspec.structs.asdict(self.upcoming).items()
@@ -86,14 +86,14 @@
 
 
 class CloudLimits(msgspec.Struct, frozen=True):
-    """Limits of the cloud: requests a second, and how late its list may be."""
+    """Limits of the cloud: requests a second, and the delay of its list of instances (s)."""
 
     rps: float
     list_lag_s: float
 
 
 class Resources(msgspec.Struct, frozen=True):
-    """What a controller's process may use."""
+    """Resources that a controller's process may use."""
 
     cores: float = 1.0
     ram_mb: float = 256.0
@@ -101,7 +101,7 @@
 
 
 class Facts(msgspec.Struct, frozen=True):
-    """What is known of the deployment."""
+    """Properties of the deployment."""
 
     zones: list[str]
     teams: list[Team]
@@ -130,14 +130,14 @@
 
 
 class SchedulingOptions(msgspec.Struct, frozen=True):
-    """The operator's options of the scheduler."""
+    """The operator's options for the scheduler."""
 
     backfill: bool = msgspec.field(default=False, name="openings")
     minimum_share: float = constants.MINIMUM_SHARE
 
 
 class Settings(msgspec.Struct, frozen=True):
-    """The deployment's settings, and what operators set beside them."""
+    """The deployment's settings and the operator's options."""
 
     controller_id: str = msgspec.field(name="label")
     public_address: str = msgspec.field(name="public_addr")
@@ -146,7 +146,7 @@
     facts: Facts
     zone: str = msgspec.field(default="", name="area")
     peers: list[Peer] = msgspec.field(default_factory=list, name="members")
-    # From the operator's file: the deployment's file can have no key of this name.
+    # Set from the operator's file; the deployment's file can't have a key of this name.
     scheduling: SchedulingOptions = msgspec.field(
         default=SchedulingOptions(), name="operators.spread"
     )
@@ -166,7 +166,7 @@
 
 
 def check(settings: Settings) -> Settings:
-    """Return the settings; raises SettingsError if they are well formed but can't work."""
+    """Return the settings; raises SettingsError if they are well formed but invalid."""
     for run_check in _CHECKS:
         run_check(settings)
     return settings
@@ -240,10 +240,10 @@
 def _check_controller_ids(settings: Settings) -> None:
     controller_ids = [settings.controller_id, *(peer.controller_id for peer in settings.peers)]
     if len(set(controller_ids)) != len(controller_ids):
-        raise SettingsError("members.label: every controller needs a label of its own")
+        raise SettingsError("members.label: every controller needs a unique label")
 
 
-# In the order in which settings with several faults are refused.
+# In this order; the settings are refused for their first fault.
 _CHECKS: tuple[Callable[[Settings], None], ...] = (
     _check_addresses,
     _check_positive,
@@ -287,7 +287,7 @@
 
 
 def load_scheduling_options(path: str) -> SchedulingOptions:
-    """Read the operator's options of the scheduler; raises SettingsError with one line."""
+    """Read the operator's options for the scheduler; raises SettingsError with one line."""
     parser = read_ini(path, {"spread": {"openings", "floor_share"}})
     try:
         backfill = parser.getboolean("spread", "openings", fallback=False)
