--- a/oakmux/cli/app.py
+++ b/oakmux/cli/app.py
@@ -17,7 +17,7 @@
         return sorted([*super().list_commands(ctx), "schedule"])
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Return the command of a name."""
+        """Return a command by its name."""
         if cmd_name == "schedule":
             from oakmux.schedules.commands import schedule
 
--- a/oakmux/cli/client.py
+++ b/oakmux/cli/client.py
@@ -43,7 +43,7 @@
 
 
 def send_request(server: str, method: str, path: str, body: Any = None) -> tuple[int, Any]:
-    """Make one request; raises OSError or HTTPException when there is no answer."""
+    """Make one request; raises OSError or HTTPException if there is no answer."""
     host, port = settings.split_addr(server)
     conn = HTTPConnection(host, port, timeout=constants.CLOUD_TIMEOUT_S)
     try:
--- a/oakmux/core/scheduling/backfill_planner.py
+++ b/oakmux/core/scheduling/backfill_planner.py
@@ -28,7 +28,7 @@
     def is_required(self, job: Job, spec: JobSpec) -> bool:
         """Whether a gang gets a backfill reservation although the setting is off.
 
-        Large starving gangs do. Smaller gangs find capacity without a reservation, and many
+        A large starving gang does. Smaller gangs find capacity without a reservation, and many
         reservations at a time cost other work more than the gangs gain.
         """
         if not is_starving(self.context, job):
--- a/oakmux/transport/http_client.py
+++ b/oakmux/transport/http_client.py
@@ -104,7 +104,7 @@
 
     @asynccontextmanager
     async def _connection(self, addr: str, limit: int) -> AsyncIterator[ClientProtocol]:
-        """Lend a connection; it is kept for reuse unless the body raises or it is unusable."""
+        """Lend a connection; it returns to the pool if the body completes and it is usable."""
         async with self.slots:
             pool = self.idle.setdefault(addr, [])
             connection = _pop_usable(pool) or await self._connect(addr, limit)
--- a/oakmux/transport/rate_limit.py
+++ b/oakmux/transport/rate_limit.py
@@ -7,7 +7,7 @@
 
 
 class TokenBucket:
-    """Tokens that refill at `rate` (tokens a second), up to the tokens of `seconds`."""
+    """Tokens that refill at `rate` (tokens a second), up to `seconds` worth of tokens."""
 
     def __init__(self, rate: float, seconds: float = 1.0) -> None:
         self.rate = max(rate, 0.1)
