--- a/oakmux/core/scheduling/quotas.py
+++ b/oakmux/core/scheduling/quotas.py
@@ -54,12 +54,12 @@
         return "a task fits no allowed machine type"
     zones = {zone for kind in kinds for zone in kind.zones if spec.zone in (None, zone)}
     if not zones:
-        return "no allowed machine type is available in its zone"
+        return "no allowed machine type is there in its zone"
     concurrent = 1 if spec.kind == "array" else spec.tasks
     if spec.spread and concurrent > 1 and (spec.one_zone or len(zones) < 2):
         return "tasks that run at the same time can't be spread over one zone"
     if exceeds_limit(context, spec.team, spec.cpus * concurrent, spec.gpus * concurrent):
-        return "needs more than the team's limit"
+        return "more than the team's limit"
     return None
 
 
