--- a/oakmux/core/leadership/roles.py
+++ b/oakmux/core/leadership/roles.py
@@ -14,14 +14,16 @@
 FLEET = "#fleet"
 
 
-def assign_roles(free: list[str], held: dict[str, str], controllers: list[str]) -> dict[str, str]:
+def assign_roles(
+    free: list[str], holders: dict[str, str], controllers: list[str]
+) -> dict[str, str]:
     """Return the controller that should claim each free role: the one with the fewest roles.
 
     Ties are broken by hash. The same records give the same result on all controllers, and claims
     are conditional writes.
     """
     role_counts = Counter(
-        controller_id for controller_id in held.values() if controller_id in controllers
+        controller_id for controller_id in holders.values() if controller_id in controllers
     )
     assigned = {}
     for role in sorted(free):
@@ -55,15 +57,15 @@
         """Claim free roles assigned to this controller, or rebalance if no role is free."""
         context = self.context
         controllers = sorted({*context.replica.live_controllers, context.controller_id})
-        held = {role: holder[0] for role, holder in context.replica.roles.items()}
-        free = [role for role in (*context.teams, FLEET) if role not in held]
-        assigned = assign_roles(free, held, controllers)
+        holders = {role: holder[0] for role, holder in context.replica.roles.items()}
+        free = [role for role in (*context.teams, FLEET) if role not in holders]
+        assigned = assign_roles(free, holders, controllers)
         # Roles of subsystems are not part of the assignment, on which all controllers must agree:
         # a controller without the subsystem, or of an earlier version, would wait for the others
         # and they for it. All controllers that run the subsystem try to claim its roles; the
         # condition lets one succeed.
         assigned.update(
-            (role, context.controller_id) for role in context.extra_roles if role not in held
+            (role, context.controller_id) for role in context.extra_roles if role not in holders
         )
         for role in (*context.teams, FLEET, *context.extra_roles):
             claim = assigned.get(role) == context.controller_id or self._held_by_predecessor(role)
@@ -71,7 +73,7 @@
                 self._claim(role)
         if not assigned and context.now >= self.next_rebalance_at:
             self.next_rebalance_at = context.now + constants.ROLE_REBALANCE_S
-            self._rebalance(held, controllers)
+            self._rebalance(holders, controllers)
 
     def _held_by_predecessor(self, role: str) -> bool:
         """Whether the previous process of this controller wrote a role's key.
@@ -108,12 +110,12 @@
         elif status == 400:
             self.lease.on_lost("no_such_lease")
 
-    def _rebalance(self, held: dict[str, str], controllers: list[str]) -> None:
+    def _rebalance(self, holders: dict[str, str], controllers: list[str]) -> None:
         """Release a role if another controller has at least two fewer; that one then claims it."""
         context = self.context
         role_counts = Counter(
             controller_id
-            for role, controller_id in held.items()
+            for role, controller_id in holders.items()
             if role == FLEET or role in context.teams
         )
         held_teams = sorted(role for role in context.held_roles if role in context.teams)
