--- a/oakmux/codec/peers.py
+++ b/oakmux/codec/peers.py
@@ -61,7 +61,7 @@
 
 
 def decode_message(row: Sequence[Any]) -> PeerMessage:
-    """Return the message of a wire form; raises MalformedError."""
+    """Return the message that a row encodes; raises MalformedError."""
     try:
         return _TYPES[row[0]](*row[1:])
     except (IndexError, KeyError, TypeError) as error:
