--- a/oakmux/schedules/api.py
+++ b/oakmux/schedules/api.py
@@ -23,19 +23,19 @@
 from oakmux.schedules.records import (
     CATCH_UPS,
     MANUAL,
-    NAME,
+    NAME_PATTERN,
     OVERLAPS,
     Calendar,
     Entry,
     Policy,
+    ScheduleStore,
     Slot,
-    Store,
     calendar_key,
+    encode_record,
     entry_key,
     part_key,
     shard_key,
     template_key,
-    value_of,
 )
 from oakmux.schedules.wall_clock import WallClock
 
@@ -50,68 +50,70 @@
 class ScheduleApi:
     """Serves one controller's requests about schedules."""
 
-    def __init__(self, context: Context, store: Store, wall_clock: WallClock) -> None:
+    def __init__(self, context: Context, store: ScheduleStore, wall_clock: WallClock) -> None:
         self.context = context
         self.store = store
         self.wall_clock = wall_clock
-        self.shows = ScheduleQueries(context, store)
-        self.again: list[tuple[float, Callable[[], None]]] = []
+        self.queries = ScheduleQueries(context, store)
+        self.retries: list[tuple[float, Callable[[], None]]] = []
         self.operations: dict[str, Callable[[Any, dict], None]] = {
             "template": self._put_template,
             "template-remove": self._remove_template,
-            "templates": self.shows.templates,
+            "templates": self.queries.templates,
             "put": self._put,
             "check": self._check,
             "remove": self._remove,
-            "list": self.shows.entries,
-            "show": self.shows.show,
-            "next": self.shows.next,
-            "history": self.shows.history,
+            "list": self.queries.entries,
+            "show": self.queries.show,
+            "next": self.queries.next,
+            "history": self.queries.history,
             "pause": self._pause,
             "resume": self._resume,
             "run-now": self._run_now,
-            "calendars": self.shows.calendars,
+            "calendars": self.queries.calendars,
             "calendar": self._put_calendar,
             "calendar-remove": self._remove_calendar,
-            "objects": self.shows.objects,
-            "changes": self.shows.changes,
+            "objects": self.queries.objects,
+            "changes": self.queries.changes,
         }
 
     # --- requests ---
 
-    def request(self, command: ServeScheduleRequest) -> None:
+    def handle_request(self, command: ServeScheduleRequest) -> None:
         """Serve a request; answers at once, or when what it writes is written."""
-        rid, operation, args = command.request, command.operation, command.args
+        request, operation, args = command.request, command.operation, command.args
         context = self.context
         serve = self.operations.get(operation)
         if serve is None or not isinstance(args, dict):
-            self._error(rid, RefusedError(404, "unknown operation"))
+            self._error(request, RefusedError(404, "unknown operation"))
         elif not context.replica.loaded or context.replica.unknown_format:
-            self._error(rid, RefusedError(503, "starting"))
+            self._error(request, RefusedError(503, "starting"))
         elif context.now - context.store_seen_at > constants.STORE_STALE_S:
-            self._error(rid, RefusedError(503, "no current records"))
+            self._error(request, RefusedError(503, "no current records"))
         else:
-            self._attempt(rid, partial(serve, rid, args))
+            self._attempt(request, partial(serve, request, args))
 
-    def _attempt(self, rid: Any, run: Callable[[], None]) -> None:
+    def _attempt(self, request: Any, action: Callable[[], None]) -> None:
         """Go on with a request, or tell why it can't be carried out."""
         try:
-            run()
+            action()
         except RefusedError as error:
-            self._error(rid, error)
+            self._error(request, error)
         except UNPROCESSABLE as error:
-            self._error(rid, RefusedError(422, str(error)))
+            self._error(request, RefusedError(422, str(error)))
         except (KeyError, TypeError, ValueError, OverflowError, msgspec.ValidationError) as error:
-            self._error(rid, RefusedError(400, f"bad request: {error!r}"[: constants.NOTE_CHARS]))
+            self._error(
+                request, RefusedError(400, f"bad request: {error!r}"[: constants.NOTE_CHARS])
+            )
 
-    def _error(self, rid: Any, error: RefusedError) -> None:
-        self.context.answer(rid, error.status, ("error", str(error)))
+    def _error(self, request: Any, error: RefusedError) -> None:
+        self.context.answer(request, error.status, ("error", str(error)))
 
     def tick(self) -> None:
         """Go on with what waits for newer records."""
-        due, self.again = (
-            [row for row in self.again if row[0] <= self.context.now],
-            [row for row in self.again if row[0] > self.context.now],
+        due, self.retries = (
+            [row for row in self.retries if row[0] <= self.context.now],
+            [row for row in self.retries if row[0] > self.context.now],
         )
         for _, run in due:
             try:
@@ -121,98 +123,102 @@
 
     def _write(
         self,
-        rid: Any,
+        request: Any,
         build: Callable[[], Change],
-        then: Callable[[int, dict], None] | None = None,
+        on_success: Callable[[int, dict], None] | None = None,
         tries: int = 0,
-        said: dict[str, Any] | None = None,
+        log_fields: dict[str, Any] | None = None,
     ) -> None:
         """Write what `build` makes of the records; anew if they turn out to have changed.
 
         What `build` puts into `said` is logged once it is written.
         """
-        self._attempt(rid, partial(self._write_once, rid, build, then, tries, said))
+        self._attempt(
+            request, partial(self._write_once, request, build, on_success, tries, log_fields)
+        )
 
     def _write_once(
         self,
-        rid: Any,
+        request: Any,
         build: Callable[[], Change],
-        then: Callable[[int, dict], None] | None,
+        on_success: Callable[[int, dict], None] | None,
         tries: int,
-        said: dict[str, Any] | None,
+        log_fields: dict[str, Any] | None,
     ) -> None:
         guards, writes, status, body = build()
-        answer = then or (lambda status, body: self.shows.say(rid, body, status))
+        answer = on_success or (lambda status, body: self.queries.answer(request, body, status))
         if not writes:
             answer(status, body)
             return
 
-        def done(outcome: int, result: Any) -> None:
+        def on_written(outcome: int, result: Any) -> None:
             if outcome == 200:
                 for write in writes:
                     self.context.replica.apply(
                         write[0], write[1] if len(write) > 1 else None, result[0]
                     )
-                if said:
-                    event(**said)
+                if log_fields:
+                    event(**log_fields)
                 answer(status, body)
             elif (
                 outcome == 409
                 and tries < constants.REQUEST_TRIES
-                and len(self.again) < constants.MAX_WAITING_REQUESTS
+                and len(self.retries) < constants.MAX_WAITING_REQUESTS
             ):
                 # The watch brings what was in the way within a moment.
-                self.again.append(
+                self.retries.append(
                     (
                         self.context.now + constants.TICK_S * (1 + tries),
-                        lambda: self._write(rid, build, then, tries + 1, said),
+                        lambda: self._write(request, build, on_success, tries + 1, log_fields),
                     )
                 )
             elif outcome == 400:
-                self._error(rid, RefusedError(413, "too large for the state service"))
+                self._error(request, RefusedError(413, "too large for the state service"))
             else:
-                self._error(rid, RefusedError(503, "not known to be written"))
+                self._error(request, RefusedError(503, "not known to be written"))
 
-        self.context.call(done, messages.Transaction, list(guards.items()), writes, 0)
+        self.context.call(on_written, messages.Transaction, list(guards.items()), writes, 0)
 
     # --- templates ---
 
-    def _put_template(self, rid: Any, args: dict) -> None:
-        name, team = self._named("template", args)
-        self._need_types()
-        said: dict[str, Any] = {}
-        template = templates.from_steps(args["steps"], team)
+    def _put_template(self, request: Any, args: dict) -> None:
+        name, team = self._parse_name("template", args)
+        self._require_machine_types()
+        log_fields: dict[str, Any] = {}
+        template = templates.parse_steps(args["steps"], team)
         templates.check(self.context, template)
         key = template_key(name)
 
         def build() -> Change:
             if name not in self.store.templates:
-                self._bound(team, "templates", self.store.templates, constants.TEAM_TEMPLATES)
-            said.update(name="template", template=name, steps=len(template.steps))
+                self._check_limit(
+                    team, "templates", self.store.templates, constants.TEAM_TEMPLATES
+                )
+            log_fields.update(name="template", template=name, steps=len(template.steps))
             return (
                 self.store.guards(key),
-                [(key, value_of(template), None)],
+                [(key, encode_record(template), None)],
                 200,
                 {"name": name, "steps": len(template.steps)},
             )
 
         if args.get("dry"):
-            self.shows.say(rid, {"name": name, "steps": len(template.steps)})
+            self.queries.answer(request, {"name": name, "steps": len(template.steps)})
         else:
-            self._write(rid, build, said=said)
+            self._write(request, build, log_fields=log_fields)
 
-    def _need_types(self) -> None:
+    def _require_machine_types(self) -> None:
         if not self.context.types:
             raise RefusedError(503, "machine types are not known yet")
 
-    def _remove_template(self, rid: Any, args: dict) -> None:
+    def _remove_template(self, request: Any, args: dict) -> None:
         name = str(args["name"])
         key = template_key(name)
 
         def build() -> Change:
             if name not in self.store.templates:
                 raise RefusedError(404, f"no template {name}")
-            users = sorted(self.store.users.get(name, ()))
+            users = sorted(self.store.template_users.get(name, ()))
             if users:
                 raise RefusedError(
                     409,
@@ -221,55 +227,55 @@
                 )
             return self.store.guards(key), [(key,)], 200, {"removed": name}
 
-        self._write(rid, build)
+        self._write(request, build)
 
     # --- entries ---
 
-    def _policy(self, args: dict) -> Policy:
-        made = Policy(
+    def _parse_policy(self, args: dict) -> Policy:
+        policy = Policy(
             str(args.get("overlap", "skip")),
             str(args.get("catch_up", "all")),
             int(args.get("window_s", Policy().window_s)),
             int(args.get("jitter_s", 0)),
         )
-        if made.overlap not in OVERLAPS:
+        if policy.overlap not in OVERLAPS:
             raise RefusedError(422, f"overlap: one of {', '.join(OVERLAPS)}")
-        if made.catch_up not in CATCH_UPS:
+        if policy.catch_up not in CATCH_UPS:
             raise RefusedError(422, f"catch_up: one of {', '.join(CATCH_UPS)}")
-        if not 0 < made.window_s <= constants.CATCH_UP_WINDOW_MAX_S:
+        if not 0 < policy.window_s <= constants.CATCH_UP_WINDOW_MAX_S:
             raise RefusedError(422, f"window_s: 1 to {constants.CATCH_UP_WINDOW_MAX_S}")
-        if not 0 <= made.jitter_s <= constants.JITTER_MAX_S:
+        if not 0 <= policy.jitter_s <= constants.JITTER_MAX_S:
             raise RefusedError(422, f"jitter_s: 0 to {constants.JITTER_MAX_S}")
-        return made
+        return policy
 
-    def _made(self, args: dict) -> Entry:
+    def _parse_entry(self, args: dict) -> Entry:
         """Return an entry from a request, checked in full."""
-        name = self.shows.name(args.get("name"))
-        rule = args["rule"]
-        if isinstance(rule, dict):
-            made = cron_rule(str(rule["cron"]), str(rule.get("zone", "UTC")))
+        name = self.queries.check_name(args.get("name"))
+        rule_args = args["rule"]
+        if isinstance(rule_args, dict):
+            rule = cron_rule(str(rule_args["cron"]), str(rule_args.get("zone", "UTC")))
         else:
-            made = msgspec.convert(rule, Rule)
-            if made.kind not in ("cron", "calendar"):
+            rule = msgspec.convert(rule_args, Rule)
+            if rule.kind not in ("cron", "calendar"):
                 raise RefusedError(
-                    422, f"unknown kind of rule {made.kind[: constants.LOG_TEXT_CHARS]!r}"
+                    422, f"unknown kind of rule {rule.kind[: constants.LOG_TEXT_CHARS]!r}"
                 )
-        zones.zone(made.zone)
+        zones.zone(rule.zone)
         template = str(args["template"])
         if template not in self.store.templates:
             raise RefusedError(422, f"no template {template[: constants.LOG_TEXT_CHARS]}")
         if template.partition("/")[0] != name.partition("/")[0]:
             raise RefusedError(422, f"{template} is another team's template")
-        self._need_types()
+        self._require_machine_types()
         templates.check(self.context, self.store.templates[template])
         until, deadline = int(args.get("until") or 0), args.get("deadline_s")
         if not 0 <= until < 10**11 or (deadline is not None and not 0 < deadline < 1e12):
             raise RefusedError(422, "until or deadline_s: out of range")
         return Entry(
             name,
-            made,
+            rule,
             template,
-            self._policy(args.get("policy") or {}),
+            self._parse_policy(args.get("policy") or {}),
             until,
             bool(args.get("paused")),
             self.wall_clock.now_ms(),
@@ -280,142 +286,158 @@
             uid=str(args.get("uid", ""))[: constants.NOTE_CHARS],
         )
 
-    def _now_s(self) -> int:
+    def _earliest_now_s(self) -> int:
         """Return the time (s) up to which, by any clock here, firings may not have been made."""
         return (self.wall_clock.now_ms() - int(self.context.facts.skew_ms)) // 1000
 
     def _fresh_slot(self, entry: Entry, old: Slot | None) -> Slot:
         """Return where firings begin: those before the edit are over or dropped."""
-        since = self._now_s()
-        rows = old.rows if old is not None else []
-        since = max([since, *(row[0] for row in rows if row[1] != MANUAL)])
+        decided_until_s = self._earliest_now_s()
+        decisions = old.decisions if old is not None else []
+        decided_until_s = max(
+            [decided_until_s, *(decision[0] for decision in decisions if decision[1] != MANUAL)]
+        )
         return Slot(
-            entry.name, mark_at(entry.rule, since), 0 if old is None else old.pending, rows
+            entry.name,
+            mark_at(entry.rule, decided_until_s),
+            0 if old is None else old.pending,
+            decisions,
         )
 
-    def _shard(self, number_of_new: int) -> tuple[int, int]:
+    def _choose_shard(self, new_entries: int) -> tuple[int, int]:
         """Return a shard with room, and for how many of the new entries."""
         capacity = max(1, value_limit(self.context.facts.store.strictest) // constants.SLOT_BYTES)
-        found: list[int] = []
+        candidates: list[int] = []
         number = 0
-        while len(found) < constants.SHARD_CHOICES:
+        while len(candidates) < constants.SHARD_CHOICES:
             if len(self.store.shards.get(number, ())) < capacity:
-                found.append(number)
+                candidates.append(number)
             number += 1
-        chosen = self.context.rng.choice(found)
-        return chosen, min(number_of_new, capacity - len(self.store.shards.get(chosen, ())))
+        shard = self.context.rng.choice(candidates)
+        return shard, min(new_entries, capacity - len(self.store.shards.get(shard, ())))
 
-    def _check(self, rid: Any, args: dict) -> None:
+    def _check(self, request: Any, args: dict) -> None:
         """Check entries as `put` does, without storing any; tells each one's next firing."""
-        rows = []
-        for row in self._few(args["entries"]):
+        results = []
+        for entry_args in self._check_entry_count(args["entries"]):
             try:
-                entry = self._made(row)
-                rows.append(
+                entry = self._parse_entry(entry_args)
+                results.append(
                     {
                         "name": entry.name,
-                        "next": self.shows.firings(entry, mark_at(entry.rule, self._now_s()), 1),
+                        "next": self.queries.firings(
+                            entry, mark_at(entry.rule, self._earliest_now_s()), 1
+                        ),
                     }
                 )
             except (RefusedError, *UNPROCESSABLE) as error:
                 if isinstance(error, RefusedError) and error.status >= 500:
                     raise
-                rows.append({"name": str(row.get("name")), "error": str(error)})
-        self.shows.say(rid, {"entries": rows})
+                results.append({"name": str(entry_args.get("name")), "error": str(error)})
+        self.queries.answer(request, {"entries": results})
 
-    def _few(self, rows: list) -> list:
+    def _check_entry_count(self, rows: list) -> list:
         """Bound what one request computes: the firings of an entry may take milliseconds."""
         if not isinstance(rows, list) or not 0 < len(rows) <= constants.SHOWN_FIRINGS:
             raise RefusedError(400, f"entries: 1 to {constants.SHOWN_FIRINGS} in a request")
         return rows
 
-    def _put(self, rid: Any, args: dict) -> None:
+    def _put(self, request: Any, args: dict) -> None:
         """Store entries; each is whole or not there, and the answer says which were stored."""
-        entries = [self._made(row) for row in self._few(args["entries"])]
+        entries = [self._parse_entry(row) for row in self._check_entry_count(args["entries"])]
         if len({entry.name for entry in entries}) < len(entries):
             raise RefusedError(422, "two entries of one name")
         # An edit that says nothing of a pause leaves it as it is.
         args["silent"] = {row["name"] for row in args["entries"] if "paused" not in row}
         texts = {entries[0].name: str(args["text"])} if "text" in args and entries else {}
-        self._put_more(rid, entries, args, texts, [])
+        self._put_remaining(request, entries, args, texts, [])
 
-    def _put_more(
-        self, rid: Any, left: list[Entry], args: dict, texts: dict[str, str], stored: list[str]
+    def _put_remaining(
+        self,
+        request: Any,
+        remaining: list[Entry],
+        args: dict,
+        texts: dict[str, str],
+        stored: list[str],
     ) -> None:
-        if not left:
-            self.shows.say(rid, {"stored": stored, "etag": args.get("etag", "")})
+        if not remaining:
+            self.queries.answer(request, {"stored": stored, "etag": args.get("etag", "")})
             return
-        now: list[Entry] = []
+        batch: list[Entry] = []
 
         def build() -> Change:
-            now.clear()
-            old = self.store.entries.get(left[0].name)
+            batch.clear()
+            old = self.store.entries.get(remaining[0].name)
             if old is not None:
-                now.append(left[0])
-                return self._replacing(left[0], old, args, texts.get(left[0].name))
+                batch.append(remaining[0])
+                return self._replace_entry(remaining[0], old, args, texts.get(remaining[0].name))
             if args.get("if_match"):
                 raise RefusedError(412, "no such entry")
-            number, room = self._shard(len(left))
+            number, room = self._choose_shard(len(remaining))
             limits = self.context.facts.store.strictest
             guards = self.store.guards(shard_key(number))
             writes: list[tuple] = []
             slots: dict[str, Slot] = {}
-            for entry in left[:room]:
+            for entry in remaining[:room]:
                 if entry.name in self.store.entries:
                     break
-                self._count(entry, len(now))
-                self._one_uid(entry)
-                parts = self._parts(entry.name, texts.get(entry.name, ""))
+                self._check_entry_limits(entry, len(batch))
+                self._check_unique_uid(entry)
+                parts = self._text_part_writes(entry.name, texts.get(entry.name, ""))
                 if len(writes) + 2 + len(parts) > limits.txn_ops:
                     break
-                made = msgspec.structs.replace(entry, shard=number, parts=len(parts))
+                record = msgspec.structs.replace(entry, shard=number, text_parts=len(parts))
                 guards[entry_key(entry.name)] = 0
                 guards.update(self.store.guards(template_key(entry.template)))
-                writes += [(entry_key(entry.name), self._sized(made), None), *parts]
+                writes += [(entry_key(entry.name), self._encode_entry(record), None), *parts]
                 slots[entry.name] = self._fresh_slot(entry, None)
-                now.append(entry)
-            if not now:
+                batch.append(entry)
+            if not batch:
                 raise RefusedError(413, "too large for the state service")
             return guards, [self.store.shard_write(number, slots), *writes], 201, {}
 
-        def done(_: int, __: dict) -> None:
-            for entry in now:
+        def on_written(_: int, __: dict) -> None:
+            for entry in batch:
                 event(
                     "schedule_entry_stored",
                     entry=entry.name,
                     rule=entry.rule.kind,
                     template=entry.template,
                 )
-            self._put_more(
-                rid, left[len(now) :], args, texts, [*stored, *(entry.name for entry in now)]
+            self._put_remaining(
+                request,
+                remaining[len(batch) :],
+                args,
+                texts,
+                [*stored, *(entry.name for entry in batch)],
             )
 
-        self._write(rid, build, done)
+        self._write(request, build, on_written)
 
-    def _count(self, entry: Entry, more: int) -> None:
+    def _check_entry_limits(self, entry: Entry, added: int) -> None:
         entries, calendar = self.store.entries, entry.name.rpartition("/")[0]
-        self._bound(entry.team, "entries", entries, constants.TEAM_ENTRIES, more)
+        self._check_limit(entry.team, "entries", entries, constants.TEAM_ENTRIES, added)
         if calendar != entry.team:
-            self._bound(calendar, "entries", entries, constants.CALENDAR_OBJECTS, more)
+            self._check_limit(calendar, "entries", entries, constants.CALENDAR_OBJECTS, added)
 
-    def _bound(
-        self, owner: str, what: str, names: Collection[str], most: int, more: int = 0
+    def _check_limit(
+        self, owner: str, kind: str, names: Collection[str], limit: int, added: int = 0
     ) -> None:
         """Refuse one more of what a team or a calendar may have so many of."""
-        count = sum(1 for name in names if name.startswith(owner + "/")) + more
-        if count >= most:
-            raise RefusedError(422, f"{owner} has {count} {what}: no more are kept")
+        count = sum(1 for name in names if name.startswith(owner + "/")) + added
+        if count >= limit:
+            raise RefusedError(422, f"{owner} has {count} {kind}: no more are kept")
 
-    def _named(self, what: str, args: dict) -> tuple[str, str]:
+    def _parse_name(self, kind: str, args: dict) -> tuple[str, str]:
         """Return the name of a template or a calendar, TEAM/NAME, and its team."""
         name = str(args["name"])
-        team, _, rest = name.partition("/")
-        self.shows.team(team)
-        if not NAME.match(rest):
-            raise RefusedError(422, f"a {what}'s name is TEAM/NAME")
+        team, _, own_name = name.partition("/")
+        self.queries.check_team(team)
+        if not NAME_PATTERN.match(own_name):
+            raise RefusedError(422, f"a {kind}'s name is TEAM/NAME")
         return name, team
 
-    def _one_uid(self, entry: Entry) -> None:
+    def _check_unique_uid(self, entry: Entry) -> None:
         """Refuse a second object of a calendar with a UID that it has (RFC 4791, 5.3.2.1)."""
         if not entry.uid:
             return
@@ -424,54 +446,56 @@
             if other.uid == entry.uid and name != entry.name and name.startswith(calendar):
                 raise RefusedError(422, f"{name} has this UID")
 
-    def _sized(self, entry: Entry) -> Any:
-        value = value_of(entry)
-        size, most = value_bytes(value), value_limit(self.context.facts.store.strictest)
-        if size > most:
-            raise RefusedError(413, f"{entry.name}: {size} bytes: a record holds {most}")
+    def _encode_entry(self, entry: Entry) -> Any:
+        value = encode_record(entry)
+        size, max_bytes = value_bytes(value), value_limit(self.context.facts.store.strictest)
+        if size > max_bytes:
+            raise RefusedError(413, f"{entry.name}: {size} bytes: a record holds {max_bytes}")
         return value
 
-    def _parts(self, name: str, text: str) -> list[tuple]:
+    def _text_part_writes(self, name: str, text: str) -> list[tuple]:
         """Return the writes of a calendar object's text, cut so that each fits a record."""
         limits = self.context.facts.store.strictest
-        most = value_limit(limits)
+        max_bytes = value_limit(limits)
         parts: list[tuple] = []
-        rest = text
-        while rest:
-            cut = min(len(rest), most - 2)
-            while value_bytes(rest[:cut]) > most:
-                cut = cut * 9 // 10
-            parts.append((part_key(name, len(parts)), rest[:cut], None))
-            rest = rest[cut:]
+        remaining = text
+        while remaining:
+            length = min(len(remaining), max_bytes - 2)
+            while value_bytes(remaining[:length]) > max_bytes:
+                length = length * 9 // 10
+            parts.append((part_key(name, len(parts)), remaining[:length], None))
+            remaining = remaining[length:]
             if len(parts) + 2 > limits.txn_ops:
                 raise RefusedError(413, "too large for the state service")
         return parts
 
-    def _replacing(self, entry: Entry, old: Entry, args: dict, text: str | None) -> Change:
+    def _replace_entry(self, entry: Entry, old: Entry, args: dict, text: str | None) -> Change:
         """Change an entry. An edit that changes no time keeps the place among its firings."""
         store, key = self.store, entry_key(entry.name)
-        wanted = args.get("if_match")
-        if args.get("if_absent") or (wanted and wanted not in (old.etag, "*")):
-            raise RefusedError(412, f"{entry.name} has changed" if wanted else "it exists")
-        self._one_uid(entry)
+        expected_etag = args.get("if_match")
+        if args.get("if_absent") or (expected_etag and expected_etag not in (old.etag, "*")):
+            raise RefusedError(412, f"{entry.name} has changed" if expected_etag else "it exists")
+        self._check_unique_uid(entry)
         if entry.name in args["silent"]:
             entry = msgspec.structs.replace(entry, paused=old.paused)
-        parts = self._parts(entry.name, text or "")
-        made = msgspec.structs.replace(entry, born=old.born, shard=old.shard, parts=len(parts))
-        if made == old and not parts:
+        parts = self._text_part_writes(entry.name, text or "")
+        new = msgspec.structs.replace(
+            entry, created_ms=old.created_ms, shard=old.shard, text_parts=len(parts)
+        )
+        if new == old and not parts:
             return {}, [], 200, {}
         guards = store.guards(key, template_key(entry.template))
         writes = [
-            (key, self._sized(made), None),
+            (key, self._encode_entry(new), None),
             *parts,
-            *((part_key(entry.name, n),) for n in range(len(parts), old.parts)),
+            *((part_key(entry.name, n),) for n in range(len(parts), old.text_parts)),
         ]
-        if (made.rule, made.until) != (old.rule, old.until) or (old.paused and not made.paused):
-            slot = self._fresh_slot(made, store.slot(entry.name))
-            self._with_slot(guards, writes, old.shard, entry.name, slot)
+        if (new.rule, new.until) != (old.rule, old.until) or (old.paused and not new.paused):
+            slot = self._fresh_slot(new, store.slot(entry.name))
+            self._add_slot_write(guards, writes, old.shard, entry.name, slot)
         return guards, writes, 200, {}
 
-    def _with_slot(
+    def _add_slot_write(
         self,
         guards: dict[str, int],
         writes: list[tuple],
@@ -487,113 +511,123 @@
             )
         )
 
-    def _remove(self, rid: Any, args: dict) -> None:
-        said: dict[str, Any] = {}
+    def _remove(self, request: Any, args: dict) -> None:
+        log_fields: dict[str, Any] = {}
 
         def build() -> Change:
-            entry, _ = self.shows.entry(args)
-            wanted = args.get("if_match")
-            if wanted and wanted not in (entry.etag, "*"):
+            entry, _ = self.queries.find_entry(args)
+            expected_etag = args.get("if_match")
+            if expected_etag and expected_etag not in (entry.etag, "*"):
                 raise RefusedError(412, f"{entry.name} has changed")
             key = entry_key(entry.name)
             guards = self.store.guards(key)
             writes: list[tuple] = [
                 (key,),
-                *((part_key(entry.name, n),) for n in range(entry.parts)),
+                *((part_key(entry.name, n),) for n in range(entry.text_parts)),
             ]
-            self._with_slot(guards, writes, entry.shard, entry.name, None)
-            said.update(name="entry_removed", entry=entry.name)
+            self._add_slot_write(guards, writes, entry.shard, entry.name, None)
+            log_fields.update(name="entry_removed", entry=entry.name)
             return guards, writes, 200, {"removed": entry.name}
 
-        self._write(rid, build, said=said)
+        self._write(request, build, log_fields=log_fields)
 
-    def _pause(self, rid: Any, args: dict) -> None:
-        self._paused(rid, args, True)
+    def _pause(self, request: Any, args: dict) -> None:
+        self._set_paused(request, args, True)
 
-    def _resume(self, rid: Any, args: dict) -> None:
-        self._paused(rid, args, False)
+    def _resume(self, request: Any, args: dict) -> None:
+        self._set_paused(request, args, False)
 
-    def _paused(self, rid: Any, args: dict, paused: bool) -> None:
-        """Pause or resume; firings of a pause are not made up for."""
-        said: dict[str, Any] = {}
+    def _set_paused(self, request: Any, args: dict, paused: bool) -> None:
+        """Pause or resume; firings of a pause are not changed up for."""
+        log_fields: dict[str, Any] = {}
 
         def build() -> Change:
-            entry, slot = self.shows.entry(args)
+            entry, slot = self.queries.find_entry(args)
             body = {"name": entry.name, "paused": paused}
             if entry.paused == paused:
                 return {}, [], 200, body
             key = entry_key(entry.name)
-            made = msgspec.structs.replace(entry, paused=paused)
-            guards, writes = self.store.guards(key), [(key, value_of(made), None)]
+            changed = msgspec.structs.replace(entry, paused=paused)
+            guards, writes = self.store.guards(key), [(key, encode_record(changed), None)]
             if not paused:
-                self._with_slot(
-                    guards, writes, entry.shard, entry.name, self._fresh_slot(made, slot)
+                self._add_slot_write(
+                    guards, writes, entry.shard, entry.name, self._fresh_slot(changed, slot)
                 )
-            said.update(name="entry_paused" if paused else "entry_resumed", entry=entry.name)
+            log_fields.update(name="entry_paused" if paused else "entry_resumed", entry=entry.name)
             return guards, writes, 200, body
 
-        self._write(rid, build, said=said)
+        self._write(request, build, log_fields=log_fields)
 
-    def _run_now(self, rid: Any, args: dict) -> None:
+    def _run_now(self, request: Any, args: dict) -> None:
         """Dispatch one firing by hand. Asked again with the same word, the same jobs are told."""
-        said: dict[str, Any] = {}
-        word = str(args["word"])
-        if not NAME.match(word) or len(word) > constants.MANUAL_FIRING_KEY_CHARS:
+        log_fields: dict[str, Any] = {}
+        firing_key = str(args["word"])
+        if (
+            not NAME_PATTERN.match(firing_key)
+            or len(firing_key) > constants.MANUAL_FIRING_KEY_CHARS
+        ):
             raise RefusedError(400, "word: up to 16 letters and digits")
 
         def build() -> Change:
-            entry, slot = self.shows.entry(args)
+            entry, slot = self.queries.find_entry(args)
             template = self.store.templates.get(entry.template)
             refusal = templates.refusal(self.context, template)
             if refusal is not None or template is None:
                 raise RefusedError(422, refusal or "no template")
-            firing = f"hand:{word}"
+            firing = f"hand:{firing_key}"
             now_ms = self.wall_clock.now_ms()
-            ids, guards, writes = templates.submission(entry, template, firing, now_ms)
+            ids, guards, writes = templates.job_writes(entry, template, firing, now_ms)
             body = {"name": entry.name, "jobs": ids}
             if ids[0] in self.context.replica.jobs:
                 return {}, [], 200, body
-            if templates.early(self.context, template):
+            if templates.awaits_upgrade(self.context, template):
                 raise RefusedError(503, "an upgrade is under way: waits_on can't be recorded yet")
             guards.update(self.store.guards(entry_key(entry.name), template_key(entry.template)))
-            self._with_slot(
+            self._add_slot_write(
                 guards,
                 writes,
                 entry.shard,
                 entry.name,
-                slot.noted(slot.mark, slot.pending, now_ms // 1000, MANUAL, note=firing),
+                slot.with_decision(slot.mark, slot.pending, now_ms // 1000, MANUAL, note=firing),
             )
-            said.update(
+            log_fields.update(
                 name="turn", entry=entry.name, firing=firing, jobs=",".join(ids), by="hand"
             )
             return guards, writes, 201, body
 
-        self._write(rid, build, said=said)
+        self._write(request, build, log_fields=log_fields)
 
     # --- calendars ---
 
-    def _put_calendar(self, rid: Any, args: dict) -> None:
-        name, team = self._named("calendar", args)
-        made = Calendar(
+    def _put_calendar(self, request: Any, args: dict) -> None:
+        name, team = self._parse_name("calendar", args)
+        calendar = Calendar(
             str(args.get("title") or name.partition("/")[2])[: constants.NOTE_CHARS],
             str(args.get("zone") or "UTC"),
             str(args.get("template") or ""),
         )
-        zones.zone(made.zone)
-        if made.template and made.template not in self.store.templates:
-            raise RefusedError(422, f"no template {made.template}")
+        zones.zone(calendar.zone)
+        if calendar.template and calendar.template not in self.store.templates:
+            raise RefusedError(422, f"no template {calendar.template}")
         key = calendar_key(name)
 
         def build() -> Change:
             if args.get("if_absent") and name in self.store.calendars:
                 raise RefusedError(405, "it exists")
             if name not in self.store.calendars:
-                self._bound(team, "calendars", self.store.calendars, constants.TEAM_CALENDARS)
-            return (self.store.guards(key), [(key, value_of(made), None)], 201, {"name": name})
+                self._check_limit(
+                    team, "calendars", self.store.calendars, constants.TEAM_CALENDARS
+                )
+            return (
+                self.store.guards(key),
+                [(key, encode_record(calendar), None)],
+                201,
+                {"name": name},
+            )
 
-        self._write(rid, build)
+        self._write(request, build)
 
-    def _remove_calendar(self, rid: Any, args: dict) -> None:
+    def _remove_calendar(self, request: Any, args: dict) -> None:
         name = str(args["name"])
         key = calendar_key(name)
 
@@ -604,4 +638,4 @@
                 raise RefusedError(409, "it has entries: remove them first")
             return self.store.guards(key), [(key,)], 200, {"removed": name}
 
-        self._write(rid, build)
+        self._write(request, build)
--- a/oakmux/schedules/dispatcher.py
+++ b/oakmux/schedules/dispatcher.py
@@ -22,16 +22,16 @@
 from oakmux.schedules import policy, records, templates
 from oakmux.schedules.firing_plan import DueFirings, FiringBatch, FiringPlan, Urgency
 from oakmux.schedules.firings import Firing, mark_at
-from oakmux.schedules.records import Entry, Slot, Store
+from oakmux.schedules.records import Entry, ScheduleStore, Slot
 from oakmux.schedules.wall_clock import WallClock
 
 CLOCK_ROLE = "#clock"
 
 
-class _DueDecision(NamedTuple):
+class _DueFiring(NamedTuple):
     """What becomes of a firing that is due."""
 
-    outcome: policy.Decision
+    decision: policy.Decision
     fires_at: int
     # None for one that waited for the firing before it to finish.
     firing: Firing | None
@@ -40,28 +40,28 @@
 class FiringDispatcher:
     """Dispatches the firings of all entries while the role is ours."""
 
-    def __init__(self, context: Context, store: Store, wall_clock: WallClock) -> None:
+    def __init__(self, context: Context, store: ScheduleStore, wall_clock: WallClock) -> None:
         self.context = context
         self.store = store
         self.wall_clock = wall_clock
-        self.held = 0  # the version of the role that the plans were made under
+        self.role_revision = 0  # the version of the role that the plans were made under
         self.plans: dict[str, FiringPlan] = {}
         self.heap: list[tuple[int, str, int]] = []
         self.due = DueFirings()
         self.queued: set[str] = set()
         self.to_plan: deque[str] = deque()
-        self.in_plan: set[str] = set()
+        self.to_plan_names: set[str] = set()
         self.shards_in_flight: set[int] = set()
         self.retry_at: dict[int, float] = {}
-        self.failed: dict[int, int] = {}  # times in a row that a shard could not be written
-        self.next_look = 0.0
+        self.failures_in_row: dict[int, int] = {}  # of each shard's writes
+        self.next_queue_check = 0.0
         self.dispatched = 0
         self.id_attempts: dict[str, int] = {}
 
     def tick(self) -> None:
         """Do what is due; at most so much that other work goes on."""
         mod_revision = self.context.held_roles.get(CLOCK_ROLE, 0)
-        if mod_revision != self.held:
+        if mod_revision != self.role_revision:
             self._on_role_changed(mod_revision)
         if not mod_revision:
             self.store.changed.clear()
@@ -79,34 +79,34 @@
         for _ in range(constants.DUE_PER_TICK):
             if not self.heap or self.heap[0][0] > now_ms:
                 break
-            _, name, serial = heapq.heappop(self.heap)
+            _, name, plan_id = heapq.heappop(self.heap)
             plan = self.plans.get(name)
-            if plan is not None and id(plan) == serial:
+            if plan is not None and id(plan) == plan_id:
                 self._mark_due(plan)
-        if self.context.now >= self.next_look:
-            self.next_look = self.context.now + constants.QUEUE_CHECK_INTERVAL_S
+        if self.context.now >= self.next_queue_check:
+            self.next_queue_check = self.context.now + constants.QUEUE_CHECK_INTERVAL_S
             for name in sorted(self.queued):
                 plan = self.plans.get(name)
                 if plan is not None and not self.has_unfinished_jobs(plan.entry, plan.slot):
                     self._mark_due(plan)
-        self._write(now_ms)
+        self._write_due(now_ms)
 
     def _on_role_changed(self, mod_revision: int) -> None:
         """The role came or went: what was planned under it is void."""
-        self.held = mod_revision
-        for held in (
+        self.role_revision = mod_revision
+        for collection in (
             self.plans,
             self.heap,
             self.due,
             self.queued,
             self.to_plan,
-            self.in_plan,
+            self.to_plan_names,
             self.shards_in_flight,
             self.retry_at,
-            self.failed,
+            self.failures_in_row,
             self.id_attempts,
         ):
-            held.clear()
+            collection.clear()
         if mod_revision:
             event("clock_acquired", entries=len(self.store.entries))
             self._replan(set(self.store.entries))
@@ -119,14 +119,14 @@
             self.plans.pop(name, None)
             self.due.pop(name)
             self.queued.discard(name)
-            if name not in self.in_plan:
-                self.in_plan.add(name)
+            if name not in self.to_plan_names:
+                self.to_plan_names.add(name)
                 self.to_plan.append(name)
 
     def _plan(self) -> None:
         for _ in range(min(len(self.to_plan), constants.PLANS_PER_TICK)):
             name = self.to_plan.popleft()
-            self.in_plan.discard(name)
+            self.to_plan_names.discard(name)
             entry, slot = self.store.entries.get(name), self.store.slot(name)
             if entry is None or slot is None or entry.paused:
                 continue
@@ -163,38 +163,41 @@
 
     def known_jobs(self, entry: Entry, slot: Slot) -> list[Any]:
         """Return the jobs of the firings that the slot still knows."""
-        jobs, steps = self.context.replica.jobs, self.store.steps(entry)
+        jobs, steps = self.context.replica.jobs, self.store.job_count(entry)
         return [
             jobs[name]
-            for row in slot.rows
-            for name in records.jobs_of(entry, row, steps)
+            for row in slot.decisions
+            for name in records.submitted_job_ids(entry, row, steps)
             if name in jobs
         ]
 
-    def _write(self, now_ms: int) -> None:
+    def _write_due(self, now_ms: int) -> None:
         """Write what is due, shard by shard, the most urgent first."""
-        most = constants.FIRINGS_IN_FLIGHT - len(self.shards_in_flight)
-        if most <= 0 or not self.due:
+        free_slots = constants.FIRINGS_IN_FLIGHT - len(self.shards_in_flight)
+        if free_slots <= 0 or not self.due:
             return
         waiting = [
-            (best, number)
-            for number, best in self.due.most_urgent().items()
+            (urgency, number)
+            for number, urgency in self.due.most_urgent().items()
             if number not in self.shards_in_flight
             and self.retry_at.get(number, 0) <= self.context.now
         ]
         if not waiting:
             return
-        first = min(waiting)[0].negative_priority
+        top_priority = min(waiting)[0].negative_priority
         # While more shards have firings of the highest priority than can be written now, no others
         # go with them: five hundred urgent firings among five thousand went within 32 s, not 10 s.
-        only_most_urgent = sum(1 for best, _ in waiting if best.negative_priority == first) > most
-        for _, number in heapq.nsmallest(most, waiting):
+        only_most_urgent = (
+            sum(1 for urgency, _ in waiting if urgency.negative_priority == top_priority)
+            > free_slots
+        )
+        for _, number in heapq.nsmallest(free_slots, waiting):
             batch = FiringBatch(number)
             for plan in self.due.plans_of(number):
-                if only_most_urgent and plan.urgency.negative_priority != first:
+                if only_most_urgent and plan.urgency.negative_priority != top_priority:
                     break
                 try:
-                    more = self._add_firings(batch, plan, now_ms)
+                    has_room = self._add_firings(batch, plan, now_ms)
                 except Exception as error:  # as above: the others go on
                     event(
                         "firing_failed",
@@ -203,7 +206,7 @@
                     )
                     self.due.pop(plan.entry.name)
                     continue
-                if not more:
+                if not has_room:
                     break
             if batch.slots:
                 self._send(batch)
@@ -217,15 +220,15 @@
         template = self.store.templates.get(plan.entry.template)
         priority = 0 if template is None else max(s.spec.priority for s in template.steps)
         at = plan.firing.at if plan.firing is not None else plan.slot.pending
-        limit = math.inf if plan.entry.deadline_s is None else at + plan.entry.deadline_s
-        return Urgency(-priority, limit, at)
+        deadline = math.inf if plan.entry.deadline_s is None else at + plan.entry.deadline_s
+        return Urgency(-priority, deadline, at)
 
     def _add_firings(self, batch: FiringBatch, plan: FiringPlan, now_ms: int) -> bool:
         """Add an entry's due firings; return False once the transaction is full."""
         entry = plan.entry
         template = self.store.templates.get(entry.template)
         refusal = templates.refusal(self.context, template)
-        if template is not None and templates.early(self.context, template):
+        if template is not None and templates.awaits_upgrade(self.context, template):
             # An upgrade is under way: dependencies can't be recorded yet. Others go on meanwhile.
             self.due.pop(entry.name)
             heapq.heappush(self.heap, (now_ms + 1000, entry.name, id(plan)))
@@ -235,49 +238,49 @@
             if due is None:
                 self.due.pop(entry.name)
                 return True
-            if due.outcome.make and refusal is not None:
-                due = due._replace(outcome=self._refuse(plan.slot, due, refusal))
-            if not self._add_jobs(batch, plan, due.outcome, due.fires_at, now_ms):
+            if due.decision.submit and refusal is not None:
+                due = due._replace(decision=self._refuse(plan.slot, due, refusal))
+            if not self._add_jobs(batch, plan, due.decision, due.fires_at, now_ms):
                 return False
             self._record_outcome(batch, plan, due, now_ms)
-            if due.outcome.make:
+            if due.decision.submit:
                 # Later firings are decided once the jobs of this one are in the records.
                 return True
 
-    def _next_decision(self, plan: FiringPlan, now_ms: int) -> _DueDecision | None:
+    def _next_decision(self, plan: FiringPlan, now_ms: int) -> _DueFiring | None:
         """Decide on the entry's next firing, or return None if none is due."""
         entry, slot, firing = plan.entry, plan.slot, plan.firing
         if slot.pending and not self.has_unfinished_jobs(entry, slot):
-            return _DueDecision(policy.release(slot, plan.tries), slot.pending, None)
+            return _DueFiring(policy.release_pending(slot, plan.tries), slot.pending, None)
         if firing is None or self._due_ms(entry, firing) > now_ms:
             return None
-        outcome = policy.decide(
+        decision = policy.decide(
             entry,
             slot,
             firing,
-            plan.later,
+            plan.peek_following,
             now_ms,
             partial(self.has_unfinished_jobs, entry, slot),
             plan.tries,
         )
-        return _DueDecision(outcome, firing.at, firing)
+        return _DueFiring(decision, firing.at, firing)
 
     @staticmethod
-    def _refuse(slot: Slot, due: _DueDecision, reason: str) -> policy.Decision:
+    def _refuse(slot: Slot, due: _DueFiring, reason: str) -> policy.Decision:
         """Return the outcome of a firing whose jobs can't be submitted."""
-        mark = due.outcome.slot.mark
-        refused = slot.noted(mark, 0, due.fires_at, records.REFUSED, note=reason)
+        mark = due.decision.slot.mark
+        refused = slot.with_decision(mark, 0, due.fires_at, records.REFUSED, note=reason)
         return policy.Decision(refused, False)
 
     def _record_outcome(
-        self, batch: FiringBatch, plan: FiringPlan, due: _DueDecision, now_ms: int
+        self, batch: FiringBatch, plan: FiringPlan, due: _DueFiring, now_ms: int
     ) -> None:
         """Add the outcome of a firing to the batch, and go on with the plan."""
-        name, slot = plan.entry.name, due.outcome.slot
+        name, slot = plan.entry.name, due.decision.slot
         batch.guards.update(self.store.guards(records.entry_key(name)))
         if due.firing is not None:
             plan.advance(slot)
-            if slot.rows[-1][1] == records.MISSED:
+            if slot.decisions[-1][1] == records.MISSED:
                 self._skip_missed(plan, now_ms)
         else:
             plan.slot = slot
@@ -290,32 +293,39 @@
         while plan.firing is not None and policy.expired(plan.entry, plan.firing, now_ms):
             count += 1
             slot = plan.slot
-            at, outcome, tries, _ = slot.rows[-1]
+            at, outcome, tries, _ = slot.decisions[-1]
             row = (at, outcome, tries, f"and {count} more")
             mark = plan.firing.mark
             if count >= constants.MISSED_FIRINGS:
                 row = (at, outcome, tries, f"and over {count} more")
-                since = (now_ms - policy.jitter_ms(plan.entry)) // 1000 - 1
-                mark = max(mark, mark_at(plan.entry.rule, since - policy.window_s(plan.entry)))
-            slot = Slot(slot.name, mark, slot.pending, [*slot.rows[:-1], row])
+                reference_s = (now_ms - policy.jitter_ms(plan.entry)) // 1000 - 1
+                mark = max(
+                    mark, mark_at(plan.entry.rule, reference_s - policy.window_s(plan.entry))
+                )
+            slot = Slot(slot.name, mark, slot.pending, [*slot.decisions[:-1], row])
             if count < constants.MISSED_FIRINGS:
                 plan.advance(slot)
                 continue
-            again = FiringPlan(plan.entry, slot)
-            plan.slot, plan.run, plan.firing, plan.ahead = slot, again.run, again.firing, []
+            replanned = FiringPlan(plan.entry, slot)
+            plan.slot, plan.upcoming, plan.firing, plan.prefetched = (
+                slot,
+                replanned.upcoming,
+                replanned.firing,
+                [],
+            )
             return
 
     def _add_jobs(
-        self, batch: FiringBatch, plan: FiringPlan, made: policy.Decision, at: int, now_ms: int
+        self, batch: FiringBatch, plan: FiringPlan, decision: policy.Decision, at: int, now_ms: int
     ) -> bool:
         """Add the jobs of a decision if there is room in the transaction."""
         limits = self.context.facts.store.strictest
-        if not made.make:
+        if not decision.submit:
             return len(batch.writes) + 1 <= limits.txn_ops
         entry, store = plan.entry, self.store
         template = store.templates[entry.template]
-        ids, guards, writes = templates.submission(entry, template, str(at), now_ms, plan.tries)
-        if made.replace:
+        ids, guards, writes = templates.job_writes(entry, template, str(at), now_ms, plan.tries)
+        if decision.cancel_earlier:
             for job in self.known_jobs(entry, plan.slot):
                 if not job.final and job.ready and job.spec is not None:
                     writes.append(
@@ -336,8 +346,8 @@
         batch.writes += writes
         batch.guards.update({key: guards[key] for key, *_ in writes})
         batch.guards.update(store.guards(records.template_key(entry.template)))
-        batch.owners.update(dict.fromkeys(ids, entry.name))
-        batch.logged.append(
+        batch.entry_of_job.update(dict.fromkeys(ids, entry.name))
+        batch.log_fields.append(
             {
                 "entry": entry.name,
                 "turn": at,
@@ -351,36 +361,42 @@
     def _send(self, batch: FiringBatch) -> None:
         number = batch.shard
         write = self.store.shard_write(number, batch.slots)
-        guards = {role_key(CLOCK_ROLE): self.held, **self.store.guards(write[0]), **batch.guards}
+        guards = {
+            role_key(CLOCK_ROLE): self.role_revision,
+            **self.store.guards(write[0]),
+            **batch.guards,
+        }
         self.shards_in_flight.add(number)
-        held = self.held
+        role_revision = self.role_revision
         self.context.call(
-            lambda s, r: self._sent(batch, write[1], held, s, r),
+            lambda s, r: self._on_written(batch, write[1], role_revision, s, r),
             messages.Transaction,
             list(guards.items()),
             [write, *batch.writes],
             constants.FIRING_WRITE_PRIORITY,
         )
 
-    def _sent(self, batch: FiringBatch, value: list, held: int, status: int, result: Any) -> None:
-        if held == self.held:
+    def _on_written(
+        self, batch: FiringBatch, value: list, role_revision: int, status: int, result: Any
+    ) -> None:
+        if role_revision == self.role_revision:
             self.shards_in_flight.discard(batch.shard)
         if status != 200:
-            if held == self.held:
-                self._failed(batch, status, result)
+            if role_revision == self.role_revision:
+                self._on_write_failed(batch, status, result)
             return
-        self.failed.pop(batch.shard, None)
+        self.failures_in_row.pop(batch.shard, None)
         replica, store = self.context.replica, self.store
         for key, row, _ in batch.writes:
             replica.apply(key, row, result[0])
-        for logged in batch.logged:
-            event("firing", **logged)
+        for log_fields in batch.log_fields:
+            event("firing", **log_fields)
             self.dispatched += 1
-        fresh = set(batch.slots) - store.changed
+        own_decisions = set(batch.slots) - store.changed
         store.apply(f"m/{batch.shard}", value, result[0])
-        if held != self.held:
+        if role_revision != self.role_revision:
             return
-        for name in fresh:  # our own decision: the plan has gone on with it already
+        for name in own_decisions:  # our own decision: the plan has gone on with it already
             plan = self.plans.get(name)
             if plan is None or plan.slot != batch.slots[name]:
                 continue
@@ -389,36 +405,36 @@
             self.due.pop(name)
             (self.queued.add if plan.slot.pending else self.queued.discard)(name)
             self._schedule_next(plan)
-        if batch.logged and not self.due:
+        if batch.log_fields and not self.due:
             event(
                 "firings_dispatched",
                 count=self.dispatched,
-                last=batch.logged[-1]["entry"],
-                late_ms=batch.logged[-1]["late_ms"],
+                last=batch.log_fields[-1]["entry"],
+                late_ms=batch.log_fields[-1]["late_ms"],
             )
 
-    def _failed(self, batch: FiringBatch, status: int, result: Any) -> None:
+    def _on_write_failed(self, batch: FiringBatch, status: int, result: Any) -> None:
         """Try firings again later. 409: the watch brings what was in the way. No answer: they may
         still be written late; then what we try again fails on the shard's version.
         """
-        failures = self.failed.get(batch.shard, 0)
-        pause = min(constants.BACKOFF_MAX_S, constants.FIRING_RETRY_S * 2**failures)
-        self.failed[batch.shard] = min(failures + 1, 10)
+        failures = self.failures_in_row.get(batch.shard, 0)
+        delay_s = min(constants.BACKOFF_MAX_S, constants.FIRING_RETRY_S * 2**failures)
+        self.failures_in_row[batch.shard] = min(failures + 1, 10)
         if status == 400:
             event("firings_refused", shard=batch.shard, jobs=len(batch.writes))
-            pause = constants.RETRY_MAX_S
-        self.retry_at[batch.shard] = self.context.now + pause
+            delay_s = constants.RETRY_MAX_S
+        self.retry_at[batch.shard] = self.context.now + delay_s
         if status == 409 and result is not None:
             self._resolve_id_conflicts(batch, result)
         self._replan(set(batch.slots))
 
     def _resolve_id_conflicts(self, batch: FiringBatch, result: Any) -> None:
         """Another job has the id of one of ours, from before such ids were reserved."""
-        failed = set(result[1])
-        if {records.shard_key(batch.shard), role_key(CLOCK_ROLE)} & failed:
+        failed_keys = set(result[1])
+        if {records.shard_key(batch.shard), role_key(CLOCK_ROLE)} & failed_keys:
             return  # perhaps it is our own that was written without our hearing of it
-        for name, owner in batch.owners.items():
-            if job_key(name) in failed:
-                tries = min(self.id_attempts.get(owner, 0) + 1, constants.JOB_ID_TRIES)
-                self.id_attempts[owner] = tries
-                event("job_id_conflict", job=name, entry=owner, tries=tries)
+        for name, entry_name in batch.entry_of_job.items():
+            if job_key(name) in failed_keys:
+                tries = min(self.id_attempts.get(entry_name, 0) + 1, constants.JOB_ID_TRIES)
+                self.id_attempts[entry_name] = tries
+                event("job_id_conflict", job=name, entry=entry_name, tries=tries)
--- a/oakmux/schedules/firing_plan.py
+++ b/oakmux/schedules/firing_plan.py
@@ -20,30 +20,30 @@
 class FiringPlan:
     """The coming firings of one entry, the next of them at hand."""
 
-    __slots__ = ("ahead", "entry", "firing", "run", "slot", "tries", "urgency")
+    __slots__ = ("entry", "firing", "prefetched", "slot", "tries", "upcoming", "urgency")
 
     def __init__(self, entry: Entry, slot: Slot) -> None:
         self.entry = entry
         self.slot = slot
-        self.run: Iterator[Firing] = firings(entry.rule, slot.mark)
+        self.upcoming: Iterator[Firing] = firings(entry.rule, slot.mark)
         if entry.until:
-            self.run = takewhile(lambda firing: firing.at <= entry.until, self.run)
-        self.firing = next(self.run, None)
+            self.upcoming = takewhile(lambda firing: firing.at <= entry.until, self.upcoming)
+        self.firing = next(self.upcoming, None)
         # The firing after the next, once it was asked for.
-        self.ahead: list[Firing | None] = []
+        self.prefetched: list[Firing | None] = []
         self.tries = 0
         self.urgency = Urgency(0, 0.0, 0)
 
-    def later(self) -> Firing | None:
+    def peek_following(self) -> Firing | None:
         """Return the firing after the next."""
-        if not self.ahead:
-            self.ahead.append(next(self.run, None))
-        return self.ahead[0]
+        if not self.prefetched:
+            self.prefetched.append(next(self.upcoming, None))
+        return self.prefetched[0]
 
     def advance(self, slot: Slot) -> None:
         """Go on to the following firing; `slot` has the outcome of the one before."""
         self.slot = slot
-        self.firing = self.ahead.pop() if self.ahead else next(self.run, None)
+        self.firing = self.prefetched.pop() if self.prefetched else next(self.upcoming, None)
         self.tries = 0
 
 
@@ -104,6 +104,6 @@
         self.writes: list[tuple] = []
         self.slots: dict[str, Slot] = {}
         # Fields of the log events that follow once the transaction has been carried out.
-        self.logged: list[dict[str, Any]] = []
+        self.log_fields: list[dict[str, Any]] = []
         # The entry of each job id in the batch, should an id turn out to be taken.
-        self.owners: dict[str, str] = {}
+        self.entry_of_job: dict[str, str] = {}
--- a/oakmux/schedules/firings.py
+++ b/oakmux/schedules/firings.py
@@ -29,10 +29,14 @@
     "@yearly": "0 0 1 1 *",
     "@annually": "0 0 1 1 *",
 }
-STEPS = {"HOURLY": timedelta(hours=1), "DAILY": timedelta(days=1), "WEEKLY": timedelta(weeks=1)}
-ONE = re.compile(r"\b(\d+)-\1(?!\d)(/\d+)?")
+FIXED_PERIODS = {
+    "HOURLY": timedelta(hours=1),
+    "DAILY": timedelta(days=1),
+    "WEEKLY": timedelta(weeks=1),
+}
+SINGLE_VALUE_RANGE = re.compile(r"\b(\d+)-\1(?!\d)(/\d+)?")
 WEEKDAYS = ("MO", "TU", "WE", "TH", "FR", "SA", "SU")
-FIRST_COUNTS = "clocks show this hour twice: only the first counts"
+SHOWN_TWICE = "clocks show this hour twice: only the first counts"
 RULE_PART = re.compile(r"([A-Z]+)=([A-Z0-9+,:-]+)\Z")
 
 
@@ -51,8 +55,8 @@
     zone: str
     text: str = ""
     start: int = 0
-    more: tuple[int, ...] = ()
-    without: tuple[int, ...] = ()
+    rdates: tuple[int, ...] = ()
+    exdates: tuple[int, ...] = ()
     moved: tuple[tuple[int, int | None], ...] = ()
 
 
@@ -72,14 +76,14 @@
     if len(fields) != 5:
         raise RuleError(f"five fields are needed, not {len(fields)}")
     # A range of one value with a step, like 0-0/2 among days of the week, is read as an open one.
-    made = Rule("cron", zone, " ".join(ONE.sub(r"\1", field) for field in fields))
+    rule = Rule("cron", zone, " ".join(SINGLE_VALUE_RANGE.sub(r"\1", field) for field in fields))
     try:
-        next(firings(made, 0))
+        next(firings(rule, 0))
     except CronSimError as error:
         raise RuleError(str(error)) from None
     except StopIteration:
         raise RuleError("no such day ever comes") from None
-    return made
+    return rule
 
 
 def by_instant(rule: Rule) -> bool:
@@ -98,20 +102,24 @@
     What a change of clocks did to one is told only if asked for: it takes as long as the firing.
     """
     if rule.kind == "cron":
-        return _cron(rule, after, explain)
-    return _calendar(rule, after, explain)
+        return _cron_firings(rule, after, explain)
+    return _calendar_firings(rule, after, explain)
 
 
-def _cron(rule: Rule, after: int, explain: bool) -> Iterator[Firing]:
+def _cron_firings(rule: Rule, after: int, explain: bool) -> Iterator[Firing]:
     """Yield the firings of an expression: the library counts on the clock's face alone.
 
     What a change of clocks does is decided here: given a zone, the library lost a star's firing
     after Lord Howe's change by half an hour.
     """
-    return _stars(rule, after, explain) if by_instant(rule) else _fixed(rule, after, explain)
+    return (
+        _instant_firings(rule, after, explain)
+        if by_instant(rule)
+        else _wall_time_firings(rule, after, explain)
+    )
 
 
-def _fixed(rule: Rule, after: int, explain: bool) -> Iterator[Firing]:
+def _wall_time_firings(rule: Rule, after: int, explain: bool) -> Iterator[Firing]:
     last = after
     for moment in CronSim(rule.text, zones.from_wall(after)):
         wall = zones.as_wall(moment)
@@ -122,33 +130,33 @@
             mark = zones.as_wall(zones.local(at, rule.zone))
             why = "its time is not shown that day: clocks go ahead, so at the gap's end"
         elif explain and zones.instant(wall, rule.zone, 1) != at:
-            why = FIRST_COUNTS
+            why = SHOWN_TWICE
         if mark > last:
             last = mark
             yield Firing(mark, at, why)
 
 
-def _stars(rule: Rule, after: int, explain: bool) -> Iterator[Firing]:
+def _instant_firings(rule: Rule, after: int, explain: bool) -> Iterator[Firing]:
     start = zones.as_wall(zones.local(after, rule.zone))
     if zones.change_near(after, rule.zone):
         start -= int(constants.CLOCK_CHANGE_MAX_S)
-    held: list[Firing] = []  # second showings come after first ones of later wall times
-    twice = "clocks show this hour twice: so often runs in both" if explain else ""
+    pending: list[Firing] = []  # second showings come after first ones of later wall times
+    shown_twice = "clocks show this hour twice: so often runs in both" if explain else ""
     for moment in CronSim(rule.text, zones.from_wall(start)):
         wall = zones.as_wall(moment)
         first, second = (zones.instant(wall, rule.zone, fold) for fold in (0, 1))
         if zones.as_wall(zones.local(first, rule.zone)) != wall:
             continue  # not shown
-        while held and held[0].at < first:
-            yield heapq.heappop(held)
+        while pending and pending[0].at < first:
+            yield heapq.heappop(pending)
         for at in sorted({first, second}):
             if at > after:
-                heapq.heappush(held, Firing(at, at, twice if first != second else ""))
-    while held:
-        yield heapq.heappop(held)
+                heapq.heappush(pending, Firing(at, at, shown_twice if first != second else ""))
+    while pending:
+        yield heapq.heappop(pending)
 
 
-def skipped(rule: Rule, start: int, end: int) -> list[int]:
+def skipped_by_clock_change(rule: Rule, start: int, end: int) -> list[int]:
     """Return the wall times in a span of instants (s) that a star rule would have had in a gap."""
     if rule.kind != "cron" or not by_instant(rule):
         return []
@@ -174,13 +182,13 @@
     """Refuse a RRULE that we can't keep; raises RuleError."""
     if not text:
         return
-    parts = _parts(text)
+    parts = _rrule_parts(text)
     freq = parts.get("FREQ", "")
-    if freq not in (*STEPS, "MONTHLY", "YEARLY"):
+    if freq not in (*FIXED_PERIODS, "MONTHLY", "YEARLY"):
         raise RuleError(f"RRULE: FREQ={freq or 'none'}: hours are the finest that is kept")
-    rare = {"BYWEEKNO", "BYYEARDAY", "BYEASTER"} & set(parts)
-    if rare:
-        raise RuleError(f"RRULE: {min(rare)} is not kept: name months and days")
+    unsupported = {"BYWEEKNO", "BYYEARDAY", "BYEASTER"} & set(parts)
+    if unsupported:
+        raise RuleError(f"RRULE: {min(unsupported)} is not kept: name months and days")
     if "COUNT" in parts and "UNTIL" in parts:
         raise RuleError("RRULE: COUNT and UNTIL exclude each other")
     for name in ("COUNT", "INTERVAL"):
@@ -192,15 +200,15 @@
     if start < 0:
         raise RuleError("DTSTART: a rule that recurs begins in 1970 or later")
     try:
-        _parse(text, start)
-        comes = _comes(parts, start)
+        _parse_rrule(text, start)
+        has_instance = _has_instance(parts, start)
     except (ValueError, KeyError, TypeError, AttributeError, IndexError) as error:
         raise RuleError(f"RRULE: {error}") from None
-    if not comes:
+    if not has_instance:
         raise RuleError("RRULE: has no instance in years")
 
 
-def _parts(text: str) -> dict[str, str]:
+def _rrule_parts(text: str) -> dict[str, str]:
     """Return the parts of a RRULE; raises RuleError."""
     parts = {}
     for part in text.upper().split(";"):
@@ -211,13 +219,13 @@
     return parts
 
 
-def _parse(text: str, start: int) -> rrule.rrule:
-    made = rrule.rrulestr(text.upper(), dtstart=zones.from_wall(start))
-    assert isinstance(made, rrule.rrule)
-    return made
+def _parse_rrule(text: str, start: int) -> rrule.rrule:
+    rule = rrule.rrulestr(text.upper(), dtstart=zones.from_wall(start))
+    assert isinstance(rule, rrule.rrule)
+    return rule
 
 
-def _comes(parts: dict[str, str], start: int) -> bool:
+def _has_instance(parts: dict[str, str], start: int) -> bool:
     """Whether a recurrence has an instance within its horizon, by its days alone.
 
     The library goes on to the year 9999 for one that has none, like 30 February: for a rule by
@@ -226,19 +234,19 @@
     freq, interval = parts["FREQ"], int(parts.get("INTERVAL", "1"))
     first = zones.from_wall(start).date()
     months = _numbers(parts.get("BYMONTH", ""))
-    of_month = _numbers(parts.get("BYMONTHDAY", ""))
-    days = [
+    month_days = _numbers(parts.get("BYMONTHDAY", ""))
+    weekdays = [
         (int(text[:-2] or 0), WEEKDAYS.index(text[-2:]))
         for text in parts.get("BYDAY", "").split(",")
         if text
     ]
-    if not (months or of_month or days) and freq not in ("MONTHLY", "YEARLY"):
+    if not (months or month_days or weekdays) and freq not in ("MONTHLY", "YEARLY"):
         return True
-    if not (of_month or days):
-        of_month = [first.day]
+    if not (month_days or weekdays):
+        month_days = [first.day]
         if freq == "YEARLY" and not months:
             months = [first.month]
-    place = max((abs(n) for n in _numbers(parts.get("BYSETPOS", ""))), default=1)
+    position = max((abs(n) for n in _numbers(parts.get("BYSETPOS", ""))), default=1)
     times = [len(_numbers(parts.get(name, ""))) or 1 for name in ("BYHOUR", "BYMINUTE")]
     found: dict[tuple, int] = {}
     for shift in range(constants.RECURRENCE_HORIZON_DAYS[freq]):
@@ -248,18 +256,20 @@
         if (
             (phase % interval and freq != "HOURLY")
             or (months and day.month not in months)
-            or (of_month and day.day not in of_month and day.day - length - 1 not in of_month)
             or (
-                days
+                month_days and day.day not in month_days and day.day - length - 1 not in month_days
+            )
+            or (
+                weekdays
                 and not any(
                     _is_nth(day, n, weekday, freq == "YEARLY" and not months)
-                    for n, weekday in days
+                    for n, weekday in weekdays
                 )
             )
         ):
             continue
         found[period] = found.get(period, 0) + times[0] * times[1]
-        if found[period] >= place:
+        if found[period] >= position:
             return True
     return False
 
@@ -285,10 +295,10 @@
     if day.weekday() != weekday or not number:
         return day.weekday() == weekday
     if of_year:
-        place, length = day.timetuple().tm_yday, 366 if calendar.isleap(day.year) else 365
+        position, length = day.timetuple().tm_yday, 366 if calendar.isleap(day.year) else 365
     else:
-        place, length = day.day, calendar.monthrange(day.year, day.month)[1]
-    return number in ((place - 1) // 7 + 1, -((length - place) // 7 + 1))
+        position, length = day.day, calendar.monthrange(day.year, day.month)[1]
+    return number in ((position - 1) // 7 + 1, -((length - position) // 7 + 1))
 
 
 def _instances(rule: Rule, after: int) -> Iterator[int]:
@@ -298,64 +308,66 @@
     later: the same instances, without going through years of them.
     """
     start = rule.start
-    parts = _parts(rule.text)
-    step = STEPS.get(parts.get("FREQ", ""))
+    parts = _rrule_parts(rule.text)
+    step = FIXED_PERIODS.get(parts.get("FREQ", ""))
     if step is not None and "COUNT" not in parts:
-        unit = int(step.total_seconds()) * int(parts.get("INTERVAL", "1"))
-        start += max(0, (after - start) // unit - 1) * unit
+        interval_s = int(step.total_seconds()) * int(parts.get("INTERVAL", "1"))
+        start += max(0, (after - start) // interval_s - 1) * interval_s
     # The first instance is the start itself, whether the rule names it or not.
     if start == rule.start:
         yield start
-    seen = 0
-    for moment in _parse(rule.text, start):
+    unmatched = 0
+    for moment in _parse_rrule(rule.text, start):
         wall = zones.as_wall(moment)
-        seen += 1
+        unmatched += 1
         if wall <= rule.start or wall <= after:
-            if seen > constants.RRULE_MAX_COUNT:
+            if unmatched > constants.RRULE_MAX_COUNT:
                 return
             continue
-        seen = 0
+        unmatched = 0
         yield wall
 
 
-def _calendar(rule: Rule, after: int, explain: bool) -> Iterator[Firing]:
+def _calendar_firings(rule: Rule, after: int, explain: bool) -> Iterator[Firing]:
     """Yield firings in the order of their instants, each instant once.
 
     The mark is the wall time that clocks show at the firing.
     """
     moved = dict(rule.moved)
-    gone = set(rule.without)
+    excluded = set(rule.exdates)
     extra = sorted(
-        {w for w in rule.more if w not in moved and w not in gone}
+        {w for w in rule.rdates if w not in moved and w not in excluded}
         | {new for new in moved.values() if new is not None}
     )
-    reach = int(constants.CLOCK_CHANGE_MAX_S)
-    regular = _instances(rule, after - reach) if rule.text else iter([rule.start])
-    plain = (wall for wall in regular if wall not in moved and wall not in gone)
+    margin_s = int(constants.CLOCK_CHANGE_MAX_S)
+    instances = _instances(rule, after - margin_s) if rule.text else iter([rule.start])
+    regular = (wall for wall in instances if wall not in moved and wall not in excluded)
     last = after
-    held: list[Firing] = []  # one that clocks skip may come after others that are later on paper
-    for wall in _merge(extra, plain):
-        while held and held[0].mark <= wall:
-            firing = heapq.heappop(held)
+    pending: list[
+        Firing
+    ] = []  # one that clocks skip may come after others that are later on paper
+    for wall in _merge(extra, regular):
+        while pending and pending[0].mark <= wall:
+            firing = heapq.heappop(pending)
             if firing.mark > last:
                 last = firing.mark
                 yield firing
         at = zones.instant(wall, rule.zone)
         shown = zones.as_wall(zones.local(at, rule.zone))
         if shown > last:
-            why = _why_wall(wall, shown, at, rule.zone) if explain else ""
-            heapq.heappush(held, Firing(shown, at, why))
-    while held:
-        firing = heapq.heappop(held)
+            why = _clock_change_note(wall, shown, at, rule.zone) if explain else ""
+            heapq.heappush(pending, Firing(shown, at, why))
+    while pending:
+        firing = heapq.heappop(pending)
         if firing.mark > last:
             last = firing.mark
             yield firing
 
 
-def _merge(extra: list[int], plain: Iterator[int]) -> Iterator[int]:
+def _merge(extra: list[int], regular: Iterator[int]) -> Iterator[int]:
     """Merge two ascending runs of wall times."""
     queue = list(reversed(extra))
-    for wall in plain:
+    for wall in regular:
         while queue and queue[-1] <= wall:
             yield queue.pop()
         yield wall
@@ -363,7 +375,7 @@
         yield queue.pop()
 
 
-def _why_wall(wall: int, shown: int, at: int, zone: str) -> str:
+def _clock_change_note(wall: int, shown: int, at: int, zone: str) -> str:
     if shown != wall:
         return f"{zones.from_wall(wall):%H:%M} is not shown that day: clocks go ahead"
-    return FIRST_COUNTS if zones.instant(wall, zone, 1) != at else ""
+    return SHOWN_TWICE if zones.instant(wall, zone, 1) != at else ""
--- a/oakmux/schedules/plugin.py
+++ b/oakmux/schedules/plugin.py
@@ -26,7 +26,7 @@
 }
 
 
-class CalDav(msgspec.Struct, frozen=True):
+class CalDavOptions(msgspec.Struct, frozen=True):
     """Where calendars' clients are served, with what certificate and whose tokens."""
 
     listen: str
@@ -39,7 +39,7 @@
 
     subsystems: Sequence[Callable[[Context], Subsystem]] = (SchedulesSubsystem,)
 
-    def __init__(self, caldav: CalDav | None) -> None:
+    def __init__(self, caldav: CalDavOptions | None) -> None:
         self.caldav = caldav
 
     def paths(self, offer: Callable[[Command], bool]) -> dict[str, Callable[[Request, str], None]]:
@@ -56,13 +56,13 @@
 
         return {PATH: serve}
 
-    async def start(self, offer: Callable[[Command], bool], most: int) -> None:
+    async def start(self, offer: Callable[[Command], bool], max_connections: int) -> None:
         """Open the listener for calendars' clients, if there is to be one."""
         if self.caldav is not None:
             from oakmux.schedules.dav.serve import Dav  # brings what reads calendars and XML
 
             await Dav(offer, self.caldav.tokens).listen(
-                self.caldav.listen, self.caldav.context, max(1, most // 4)
+                self.caldav.listen, self.caldav.context, max(1, max_connections // 4)
             )
 
     def tick(self) -> list[Command]:
@@ -84,22 +84,22 @@
     zones.zone("UTC")
     if not parser.has_section("caldav"):
         return Plugin(None)
-    row = parser["caldav"]
+    section = parser["caldav"]
     for name in ("listen", "tokens"):
-        if not row.get(name):
+        if not section.get(name):
             raise settings.SettingsError(f"{path}: [caldav] {name}: is missing")
     try:
-        settings.split_addr(row["listen"])
-        known = tokens.load(str(Path(path).parent / row["tokens"]))
-        context = None if plain else _tls(Path(path).parent, row)
+        settings.split_addr(section["listen"])
+        accepted_tokens = tokens.load(str(Path(path).parent / section["tokens"]))
+        context = None if plain else _tls_context(Path(path).parent, section)
     except (ValueError, tokens.TokenFileError) as error:
         raise settings.SettingsError(f"{path}: [caldav] {error}") from None
-    return Plugin(CalDav(row["listen"], known, context))
+    return Plugin(CalDavOptions(section["listen"], accepted_tokens, context))
 
 
-def _tls(folder: Path, row: configparser.SectionProxy) -> ssl.SSLContext:
+def _tls_context(folder: Path, section: configparser.SectionProxy) -> ssl.SSLContext:
     for name in ("certificate", "key"):
-        if not row.get(name):
+        if not section.get(name):
             raise ValueError(
                 f"{name}: is missing; for a listener without TLS, behind a proxy of "
                 "your own, say plain = yes"
@@ -107,7 +107,7 @@
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     try:
-        context.load_cert_chain(folder / row["certificate"], folder / row["key"])
+        context.load_cert_chain(folder / section["certificate"], folder / section["key"])
     except (OSError, ssl.SSLError) as error:
         raise ValueError(f"certificate or key: {error}") from None
     return context
--- a/oakmux/schedules/policy.py
+++ b/oakmux/schedules/policy.py
@@ -14,8 +14,8 @@
     """One firing's outcome: the slot after it, whether to make its jobs, which jobs give way."""
 
     slot: Slot
-    make: bool
-    replace: bool = False
+    submit: bool
+    cancel_earlier: bool = False
 
 
 def jitter_ms(entry: Entry) -> int:
@@ -33,8 +33,8 @@
 
 def window_s(entry: Entry) -> int:
     """Return how late a firing may still be made (s); without catching up, the grace."""
-    most = entry.policy.window_s
-    return min(most, constants.NO_CATCH_UP_S) if entry.policy.catch_up == "none" else most
+    window = entry.policy.window_s
+    return min(window, constants.NO_CATCH_UP_S) if entry.policy.catch_up == "none" else window
 
 
 def expired(entry: Entry, firing: Firing, now_ms: int) -> bool:
@@ -46,9 +46,9 @@
     entry: Entry,
     slot: Slot,
     firing: Firing,
-    later: Callable[[], Firing | None],
+    peek_following: Callable[[], Firing | None],
     now_ms: int,
-    busy: Callable[[], bool],
+    has_unfinished_jobs: Callable[[], bool],
     tries: int = 0,
 ) -> Decision:
     """Decide on the next firing of an entry; `later` gives the firing after it.
@@ -56,11 +56,11 @@
     `busy` tells whether jobs of an earlier firing may still run; it is asked only if it matters.
     Of several firings that are over, `last` makes the latest.
     """
-    following = later() if entry.policy.catch_up == "last" else None
+    following = peek_following() if entry.policy.catch_up == "last" else None
     overtaken = following is not None and planned_ms(entry, following) <= now_ms
     if overtaken or expired(entry, firing, now_ms):
         return Decision(
-            slot.noted(
+            slot.with_decision(
                 firing.mark,
                 slot.pending,
                 firing.at,
@@ -70,14 +70,18 @@
             False,
         )
     overlap = entry.policy.overlap
-    if overlap in ("skip", "queue") and (slot.pending or busy()):
+    if overlap in ("skip", "queue") and (slot.pending or has_unfinished_jobs()):
         if overlap == "queue" and not slot.pending:
-            return Decision(slot.noted(firing.mark, firing.at, firing.at, records.QUEUED), False)
-        return Decision(slot.noted(firing.mark, slot.pending, firing.at, records.SKIPPED), False)
-    made = slot.noted(firing.mark, slot.pending, firing.at, records.MADE, tries)
-    return Decision(made, True, overlap == "replace")
+            return Decision(
+                slot.with_decision(firing.mark, firing.at, firing.at, records.QUEUED), False
+            )
+        return Decision(
+            slot.with_decision(firing.mark, slot.pending, firing.at, records.SKIPPED), False
+        )
+    submitted = slot.with_decision(firing.mark, slot.pending, firing.at, records.MADE, tries)
+    return Decision(submitted, True, overlap == "replace")
 
 
-def release(slot: Slot, tries: int = 0) -> Decision:
+def release_pending(slot: Slot, tries: int = 0) -> Decision:
     """Make the firing that waited for the one before."""
-    return Decision(slot.noted(slot.mark, 0, slot.pending, records.MADE, tries), True)
+    return Decision(slot.with_decision(slot.mark, 0, slot.pending, records.MADE, tries), True)
--- a/oakmux/schedules/queries.py
+++ b/oakmux/schedules/queries.py
@@ -9,8 +9,8 @@
 from oakmux.codec.users import job_description
 from oakmux.core.context import Context
 from oakmux.schedules import records, zones
-from oakmux.schedules.firings import firings, mark_at, skipped
-from oakmux.schedules.records import NAME, Entry, Slot, Store, value_of
+from oakmux.schedules.firings import firings, mark_at, skipped_by_clock_change
+from oakmux.schedules.records import NAME_PATTERN, Entry, ScheduleStore, Slot, encode_record
 
 
 class RefusedError(Exception):
@@ -24,38 +24,38 @@
 class ScheduleQueries:
     """Answers questions from the records that have come."""
 
-    def __init__(self, context: Context, store: Store) -> None:
+    def __init__(self, context: Context, store: ScheduleStore) -> None:
         self.context = context
         self.store = store
 
-    def say(self, rid: Any, body: dict, status: int = 200) -> None:
+    def answer(self, request: Any, body: dict, status: int = 200) -> None:
         """Answer a request."""
-        self.context.answer(rid, status, ("schedules", body))
+        self.context.answer(request, status, ("schedules", body))
 
     # --- names ---
 
-    def team(self, name: Any) -> str:
+    def check_team(self, name: Any) -> str:
         """Check a team's name."""
         if not isinstance(name, str) or name not in self.context.teams:
             raise RefusedError(422, f"unknown team {str(name)[: constants.LOG_TEXT_CHARS]!r}")
         return name
 
-    def name(self, name: Any) -> str:
+    def check_name(self, name: Any) -> str:
         """Check the name of an entry, `team/name` or `team/calendar/object`."""
         parts = name.split("/") if isinstance(name, str) else []
-        if not 2 <= len(parts) <= 3 or not all(NAME.match(part) for part in parts):
+        if not 2 <= len(parts) <= 3 or not all(NAME_PATTERN.match(part) for part in parts):
             raise RefusedError(
                 422,
                 f"{str(name)[: constants.LOG_TEXT_CHARS]!r}: a name is TEAM/NAME, "
                 "letters, digits and _.@+=-, 80 at most",
             )
         if parts[0] not in self.context.teams and name not in self.store.entries:
-            self.team(parts[0])
+            self.check_team(parts[0])
         return name
 
-    def entry(self, args: dict) -> tuple[Entry, Slot]:
+    def find_entry(self, args: dict) -> tuple[Entry, Slot]:
         """Return an entry and its slot."""
-        name = self.name(args.get("name"))
+        name = self.check_name(args.get("name"))
         entry, slot = self.store.entries.get(name), self.store.slot(name)
         if entry is None or slot is None:
             raise RefusedError(404, f"no entry {name}")
@@ -63,7 +63,7 @@
 
     # --- entries and calendars ---
 
-    def templates(self, rid: Any, args: dict) -> None:
+    def templates(self, request: Any, args: dict) -> None:
         """Tell templates."""
         prefix = str(args.get("prefix", ""))
         rows = [
@@ -72,24 +72,27 @@
                 "steps": [
                     [s.name, job_description(s.spec), list(s.needs)] for s in template.steps
                 ],
-                "used_by": len(self.store.users.get(name, ())),
+                "used_by": len(self.store.template_users.get(name, ())),
             }
             for name, template in sorted(self.store.templates.items())
             if name.startswith(prefix)
         ]
-        self.say(rid, {"templates": rows[: constants.SHOWN_FIRINGS]})
+        self.answer(request, {"templates": rows[: constants.SHOWN_FIRINGS]})
 
-    def entries(self, rid: Any, args: dict) -> None:
+    def entries(self, request: Any, args: dict) -> None:
         """Tell entries, a page at a time."""
         prefix, after = str(args.get("prefix", "")), str(args.get("after", ""))
         names = sorted(n for n in self.store.entries if n.startswith(prefix) and n > after)
-        rows = [self.row(self.store.entries[name]) for name in names[: constants.SHOWN_FIRINGS]]
-        self.say(rid, {"entries": rows, "more": len(names) > len(rows)})
+        rows = [
+            self.entry_summary(self.store.entries[name])
+            for name in names[: constants.SHOWN_FIRINGS]
+        ]
+        self.answer(request, {"entries": rows, "more": len(names) > len(rows)})
 
-    def row(self, entry: Entry) -> dict:
+    def entry_summary(self, entry: Entry) -> dict:
         """Return what a list says of an entry."""
         slot = self.store.slot(entry.name)
-        last = slot.rows[-1] if slot is not None and slot.rows else None
+        last = slot.decisions[-1] if slot is not None and slot.decisions else None
         rule = entry.rule
         return {
             "name": entry.name,
@@ -120,25 +123,25 @@
             )
         return found
 
-    def show(self, rid: Any, args: dict) -> None:
+    def show(self, request: Any, args: dict) -> None:
         """Tell all that an entry says."""
-        entry, slot = self.entry(args)
+        entry, slot = self.find_entry(args)
         until = zones.local(entry.until, entry.rule.zone).isoformat() if entry.until else None
-        self.say(
-            rid,
+        self.answer(
+            request,
             {
-                **self.row(entry),
+                **self.entry_summary(entry),
                 "policy": msgspec.structs.asdict(entry.policy),
                 "until": until,
                 "deadline_s": entry.deadline_s,
                 "pending": slot.pending or None,
-                "rule_record": value_of(entry.rule),
+                "rule_record": encode_record(entry.rule),
             },
         )
 
-    def next(self, rid: Any, args: dict) -> None:
+    def next(self, request: Any, args: dict) -> None:
         """Tell the firings to come, and what a change of clocks leaves out."""
-        entry, slot = self.entry(args)
+        entry, slot = self.find_entry(args)
         count = max(1, min(int(args.get("count", 10)), constants.SHOWN_FIRINGS))
         mark = (
             max(slot.mark, mark_at(entry.rule, int(args["since"])))
@@ -147,13 +150,13 @@
         )
         rows = self.firings(entry, mark, count)
         gaps = []
-        for one, other in zip(rows, rows[1:], strict=False):
+        for current, following in zip(rows, rows[1:], strict=False):
             gaps += [
                 f"{zones.from_wall(wall):%Y-%m-%d %H:%M} is not shown: clocks go ahead"
-                for wall in skipped(entry.rule, one["at"], other["at"])
+                for wall in skipped_by_clock_change(entry.rule, current["at"], following["at"])
             ]
-        self.say(
-            rid,
+        self.answer(
+            request,
             {
                 "name": entry.name,
                 "zone": entry.rule.zone,
@@ -163,14 +166,14 @@
             },
         )
 
-    def history(self, rid: Any, args: dict) -> None:
+    def history(self, request: Any, args: dict) -> None:
         """Tell the last decisions and their jobs."""
-        entry, slot = self.entry(args)
-        jobs, steps = self.context.replica.jobs, self.store.steps(entry)
+        entry, slot = self.find_entry(args)
+        jobs, steps = self.context.replica.jobs, self.store.job_count(entry)
         rows = []
-        for row in slot.rows:
+        for row in slot.decisions:
             at, outcome, _, note = row
-            ids = records.jobs_of(entry, row, steps)
+            ids = records.submitted_job_ids(entry, row, steps)
             rows.append(
                 {
                     "turn": at,
@@ -180,11 +183,11 @@
                     "jobs": {name: jobs[name].state for name in ids if name in jobs},
                 }
             )
-        self.say(rid, {"name": entry.name, "turns": rows})
+        self.answer(request, {"name": entry.name, "turns": rows})
 
-    def calendars(self, rid: Any, args: dict) -> None:
+    def calendars(self, request: Any, args: dict) -> None:
         """Tell a team's calendars."""
-        team = self.team(args["team"])
+        team = self.check_team(args["team"])
         found = {
             name.partition("/")[2]: calendar
             for name, calendar in self.store.calendars.items()
@@ -199,9 +202,9 @@
             }
             for name, calendar in sorted(found.items())
         ]
-        self.say(rid, {"calendars": rows, "epoch": self.context.replica.revision})
+        self.answer(request, {"calendars": rows, "epoch": self.context.replica.revision})
 
-    def objects(self, rid: Any, args: dict) -> None:
+    def objects(self, request: Any, args: dict) -> None:
         """Tell a calendar's objects: all, or those named; with their text if asked for."""
         calendar = str(args["calendar"])
         if calendar not in self.store.calendars:
@@ -218,15 +221,15 @@
             if entry is None:
                 rows.append({"name": name.rpartition("/")[2], "etag": None})
                 continue
-            if not self.matches(entry, args):
+            if not self.matches_filter(entry, args):
                 continue
             text = self.store.text(entry) if args.get("text") else ""
             if text is None:
                 raise RefusedError(503, "not all of an object has come yet")
             rows.append({"name": name.rpartition("/")[2], "etag": entry.etag, "text": text})
         template = self.store.calendars[calendar].template
-        self.say(
-            rid,
+        self.answer(
+            request,
             {
                 "objects": rows,
                 "epoch": self.context.replica.revision,
@@ -236,7 +239,7 @@
             },
         )
 
-    def matches(self, entry: Entry, args: dict) -> bool:
+    def matches_filter(self, entry: Entry, args: dict) -> bool:
         """Whether an object is of the component and has a turn in the span that are asked for."""
         if args.get("component") and args["component"] != entry.component:
             return False
@@ -251,16 +254,16 @@
         firing = next(firings(entry.rule, mark_at(entry.rule, since)), None)
         return firing is not None and (end is None or firing.at < int(end))
 
-    def changes(self, rid: Any, args: dict) -> None:
+    def changes(self, request: Any, args: dict) -> None:
         """Tell which objects of a calendar changed since a revision, if that is still known."""
         calendar, since = str(args["calendar"]), int(args["since"])
         if calendar not in self.store.calendars:
             raise RefusedError(404, f"no calendar {calendar}")
-        if not self.store.log_since <= since <= self.context.replica.revision:
+        if not self.store.change_log_start <= since <= self.context.replica.revision:
             raise RefusedError(410, "changes since then are not known any more")
         names = dict.fromkeys(
             name
-            for mod_revision, name in self.store.log
+            for mod_revision, name in self.store.change_log
             if mod_revision > since and name.startswith(calendar + "/")
         )
         rows = []
@@ -269,4 +272,4 @@
             rows.append(
                 {"name": name.rpartition("/")[2], "etag": None if entry is None else entry.etag}
             )
-        self.say(rid, {"objects": rows, "epoch": self.context.replica.revision})
+        self.answer(request, {"objects": rows, "epoch": self.context.replica.revision})
--- a/oakmux/schedules/records.py
+++ b/oakmux/schedules/records.py
@@ -19,12 +19,12 @@
 from oakmux.core.state.keys import PREFIX
 from oakmux.schedules.firings import Rule
 
-KIND = "s"
-NAME = re.compile(r"[A-Za-z0-9_.@+=-]{1,80}\Z")
+NAMESPACE = "s"
+NAME_PATTERN = re.compile(r"[A-Za-z0-9_.@+=-]{1,80}\Z")
 OVERLAPS = ("skip", "queue", "allow", "replace")
 CATCH_UPS = ("all", "last", "none")
 # How ids of jobs begin that firings submit: 18 digits, the first two are these. Reserved.
-RESERVED = "job-97"
+RESERVED_JOB_PREFIX = "job-97"
 MADE, SKIPPED, QUEUED, MISSED, REFUSED, MANUAL = "m", "s", "q", "x", "r", "h"
 OUTCOMES = {
     MADE: "made",
@@ -68,11 +68,11 @@
     policy: Policy = Policy()
     until: int = 0  # s since 1970 after which there are no more firings; 0: no end
     paused: bool = False
-    born: int = 0  # ms; part of the ids of its jobs, so that a namesake has others
+    created_ms: int = 0  # ms; part of the ids of its jobs, so that a namesake has others
     shard: int = 0
     deadline_s: float | None = None
     note: str = ""
-    parts: int = 0
+    text_parts: int = 0
     etag: str = ""
     component: str = ""  # VEVENT or VTODO, of a calendar object
     uid: str = ""
@@ -102,43 +102,43 @@
     name: str
     mark: int
     pending: int = 0
-    rows: list[tuple[int, str, int, str]] = []
+    decisions: list[tuple[int, str, int, str]] = []
 
-    def noted(
+    def with_decision(
         self, mark: int, pending: int, at: int, outcome: str, tries: int = 0, note: str = ""
     ) -> "Slot":
         """Return the slot after one more decision; old rows fall away."""
-        rows = [row for row in self.rows if not (row[0] == at and row[1] == QUEUED)]
-        rows.append((at, outcome, tries, note[: constants.DECISION_NOTE_BYTES]))
-        return Slot(self.name, mark, pending, rows[-constants.DECISIONS_KEPT :])
+        decisions = [row for row in self.decisions if not (row[0] == at and row[1] == QUEUED)]
+        decisions.append((at, outcome, tries, note[: constants.DECISION_NOTE_BYTES]))
+        return Slot(self.name, mark, pending, decisions[-constants.DECISIONS_KEPT :])
 
 
 def entry_key(name: str) -> str:
     """Return the key of an entry."""
-    return f"{PREFIX}{KIND}/e/{name}"
+    return f"{PREFIX}{NAMESPACE}/e/{name}"
 
 
 def template_key(name: str) -> str:
     """Return the key of a template, named `team/template`."""
-    return f"{PREFIX}{KIND}/t/{name}"
+    return f"{PREFIX}{NAMESPACE}/t/{name}"
 
 
 def shard_key(number: int) -> str:
     """Return the key of a shard."""
-    return f"{PREFIX}{KIND}/m/{number}"
+    return f"{PREFIX}{NAMESPACE}/m/{number}"
 
 
 def calendar_key(name: str) -> str:
     """Return the key of a calendar, named `team/calendar`."""
-    return f"{PREFIX}{KIND}/c/{name}"
+    return f"{PREFIX}{NAMESPACE}/c/{name}"
 
 
 def part_key(name: str, number: int) -> str:
     """Return the key of a part of a calendar object's text."""
-    return f"{PREFIX}{KIND}/p/{name}/{number}"
+    return f"{PREFIX}{NAMESPACE}/p/{name}/{number}"
 
 
-def value_of(record: Any) -> Any:
+def encode_record(record: Any) -> Any:
     """Return a record as the state service takes it."""
     return msgspec.to_builtins(record)
 
@@ -148,21 +148,21 @@
 
     `tries` counts ids that were found taken: by a job from before schedules were switched on.
     """
-    text = f"{entry.name}|{entry.born}|{firing}|{step}|{tries}"
+    text = f"{entry.name}|{entry.created_ms}|{firing}|{step}|{tries}"
     number = int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest()) % 10**16
-    return f"{RESERVED}{number:016d}"
+    return f"{RESERVED_JOB_PREFIX}{number:016d}"
 
 
-def jobs_of(entry: Entry, row: tuple[int, str, int, str], steps: int) -> list[str]:
+def submitted_job_ids(entry: Entry, decision: tuple[int, str, int, str], steps: int) -> list[str]:
     """Return the ids of the jobs that a decision made, if it made any."""
-    at, outcome, tries, note = row
+    at, outcome, tries, note = decision
     if outcome not in (MADE, MANUAL):
         return []
     firing = note if outcome == MANUAL else str(at)
     return [job_id(entry, firing, step, tries) for step in range(steps)]
 
 
-class Store:
+class ScheduleStore:
     """All records of schedules as far as the watch has brought them, and our own writes."""
 
     def __init__(self) -> None:
@@ -170,31 +170,31 @@
         self.templates: dict[str, Template] = {}
         self.calendars: dict[str, Calendar] = {}
         self.shards: dict[int, dict[str, Slot]] = {}
-        self.parts: dict[str, str] = {}
-        self.users: dict[str, set[str]] = {}
-        self.stamps: dict[str, int] = {}
-        self.removed: dict[str, int] = {}
+        self.text_parts: dict[str, str] = {}
+        self.template_users: dict[str, set[str]] = {}
+        self.mod_revisions: dict[str, int] = {}
+        self.removed_at: dict[str, int] = {}
         # Entries whose rule, template or slot changed, until the clock has taken note.
         self.changed: set[str] = set()
         # Recent changes of entries (revision, name), for clients that ask what is new; and the
         # revision from which on all of them are here.
-        self.log: deque[tuple[int, str]] = deque(maxlen=constants.CHANGES_KEPT)
-        self.log_since = 0
-        self._takers: dict[str, Callable[[str, Any, int], None]] = {
-            "e": self._entry,
-            "t": self._template,
-            "m": self._shard,
-            "c": self._calendar,
-            "p": self._part,
+        self.change_log: deque[tuple[int, str]] = deque(maxlen=constants.CHANGES_KEPT)
+        self.change_log_start = 0
+        self._handlers: dict[str, Callable[[str, Any, int], None]] = {
+            "e": self._apply_entry,
+            "t": self._apply_template,
+            "m": self._apply_shard,
+            "c": self._apply_calendar,
+            "p": self._apply_text_part,
         }
 
     def keys(self) -> set[str]:
         """Return the keys of all records that stand."""
-        return set(self.stamps)
+        return set(self.mod_revisions)
 
     def mod_revision(self, key: str) -> int:
         """Return a key's version for a guard; 0: there is none."""
-        return self.stamps.get(key, 0)
+        return self.mod_revisions.get(key, 0)
 
     def guards(self, *keys: str) -> dict[str, int]:
         """Return the guards that hold while these records are as they stand here."""
@@ -205,65 +205,65 @@
         entry = self.entries.get(name)
         return None if entry is None else self.shards.get(entry.shard, {}).get(name)
 
-    def shard_write(self, number: int, slots: dict[str, Slot], gone: str = "") -> tuple:
+    def shard_write(self, number: int, slots: dict[str, Slot], removed: str = "") -> tuple:
         """Return the write of a shard in which some slots are others, and one is gone."""
-        rows = {**self.shards.get(number, {}), **slots}
-        rows.pop(gone, None)
-        return shard_key(number), [value_of(slot) for slot in rows.values()], None
+        merged = {**self.shards.get(number, {}), **slots}
+        merged.pop(removed, None)
+        return shard_key(number), [encode_record(slot) for slot in merged.values()], None
 
-    def apply(self, rest: str, value: Any, mod_revision: int) -> None:
+    def apply(self, suffix: str, value: Any, mod_revision: int) -> None:
         """Take one change of the key `ox/s/<rest>`; older news than we have is dropped."""
-        key = f"{PREFIX}{KIND}/{rest}"
-        if mod_revision <= max(self.stamps.get(key, 0), self.removed.get(key, 0)):
+        key = f"{PREFIX}{NAMESPACE}/{suffix}"
+        if mod_revision <= max(self.mod_revisions.get(key, 0), self.removed_at.get(key, 0)):
             return
-        kind, _, name = rest.partition("/")
-        take = self._takers.get(kind)
-        if take is None:
+        kind, _, name = suffix.partition("/")
+        handler = self._handlers.get(kind)
+        if handler is None:
             return  # of a later version
-        take(name, value, mod_revision)
+        handler(name, value, mod_revision)
         if value is None:
-            self.stamps.pop(key, None)
-            self.removed[key] = mod_revision
-            if len(self.removed) > constants.CHANGES_KEPT:
-                del self.removed[next(iter(self.removed))]
+            self.mod_revisions.pop(key, None)
+            self.removed_at[key] = mod_revision
+            if len(self.removed_at) > constants.CHANGES_KEPT:
+                del self.removed_at[next(iter(self.removed_at))]
         else:
-            self.stamps[key] = mod_revision
+            self.mod_revisions[key] = mod_revision
 
-    def _entry(self, name: str, value: Any, mod_revision: int) -> None:
+    def _apply_entry(self, name: str, value: Any, mod_revision: int) -> None:
         old = self.entries.get(name)
         if old is not None:
-            self.users.get(old.template, set()).discard(name)
+            self.template_users.get(old.template, set()).discard(name)
         if value is None:
             self.entries.pop(name, None)
         else:
             entry = msgspec.convert(value, Entry)
             self.entries[name] = entry
-            self.users.setdefault(entry.template, set()).add(name)
+            self.template_users.setdefault(entry.template, set()).add(name)
         self.changed.add(name)
-        if len(self.log) == self.log.maxlen:
-            self.log_since = self.log[0][0]
-        self.log.append((mod_revision, name))
+        if len(self.change_log) == self.change_log.maxlen:
+            self.change_log_start = self.change_log[0][0]
+        self.change_log.append((mod_revision, name))
 
-    def _template(self, name: str, value: Any, _: int) -> None:
+    def _apply_template(self, name: str, value: Any, _: int) -> None:
         if value is None:
             self.templates.pop(name, None)
         else:
             self.templates[name] = msgspec.convert(value, Template)
-        self.changed.update(self.users.get(name, ()))
+        self.changed.update(self.template_users.get(name, ()))
 
-    def _calendar(self, name: str, value: Any, _: int) -> None:
+    def _apply_calendar(self, name: str, value: Any, _: int) -> None:
         if value is None:
             self.calendars.pop(name, None)
         else:
             self.calendars[name] = msgspec.convert(value, Calendar)
 
-    def _part(self, name: str, value: Any, _: int) -> None:
+    def _apply_text_part(self, name: str, value: Any, _: int) -> None:
         if value is None:
-            self.parts.pop(name, None)
+            self.text_parts.pop(name, None)
         else:
-            self.parts[name] = str(value)
+            self.text_parts[name] = str(value)
 
-    def _shard(self, name: str, value: Any, _: int) -> None:
+    def _apply_shard(self, name: str, value: Any, _: int) -> None:
         number = int(name)
         old = self.shards.get(number, {})
         new = {}
@@ -272,12 +272,12 @@
         self.changed.update(name for name in {*old, *new} if old.get(name) != new.get(name))
         self.shards[number] = new
 
-    def steps(self, entry: Entry) -> int:
+    def job_count(self, entry: Entry) -> int:
         """Return how many jobs a firing of an entry makes."""
         template = self.templates.get(entry.template)
         return 1 if template is None else len(template.steps)
 
     def text(self, entry: Entry) -> str | None:
         """Return a calendar object's text, or None while parts of it are missing."""
-        found = [self.parts.get(f"{entry.name}/{n}") for n in range(entry.parts)]
-        return None if None in found else "".join(part or "" for part in found)
+        parts = [self.text_parts.get(f"{entry.name}/{n}") for n in range(entry.text_parts)]
+        return None if None in parts else "".join(part or "" for part in parts)
--- a/oakmux/schedules/replay/model.py
+++ b/oakmux/schedules/replay/model.py
@@ -161,7 +161,9 @@
             held = self.context.replica.roles.get(CLOCK_ROLE)
             mine = held is not None and held[0] == self.label and held[1] == self.incarnation
             self.context.held_roles = {CLOCK_ROLE: held[2]} if mine and held is not None else {}
-            if mine != (self.part.dispatcher.held != 0) or (self.part.store.changed and mine):
+            if mine != (self.part.dispatcher.role_revision != 0) or (
+                self.part.store.changed and mine
+            ):
                 self.wake(0.0)
 
 
@@ -232,7 +234,7 @@
             kind, _, rest = key.removeprefix(PREFIX).partition("/")
             if kind == "j" and value[0] == "queued":
                 self._job(rest, value)
-            elif kind == records.KIND and rest.startswith("m/"):
+            elif kind == records.NAMESPACE and rest.startswith("m/"):
                 self._note(value)
         for one in self.controllers:
             if not one.cut:
--- a/oakmux/schedules/replay/oracle.py
+++ b/oakmux/schedules/replay/oracle.py
@@ -97,12 +97,12 @@
         walls = {
             w
             for w in self._walls(last)
-            if int(w.replace(tzinfo=UTC).timestamp()) not in rule.without
+            if int(w.replace(tzinfo=UTC).timestamp()) not in rule.exdates
         }
         walls.update(
             datetime.fromtimestamp(w, UTC).replace(tzinfo=None)
-            for w in rule.more
-            if w not in rule.without
+            for w in rule.rdates
+            if w not in rule.exdates
         )
         for old, new in rule.moved:
             walls.discard(datetime.fromtimestamp(old, UTC).replace(tzinfo=None))
--- a/oakmux/schedules/replay/year.py
+++ b/oakmux/schedules/replay/year.py
@@ -126,7 +126,7 @@
                     2 * DAY,
                     rng.choice((0, 0, 30)),
                 ),
-                born=start * 1000,
+                created_ms=start * 1000,
                 shard=n // SHARD,
             )
         )
@@ -159,13 +159,13 @@
             None,
         )
         pairs.append(
-            (records.template_key(name), records.value_of(Template((Step("main", spec),))))
+            (records.template_key(name), records.encode_record(Template((Step("main", spec),))))
         )
     shards: dict[int, list] = {}
     for entry in entries:
-        pairs.append((records.entry_key(entry.name), records.value_of(entry)))
+        pairs.append((records.entry_key(entry.name), records.encode_record(entry)))
         shards.setdefault(entry.shard, []).append(
-            records.value_of(Slot(entry.name, mark_at(entry.rule, model.start - 1)))
+            records.encode_record(Slot(entry.name, mark_at(entry.rule, model.start - 1)))
         )
     pairs += [(records.shard_key(n), rows) for n, rows in shards.items()]
     model.put(pairs)
@@ -319,7 +319,7 @@
             f"{TEAM}/e{n:05d}",
             rule,
             TEMPLATE if n % 10 else URGENT,
-            born=start * 1000,
+            created_ms=start * 1000,
             shard=n // SHARD,
         )
         for n in range(entries)
--- a/oakmux/schedules/templates.py
+++ b/oakmux/schedules/templates.py
@@ -14,14 +14,14 @@
 from oakmux.core.state.codecs import encode_job
 from oakmux.core.state.formats import FORMAT_COMPACT, value_bytes, value_limit
 from oakmux.core.state.keys import job_key
-from oakmux.schedules.records import NAME, Entry, Step, Template, job_id, value_of
+from oakmux.schedules.records import NAME_PATTERN, Entry, Step, Template, encode_record, job_id
 
 
 class TemplateError(ValueError):
     """A template that could never run; the text says why."""
 
 
-def from_steps(rows: Any, team: str) -> Template:
+def parse_steps(rows: Any, team: str) -> Template:
     """Return a template from rows of [name, submission, needed names]; raises TemplateError.
 
     A step may wait only on steps before it, so that no chain can come back to itself.
@@ -35,7 +35,7 @@
             name, job, needs = row
         except (TypeError, ValueError):
             raise TemplateError("a step is a name, a job and what it waits on") from None
-        if not isinstance(name, str) or not NAME.match(name) or name in names:
+        if not isinstance(name, str) or not NAME_PATTERN.match(name) or name in names:
             raise TemplateError(
                 f"step {str(name)[: constants.LOG_TEXT_CHARS]!r}: not a name of its own"
             )
@@ -72,25 +72,25 @@
     """
     limits = context.facts.store.strictest
     if 2 * len(template.steps) + 1 > limits.txn_ops and len(template.steps) > 1:
-        most = max(1, (limits.txn_ops - 1) // 2)
-        raise TemplateError(f"{len(template.steps)} jobs: a turn can make {most} here")
+        max_jobs = max(1, (limits.txn_ops - 1) // 2)
+        raise TemplateError(f"{len(template.steps)} jobs: a turn can make {max_jobs} here")
     for step in template.steps:
-        why = quotas.infeasible_reason(context, step.spec)
-        if why is not None:
-            raise TemplateError(f"{step.name}: {why}")
-        waits = tuple("job-" + "9" * 18 for _ in step.needs)
-        spec = msgspec.structs.replace(step.spec, waits_on=waits)
+        reason = quotas.infeasible_reason(context, step.spec)
+        if reason is not None:
+            raise TemplateError(f"{step.name}: {reason}")
+        placeholder_ids = tuple("job-" + "9" * 18 for _ in step.needs)
+        spec = msgspec.structs.replace(step.spec, waits_on=placeholder_ids)
         size = value_bytes(encode_job("queued", spec.team, spec, 10**13, spec.tasks))
         if size > value_limit(limits):
             raise TemplateError(
                 f"{step.name}: description of {size} bytes: a record holds {value_limit(limits)}"
             )
-    size = value_bytes(value_of(template))
+    size = value_bytes(encode_record(template))
     if size > value_limit(limits):
         raise TemplateError(f"template of {size} bytes: a record holds {value_limit(limits)}")
 
 
-def early(context: Context, template: Template) -> bool:
+def awaits_upgrade(context: Context, template: Template) -> bool:
     """Whether a chain can't be recorded yet: not all controllers read `waits_on`."""
     return context.replica.format < FORMAT_COMPACT and any(step.needs for step in template.steps)
 
@@ -100,34 +100,34 @@
     if template is None:
         return "no template"
     for step in template.steps:
-        why = quotas.infeasible_reason(context, step.spec) if context.types else None
-        if why is not None:
-            return why
+        reason = quotas.infeasible_reason(context, step.spec) if context.types else None
+        if reason is not None:
+            return reason
     return None
 
 
-def jobs(
+def firing_jobs(
     entry: Entry, template: Template, firing: str, tries: int = 0
 ) -> Iterator[tuple[str, JobSpec]]:
     """Yield (id, job) of a firing, each after those that it waits on."""
     ids = [job_id(entry, firing, n, tries) for n in range(len(template.steps))]
-    for own, step in zip(ids, template.steps, strict=True):
+    for own_id, step in zip(ids, template.steps, strict=True):
         changes: dict[str, Any] = {}
         if step.needs:
             changes["waits_on"] = tuple(ids[n] for n in step.needs)
         if entry.deadline_s is not None:
             changes["deadline_s"] = entry.deadline_s
-        yield own, msgspec.structs.replace(step.spec, **changes) if changes else step.spec
+        yield own_id, msgspec.structs.replace(step.spec, **changes) if changes else step.spec
 
 
-def submission(
+def job_writes(
     entry: Entry, template: Template, firing: str, order: int, tries: int = 0
 ) -> tuple[list[str], dict[str, int], list[tuple]]:
     """Return the ids of a firing's jobs, the guards that none is there, and their writes."""
     ids: list[str] = []
     guards: dict[str, int] = {}
     writes: list[tuple] = []
-    for name, spec in jobs(entry, template, firing, tries):
+    for name, spec in firing_jobs(entry, template, firing, tries):
         ids.append(name)
         guards[job_key(name)] = 0
         writes.append(
--- a/tests/recorded.py
+++ b/tests/recorded.py
@@ -295,25 +295,27 @@
     bare = records.Entry("red/e2", Rule("cron", "UTC", "*/5 * * * *"), "red/t")
     steps = (records.Step("one", PLAIN), records.Step("two", FULL, (0,)))
     slot = records.Slot("red/e2", 1000, 1300, [(700, records.MADE, 1, "")])
-    slot = slot.noted(1300, 0, 1300, records.QUEUED).noted(1400, 0, 1400, records.MANUAL, 2, "w")
+    slot = slot.with_decision(1300, 0, 1300, records.QUEUED).with_decision(
+        1400, 0, 1400, records.MANUAL, 2, "w"
+    )
     return {
-        "schedule/entry/full": [records.entry_key(full.name), records.value_of(full)],
-        "schedule/entry/bare": [records.entry_key(bare.name), records.value_of(bare)],
+        "schedule/entry/full": [records.entry_key(full.name), records.encode_record(full)],
+        "schedule/entry/bare": [records.entry_key(bare.name), records.encode_record(bare)],
         "schedule/template": [
             records.template_key("red/t"),
-            records.value_of(records.Template(steps)),
+            records.encode_record(records.Template(steps)),
         ],
-        "schedule/shard": [records.shard_key(5), [records.value_of(slot)]],
+        "schedule/shard": [records.shard_key(5), [records.encode_record(slot)]],
         "schedule/calendar": [
             records.calendar_key("red/cal"),
-            records.value_of(records.Calendar("Title", "Europe/Berlin", "red/t")),
+            records.encode_record(records.Calendar("Title", "Europe/Berlin", "red/t")),
         ],
         "schedule/part": [records.part_key("red/cal/e1", 1), "BEGIN:VCALENDAR"],
         "schedule/ids": [
             records.job_id(full, "1300", 1, 2),
-            records.jobs_of(bare, (1300, records.MADE, 1, ""), 2)
-            + records.jobs_of(bare, (1300, records.MANUAL, 0, "w"), 1)
-            + records.jobs_of(bare, (1300, records.SKIPPED, 0, ""), 1),
+            records.submitted_job_ids(bare, (1300, records.MADE, 1, ""), 2)
+            + records.submitted_job_ids(bare, (1300, records.MANUAL, 0, "w"), 1)
+            + records.submitted_job_ids(bare, (1300, records.SKIPPED, 0, ""), 1),
         ],
     }
 
@@ -321,8 +323,8 @@
 def read_record(data: bytes) -> Any:
     """Return what the replica and the schedules' copy hold after one record."""
     key, value = decode(data)
-    replica, store = Replica(), records.Store()
-    replica.namespaces[records.KIND] = store
+    replica, store = Replica(), records.ScheduleStore()
+    replica.namespaces[records.NAMESPACE] = store
     replica.apply(key, value, STAMP)
     blocks = [
         [job_id, number, *plain_chunk(block)]
@@ -371,7 +373,7 @@
             store.calendars,
             store.shards,
         ]
-        + [store.parts, store.stamps]
+        + [store.text_parts, store.mod_revisions]
     )
 
 
--- a/tests/test_schedule_firings.py
+++ b/tests/test_schedule_firings.py
@@ -19,7 +19,7 @@
     store = sim.cores[sim.holder()].subsystems[0].store
     found = {}
     for name, entry in store.entries.items():
-        for at, outcome, tries, note in store.slot(name).rows:
+        for at, outcome, tries, note in store.slot(name).decisions:
             if outcome in ("m", "h"):
                 found[records.job_id(entry, note if outcome == "h" else str(at), 0, tries)] = name
     return [found.get(job, "?") for _, job in sim.made]
--- a/tests/timed.py
+++ b/tests/timed.py
@@ -8,7 +8,7 @@
 from oakmux.core.messages import Command
 from oakmux.core.model import JobSpec
 from oakmux.schedules.messages import ServeScheduleRequest, SetTimeOfDay
-from oakmux.schedules.records import RESERVED
+from oakmux.schedules.records import RESERVED_JOB_PREFIX
 from oakmux.schedules.subsystem import SchedulesSubsystem
 from oakmux.settings import Settings
 from tests.fakes import Simulation
@@ -65,7 +65,7 @@
         name = key.removeprefix("ox/j/")
         if name != key and name not in self.specs and value[2] is not None:
             self.specs[name] = msgspec.convert(value[2], JobSpec)
-            if name.startswith(RESERVED):
+            if name.startswith(RESERVED_JOB_PREFIX):
                 self.made.append((self.start + self.now, name))
 
     def ask_for(self, operation: str, label: str | None = None, **args: Any) -> tuple[int, Any]:
