--- a/oakmux/schedules/__init__.py
+++ b/oakmux/schedules/__init__.py
@@ -1,5 +1,5 @@
-"""Cron tables and calendars: firings that submit jobs through the same core.
+"""Cron tables and calendars, whose firings submit jobs through the same core.
 
-Off unless a controller is started with `--schedules FILE`; nothing here is imported then.
-`docs/schedules-design.md` says why it is as it is, `docs/schedules.md` how to use it.
+Imported only if a controller is started with `--schedules FILE`.
+`docs/schedules-design.md` gives the reasons of the design, `docs/schedules.md` the usage.
 """
--- a/oakmux/schedules/api.py
+++ b/oakmux/schedules/api.py
@@ -41,9 +41,9 @@
 
 log = logging.getLogger("oakmux.schedules")
 
-# What an entry, a rule or a template can be refused for, beside the desk's own reasons.
+# Errors of invalid rules, zones and templates, answered with 422.
 UNPROCESSABLE = (RuleError, zones.UnknownZoneError, templates.TemplateError)
-# What a request wants written: guards, writes, the answer's status and body.
+# A change that a request makes: guards, writes, the answer's status and body.
 Change = tuple[dict[str, int], list[tuple], int, dict]
 
 
@@ -80,7 +80,7 @@
     # --- requests ---
 
     def handle_request(self, command: ServeScheduleRequest) -> None:
-        """Serve a request; answers at once, or when what it writes is written."""
+        """Serve a request; the answer is sent at once, or after the write if there is one."""
         request, operation, args = command.request, command.operation, command.args
         context = self.context
         serve = self.operations.get(operation)
@@ -94,7 +94,7 @@
             self._attempt(request, partial(serve, request, args))
 
     def _attempt(self, request: Any, action: Callable[[], None]) -> None:
-        """Go on with a request, or tell why it can't be carried out."""
+        """Continue a request, or answer why it can't be carried out."""
         try:
             action()
         except RefusedError as error:
@@ -110,7 +110,7 @@
         self.context.answer(request, error.status, ("error", str(error)))
 
     def tick(self) -> None:
-        """Go on with what waits for newer records."""
+        """Retry requests that wait for newer records."""
         due, self.retries = (
             [row for row in self.retries if row[0] <= self.context.now],
             [row for row in self.retries if row[0] > self.context.now],
@@ -118,7 +118,7 @@
         for _, run in due:
             try:
                 run()
-            except Exception:  # one request must not take the others with it
+            except Exception:  # one request must not stop the others
                 log.exception("event=request_failed")
 
     def _write(
@@ -129,9 +129,9 @@
         tries: int = 0,
         log_fields: dict[str, Any] | None = None,
     ) -> None:
-        """Write what `build` makes of the records; anew if they turn out to have changed.
+        """Write the change that `build` returns; built again if the records have changed.
 
-        What `build` puts into `said` is logged once it is written.
+        `build` may fill `log_fields`, which are logged after the write.
         """
         self._attempt(
             request, partial(self._write_once, request, build, on_success, tries, log_fields)
@@ -165,7 +165,7 @@
                 and tries < constants.REQUEST_TRIES
                 and len(self.retries) < constants.MAX_WAITING_REQUESTS
             ):
-                # The watch brings what was in the way within a moment.
+                # The watch brings the conflicting change within a moment.
                 self.retries.append(
                     (
                         self.context.now + constants.TICK_S * (1 + tries),
@@ -287,11 +287,11 @@
         )
 
     def _earliest_now_s(self) -> int:
-        """Return the time (s) up to which, by any clock here, firings may not have been made."""
+        """Return the time (s) less the largest skew: later firings may not be dispatched yet."""
         return (self.wall_clock.now_ms() - int(self.context.facts.skew_ms)) // 1000
 
     def _fresh_slot(self, entry: Entry, old: Slot | None) -> Slot:
-        """Return where firings begin: those before the edit are over or dropped."""
+        """Return a new or edited entry's slot: firings before the edit are over or dropped."""
         decided_until_s = self._earliest_now_s()
         decisions = old.decisions if old is not None else []
         decided_until_s = max(
@@ -305,7 +305,7 @@
         )
 
     def _choose_shard(self, new_entries: int) -> tuple[int, int]:
-        """Return a shard with room, and for how many of the new entries."""
+        """Return a shard with room, and how many of the new entries it has room for."""
         capacity = max(1, value_limit(self.context.facts.store.strictest) // constants.SLOT_BYTES)
         candidates: list[int] = []
         number = 0
@@ -317,7 +317,7 @@
         return shard, min(new_entries, capacity - len(self.store.shards.get(shard, ())))
 
     def _check(self, request: Any, args: dict) -> None:
-        """Check entries as `put` does, without storing any; tells each one's next firing."""
+        """Check entries as `put` does, without storing any; answer with each next firing."""
         results = []
         for entry_args in self._check_entry_count(args["entries"]):
             try:
@@ -337,17 +337,17 @@
         self.queries.answer(request, {"entries": results})
 
     def _check_entry_count(self, rows: list) -> list:
-        """Bound what one request computes: the firings of an entry may take milliseconds."""
+        """Limit the entries of one request: computing an entry's firings may take milliseconds."""
         if not isinstance(rows, list) or not 0 < len(rows) <= constants.SHOWN_FIRINGS:
             raise RefusedError(400, f"entries: 1 to {constants.SHOWN_FIRINGS} in a request")
         return rows
 
     def _put(self, request: Any, args: dict) -> None:
-        """Store entries; each is whole or not there, and the answer says which were stored."""
+        """Store entries, each completely or not at all; the answer lists those stored."""
         entries = [self._parse_entry(row) for row in self._check_entry_count(args["entries"])]
         if len({entry.name for entry in entries}) < len(entries):
             raise RefusedError(422, "two entries of one name")
-        # An edit that says nothing of a pause leaves it as it is.
+        # An edit without `paused` keeps the entry's pause as it is.
         args["silent"] = {row["name"] for row in args["entries"] if "paused" not in row}
         texts = {entries[0].name: str(args["text"])} if "text" in args and entries else {}
         self._put_remaining(request, entries, args, texts, [])
@@ -423,7 +423,7 @@
     def _check_limit(
         self, owner: str, kind: str, names: Collection[str], limit: int, added: int = 0
     ) -> None:
-        """Refuse one more of what a team or a calendar may have so many of."""
+        """Refuse to exceed the limit of entries, templates or calendars of a team or calendar."""
         count = sum(1 for name in names if name.startswith(owner + "/")) + added
         if count >= limit:
             raise RefusedError(422, f"{owner} has {count} {kind}: no more are kept")
@@ -438,7 +438,7 @@
         return name, team
 
     def _check_unique_uid(self, entry: Entry) -> None:
-        """Refuse a second object of a calendar with a UID that it has (RFC 4791, 5.3.2.1)."""
+        """Refuse a second object with the same UID in a calendar (RFC 4791, 5.3.2.1)."""
         if not entry.uid:
             return
         calendar = entry.name.rpartition("/")[0] + "/"
@@ -454,7 +454,7 @@
         return value
 
     def _text_part_writes(self, name: str, text: str) -> list[tuple]:
-        """Return the writes of a calendar object's text, cut so that each fits a record."""
+        """Return the writes of a calendar object's text, split so that each part fits a record."""
         limits = self.context.facts.store.strictest
         max_bytes = value_limit(limits)
         parts: list[tuple] = []
@@ -470,7 +470,7 @@
         return parts
 
     def _replace_entry(self, entry: Entry, old: Entry, args: dict, text: str | None) -> Change:
-        """Change an entry. An edit that changes no time keeps the place among its firings."""
+        """Return the change of an entry. An edit that changes no time keeps the entry's slot."""
         store, key = self.store, entry_key(entry.name)
         expected_etag = args.get("if_match")
         if args.get("if_absent") or (expected_etag and expected_etag not in (old.etag, "*")):
@@ -503,7 +503,7 @@
         name: str,
         slot: Slot | None,
     ) -> None:
-        """Add to a change that an entry's slot becomes another, or goes."""
+        """Add the write that replaces an entry's slot, or removes it if `slot` is None."""
         guards.update(self.store.guards(shard_key(number)))
         writes.append(
             self.store.shard_write(
@@ -538,7 +538,7 @@
         self._set_paused(request, args, False)
 
     def _set_paused(self, request: Any, args: dict, paused: bool) -> None:
-        """Pause or resume; firings of a pause are not changed up for."""
+        """Pause or resume; firings missed during a pause are not caught up."""
         log_fields: dict[str, Any] = {}
 
         def build() -> Change:
@@ -559,7 +559,7 @@
         self._write(request, build, log_fields=log_fields)
 
     def _run_now(self, request: Any, args: dict) -> None:
-        """Dispatch one firing by hand. Asked again with the same word, the same jobs are told."""
+        """Dispatch one firing by hand; a repeat with the same `word` returns the same jobs."""
         log_fields: dict[str, Any] = {}
         firing_key = str(args["word"])
         if (
--- a/oakmux/schedules/dispatcher.py
+++ b/oakmux/schedules/dispatcher.py
@@ -1,9 +1,9 @@
-"""Dispatching firings: one controller at a time, which holds a role for it on its lease.
+"""Dispatches firings on one controller at a time: the holder of the clock role, on its lease.
 
-That each firing submits its jobs exactly once depends on the records alone, never on the role: the
+That each firing submits its jobs exactly once depends on the records alone, never on the role. The
 outcome (in the entry's slot) and the jobs are written in one transaction, on condition that shard,
 entry, template and role are at the known revisions and that the jobs are absent. A late or
-repeated transaction, or one of a deposed holder, fails on a condition; the next holder goes on
+repeated transaction, or one of a deposed holder, fails on a condition. The next holder continues
 from the mark in the slot.
 """
 
@@ -29,22 +29,22 @@
 
 
 class _DueFiring(NamedTuple):
-    """What becomes of a firing that is due."""
+    """A due firing and the decision on it."""
 
     decision: policy.Decision
     fires_at: int
-    # None for one that waited for the firing before it to finish.
+    # None for a queued firing, which waited for the previous one to finish.
     firing: Firing | None
 
 
 class FiringDispatcher:
-    """Dispatches the firings of all entries while the role is ours."""
+    """Dispatches the firings of all entries while this controller holds the role."""
 
     def __init__(self, context: Context, store: ScheduleStore, wall_clock: WallClock) -> None:
         self.context = context
         self.store = store
         self.wall_clock = wall_clock
-        self.role_revision = 0  # the version of the role that the plans were made under
+        self.role_revision = 0  # mod revision of the role that the plans belong to; 0: not held
         self.plans: dict[str, FiringPlan] = {}
         self.heap: list[tuple[int, str, int]] = []
         self.due = DueFirings()
@@ -53,13 +53,13 @@
         self.to_plan_names: set[str] = set()
         self.shards_in_flight: set[int] = set()
         self.retry_at: dict[int, float] = {}
-        self.failures_in_row: dict[int, int] = {}  # of each shard's writes
+        self.failures_in_row: dict[int, int] = {}  # consecutive failed writes of a shard
         self.next_queue_check = 0.0
         self.dispatched = 0
         self.id_attempts: dict[str, int] = {}
 
     def tick(self) -> None:
-        """Do what is due; at most so much that other work goes on."""
+        """Plan and dispatch firings, within limits per tick so that other work goes on."""
         mod_revision = self.context.held_roles.get(CLOCK_ROLE, 0)
         if mod_revision != self.role_revision:
             self._on_role_changed(mod_revision)
@@ -69,7 +69,7 @@
         self._replan(self.store.changed)
         self.store.changed.clear()
         self._plan()
-        # Without news from the state service nothing can be written, and what runs is not known.
+        # Without current records nothing can be written, and it is not known which jobs still run.
         if (
             not self.wall_clock.is_steady
             or self.context.now - self.context.store_seen_at > constants.STORE_STALE_S
@@ -92,7 +92,7 @@
         self._write_due(now_ms)
 
     def _on_role_changed(self, mod_revision: int) -> None:
-        """The role came or went: what was planned under it is void."""
+        """Discard all plans; plan all entries anew if the role was acquired."""
         self.role_revision = mod_revision
         for collection in (
             self.plans,
@@ -114,7 +114,7 @@
     # --- planning ---
 
     def _replan(self, names: set[str]) -> None:
-        """Plan entries anew."""
+        """Discard the plans of entries and queue them for planning."""
         for name in names:
             self.plans.pop(name, None)
             self.due.pop(name)
@@ -142,10 +142,10 @@
             self._schedule_next(plan)
 
     def _schedule_next(self, plan: FiringPlan) -> None:
-        """Wait for a plan's next firing.
+        """Add a plan's next firing to the heap.
 
-        A firing is made once our clock says that it is past by all that the clocks of this place
-        may differ: none is early by the true time, even if ours is ahead by so much.
+        A firing is due once its time is past by the largest clock skew. By true time none is
+        early, even if this controller's clock is ahead by that much.
         """
         if plan.firing is not None:
             heapq.heappush(
@@ -158,11 +158,11 @@
     # --- writing ---
 
     def has_unfinished_jobs(self, entry: Entry, slot: Slot) -> bool:
-        """Whether jobs of an earlier firing that we know of are unfinished."""
+        """Whether known jobs of an earlier firing are unfinished."""
         return any(not job.final for job in self.known_jobs(entry, slot))
 
     def known_jobs(self, entry: Entry, slot: Slot) -> list[Any]:
-        """Return the jobs of the firings that the slot still knows."""
+        """Return the known jobs of the firings that the slot still lists."""
         jobs, steps = self.context.replica.jobs, self.store.job_count(entry)
         return [
             jobs[name]
@@ -172,7 +172,7 @@
         ]
 
     def _write_due(self, now_ms: int) -> None:
-        """Write what is due, shard by shard, the most urgent first."""
+        """Write due firings, shard by shard, the most urgent first."""
         free_slots = constants.FIRINGS_IN_FLIGHT - len(self.shards_in_flight)
         if free_slots <= 0 or not self.due:
             return
@@ -185,8 +185,8 @@
         if not waiting:
             return
         top_priority = min(waiting)[0].negative_priority
-        # While more shards have firings of the highest priority than can be written now, no others
-        # go with them: five hundred urgent firings among five thousand went within 32 s, not 10 s.
+        # While more shards than can be written now have firings of the highest priority, others
+        # wait: otherwise 500 urgent firings among 5000 take up to 32 s instead of 10 s.
         only_most_urgent = (
             sum(1 for urgency, _ in waiting if urgency.negative_priority == top_priority)
             > free_slots
@@ -198,7 +198,7 @@
                     break
                 try:
                     has_room = self._add_firings(batch, plan, now_ms)
-                except Exception as error:  # as above: the others go on
+                except Exception as error:  # as in _plan: the others go on
                     event(
                         "firing_failed",
                         entry=plan.entry.name,
@@ -216,7 +216,7 @@
         self.due.put(plan)
 
     def _urgency(self, plan: FiringPlan) -> Urgency:
-        """Return what orders a plan among those that are due."""
+        """Return the sort key of a plan among those that are due."""
         template = self.store.templates.get(plan.entry.template)
         priority = 0 if template is None else max(s.spec.priority for s in template.steps)
         at = plan.firing.at if plan.firing is not None else plan.slot.pending
@@ -229,7 +229,7 @@
         template = self.store.templates.get(entry.template)
         refusal = templates.refusal(self.context, template)
         if template is not None and templates.awaits_upgrade(self.context, template):
-            # An upgrade is under way: dependencies can't be recorded yet. Others go on meanwhile.
+            # An upgrade is under way: dependencies can't be recorded yet. Other entries go on.
             self.due.pop(entry.name)
             heapq.heappush(self.heap, (now_ms + 1000, entry.name, id(plan)))
             return True
@@ -275,7 +275,7 @@
     def _record_outcome(
         self, batch: FiringBatch, plan: FiringPlan, due: _DueFiring, now_ms: int
     ) -> None:
-        """Add the outcome of a firing to the batch, and go on with the plan."""
+        """Add the outcome of a firing to the batch, and advance the plan."""
         name, slot = plan.entry.name, due.decision.slot
         batch.guards.update(self.store.guards(records.entry_key(name)))
         if due.firing is not None:
@@ -288,7 +288,7 @@
         batch.slots[name] = plan.slot
 
     def _skip_missed(self, plan: FiringPlan, now_ms: int) -> None:
-        """Skip firings that were missed long ago: counted, but not all gone through."""
+        """Skip further missed firings; only the first MISSED_FIRINGS are counted one by one."""
         count = 0
         while plan.firing is not None and policy.expired(plan.entry, plan.firing, now_ms):
             count += 1
@@ -341,7 +341,7 @@
         if len(batch.writes) + len(writes) + 1 > limits.txn_ops:
             if batch.writes or batch.slots:
                 return False
-            # Alone and too large: jobs of several earlier firings give way, as many as fit.
+            # Too large even alone: cancel as many jobs of earlier firings as fit.
             writes = writes[: limits.txn_ops - 1]
         batch.writes += writes
         batch.guards.update({key: guards[key] for key, *_ in writes})
@@ -396,7 +396,7 @@
         store.apply(f"m/{batch.shard}", value, result[0])
         if role_revision != self.role_revision:
             return
-        for name in own_decisions:  # our own decision: the plan has gone on with it already
+        for name in own_decisions:  # the plan has already advanced past these
             plan = self.plans.get(name)
             if plan is None or plan.slot != batch.slots[name]:
                 continue
@@ -414,8 +414,10 @@
             )
 
     def _on_write_failed(self, batch: FiringBatch, status: int, result: Any) -> None:
-        """Try firings again later. 409: the watch brings what was in the way. No answer: they may
-        still be written late; then what we try again fails on the shard's version.
+        """Retry firings later.
+
+        After a 409 the watch brings the conflicting change. Without an answer, the firings may
+        still be written late; then the retry fails on the shard's mod revision.
         """
         failures = self.failures_in_row.get(batch.shard, 0)
         delay_s = min(constants.BACKOFF_MAX_S, constants.FIRING_RETRY_S * 2**failures)
@@ -429,10 +431,10 @@
         self._replan(set(batch.slots))
 
     def _resolve_id_conflicts(self, batch: FiringBatch, result: Any) -> None:
-        """Another job has the id of one of ours, from before such ids were reserved."""
+        """Try another id for jobs whose id an older job has, from before ids were reserved."""
         failed_keys = set(result[1])
         if {records.shard_key(batch.shard), role_key(CLOCK_ROLE)} & failed_keys:
-            return  # perhaps it is our own that was written without our hearing of it
+            return  # perhaps an earlier try of this batch was written and its answer lost
         for name, entry_name in batch.entry_of_job.items():
             if job_key(name) in failed_keys:
                 tries = min(self.id_attempts.get(entry_name, 0) + 1, constants.JOB_ID_TRIES)
--- a/oakmux/schedules/firing_plan.py
+++ b/oakmux/schedules/firing_plan.py
@@ -1,4 +1,4 @@
-"""Planned firings: of one entry, those that are due by shard, and those written together."""
+"""Planned firings: those of one entry, those due by shard, and those of one transaction."""
 
 from collections.abc import Iterator
 from itertools import takewhile
@@ -9,7 +9,7 @@
 
 
 class Urgency(NamedTuple):
-    """What orders firings that are due together; the smaller goes first."""
+    """Sort key of firings that are due together; the smallest goes first."""
 
     negative_priority: int
     # The latest time (s since 1970) at which the firing may begin; infinite without a deadline.
@@ -18,7 +18,7 @@
 
 
 class FiringPlan:
-    """The coming firings of one entry, the next of them at hand."""
+    """The upcoming firings of one entry; `firing` is the next."""
 
     __slots__ = ("entry", "firing", "prefetched", "slot", "tries", "upcoming", "urgency")
 
@@ -29,7 +29,7 @@
         if entry.until:
             self.upcoming = takewhile(lambda firing: firing.at <= entry.until, self.upcoming)
         self.firing = next(self.upcoming, None)
-        # The firing after the next, once it was asked for.
+        # The firing after the next, once `peek_following` has computed it.
         self.prefetched: list[Firing | None] = []
         self.tries = 0
         self.urgency = Urgency(0, 0.0, 0)
@@ -41,7 +41,7 @@
         return self.prefetched[0]
 
     def advance(self, slot: Slot) -> None:
-        """Go on to the following firing; `slot` has the outcome of the one before."""
+        """Advance to the following firing; `slot` has the outcome of the previous one."""
         self.slot = slot
         self.firing = self.prefetched.pop() if self.prefetched else next(self.upcoming, None)
         self.tries = 0
@@ -60,7 +60,7 @@
         return bool(self.shard_of)
 
     def put(self, plan: FiringPlan) -> None:
-        """Add a plan, in place of an older one of the same entry."""
+        """Add a plan; it replaces an older plan of the same entry."""
         name, shard = plan.entry.name, plan.entry.shard
         self.pop(name)
         self.shard_of[name] = shard
@@ -103,7 +103,7 @@
         self.guards: dict[str, int] = {}
         self.writes: list[tuple] = []
         self.slots: dict[str, Slot] = {}
-        # Fields of the log events that follow once the transaction has been carried out.
+        # Fields of the log events that are written once the transaction has succeeded.
         self.log_fields: list[dict[str, Any]] = []
-        # The entry of each job id in the batch, should an id turn out to be taken.
+        # The entry of each job id in the batch, in case the id is already taken.
         self.entry_of_job: dict[str, str] = {}
--- a/oakmux/schedules/firings.py
+++ b/oakmux/schedules/firings.py
@@ -1,9 +1,11 @@
-"""When a rule fires: cron expressions and recurrences of calendars, without state.
+"""When a rule fires: cron expressions and calendar recurrences, without state.
 
-Each firing has a mark, which orders the firings of one rule and identifies them, and an instant.
-The mark of a rule that names hours and minutes is wall time: should the zone's own rules change,
-a day's firing stays that day's. The mark of a cron expression whose minute or hour is a star is
-the instant: it means "every so often", also in an hour that clocks show twice.
+Each firing has an instant and a mark. The mark orders and identifies the firings of one rule:
+
+- For a rule that names hours and minutes, the mark is wall time. If the rules of the time zone
+  change, a day's firing remains that day's.
+- For a cron expression whose minute or hour is a star, the mark is the instant: the expression
+  means "every so often", also in an hour that clocks show twice.
 """
 
 import calendar
@@ -41,14 +43,15 @@
 
 
 class RuleError(ValueError):
-    """A rule that can't be kept; the text says why."""
+    """A rule that is invalid or unsupported; the text gives the reason."""
 
 
 class Rule(msgspec.Struct, frozen=True, array_like=True):
     """When to run. Wall times are seconds as of `zones.as_wall`.
 
-    A cron rule is its five fields in `text`. A calendar's rule is its RRULE (or none), the first
-    firing, RDATEs, EXDATEs, and instances that are moved to another wall time or cancelled (None).
+    A cron rule has its five fields in `text`. A calendar rule has its RRULE (or none) in `text`,
+    its first firing in `start`, its RDATEs and EXDATEs, and in `moved` the instances that are
+    moved to another wall time or cancelled (None).
     """
 
     kind: str
@@ -61,7 +64,7 @@
 
 
 class Firing(NamedTuple):
-    """One firing: what orders it, when it is (s, UTC), and what a change of clocks did to it."""
+    """One firing: its mark, its instant (s, UTC), and how a clock change affects it."""
 
     mark: int
     at: int
@@ -75,7 +78,7 @@
         raise RuleError("@reboot: nothing is booted here; submit a job instead")
     if len(fields) != 5:
         raise RuleError(f"five fields are needed, not {len(fields)}")
-    # A range of one value with a step, like 0-0/2 among days of the week, is read as an open one.
+    # CronSim reads a range of one value with a step, like 0-0/2 as weekday, as an open range.
     rule = Rule("cron", zone, " ".join(SINGLE_VALUE_RANGE.sub(r"\1", field) for field in fields))
     try:
         next(firings(rule, 0))
@@ -99,7 +102,8 @@
 def firings(rule: Rule, after: int, explain: bool = False) -> Iterator[Firing]:
     """Yield the firings whose mark is above `after`, in order.
 
-    What a change of clocks did to one is told only if asked for: it takes as long as the firing.
+    The effect of a clock change on a firing is fully explained only with `explain`: finding it
+    takes as long as finding the firing.
     """
     if rule.kind == "cron":
         return _cron_firings(rule, after, explain)
@@ -107,10 +111,10 @@
 
 
 def _cron_firings(rule: Rule, after: int, explain: bool) -> Iterator[Firing]:
-    """Yield the firings of an expression: the library counts on the clock's face alone.
+    """Yield the firings of a cron expression; CronSim computes wall times without a zone.
 
-    What a change of clocks does is decided here: given a zone, the library lost a star's firing
-    after Lord Howe's change by half an hour.
+    Clock changes are handled here: with a zone, CronSim omits a star expression's firing after
+    Lord Howe's clock change of half an hour.
     """
     return (
         _instant_firings(rule, after, explain)
@@ -140,13 +144,13 @@
     start = zones.as_wall(zones.local(after, rule.zone))
     if zones.change_near(after, rule.zone):
         start -= int(constants.CLOCK_CHANGE_MAX_S)
-    pending: list[Firing] = []  # second showings come after first ones of later wall times
+    pending: list[Firing] = []  # a second showing comes after first showings of later wall times
     shown_twice = "clocks show this hour twice: so often runs in both" if explain else ""
     for moment in CronSim(rule.text, zones.from_wall(start)):
         wall = zones.as_wall(moment)
         first, second = (zones.instant(wall, rule.zone, fold) for fold in (0, 1))
         if zones.as_wall(zones.local(first, rule.zone)) != wall:
-            continue  # not shown
+            continue  # clocks skip this wall time
         while pending and pending[0].at < first:
             yield heapq.heappop(pending)
         for at in sorted({first, second}):
@@ -157,7 +161,7 @@
 
 
 def skipped_by_clock_change(rule: Rule, start: int, end: int) -> list[int]:
-    """Return the wall times in a span of instants (s) that a star rule would have had in a gap."""
+    """Return a star rule's wall times that a clock change skips between two instants (s)."""
     if rule.kind != "cron" or not by_instant(rule):
         return []
     change = zones.change_near((start + end) // 2, rule.zone)
@@ -179,7 +183,7 @@
 
 
 def check_recurrence(text: str, start: int) -> None:
-    """Refuse a RRULE that we can't keep; raises RuleError."""
+    """Check that an RRULE is supported; raises RuleError."""
     if not text:
         return
     parts = _rrule_parts(text)
@@ -209,7 +213,7 @@
 
 
 def _rrule_parts(text: str) -> dict[str, str]:
-    """Return the parts of a RRULE; raises RuleError."""
+    """Return the parts of an RRULE by name; raises RuleError."""
     parts = {}
     for part in text.upper().split(";"):
         match = RULE_PART.match(part)
@@ -228,8 +232,8 @@
 def _has_instance(parts: dict[str, str], start: int) -> bool:
     """Whether a recurrence has an instance within its horizon, by its days alone.
 
-    The library goes on to the year 9999 for one that has none, like 30 February: for a rule by
-    days that took 30 s, in which a controller would have stood still.
+    For a recurrence without instances, like 30 February, dateutil searches up to the year 9999:
+    30 s for a daily rule, during which the controller would do nothing else.
     """
     freq, interval = parts["FREQ"], int(parts.get("INTERVAL", "1"))
     first = zones.from_wall(start).date()
@@ -279,7 +283,7 @@
 
 
 def _period(freq: str, first: date, day: date) -> tuple[int, tuple]:
-    """Return how many periods a day is after the first, and which it lies in."""
+    """Return how many periods after the first a day lies, and the key of its period."""
     if freq == "YEARLY":
         return day.year - first.year, (day.year,)
     if freq == "MONTHLY":
@@ -291,7 +295,7 @@
 
 
 def _is_nth(day: date, number: int, weekday: int, of_year: bool) -> bool:
-    """Whether a day is such a weekday, and which of its month or year if that is said."""
+    """Whether a day is this weekday and, unless `number` is 0, that one of its month or year."""
     if day.weekday() != weekday or not number:
         return day.weekday() == weekday
     if of_year:
@@ -302,10 +306,10 @@
 
 
 def _instances(rule: Rule, after: int) -> Iterator[int]:
-    """Yield the wall times of a RRULE in order, those before `after` left out where it is cheap.
+    """Yield the wall times of an RRULE in order, without those before `after` where it is cheap.
 
-    A rule by hours, days or weeks without COUNT is started a whole number of its own intervals
-    later: the same instances, without going through years of them.
+    An hourly, daily or weekly rule without COUNT is started a whole number of its intervals
+    later. This yields the same instances without iterating over years of them.
     """
     start = rule.start
     parts = _rrule_parts(rule.text)
@@ -313,7 +317,7 @@
     if step is not None and "COUNT" not in parts:
         interval_s = int(step.total_seconds()) * int(parts.get("INTERVAL", "1"))
         start += max(0, (after - start) // interval_s - 1) * interval_s
-    # The first instance is the start itself, whether the rule names it or not.
+    # The first instance is the start itself, whether it matches the rule or not.
     if start == rule.start:
         yield start
     unmatched = 0
@@ -343,9 +347,8 @@
     instances = _instances(rule, after - margin_s) if rule.text else iter([rule.start])
     regular = (wall for wall in instances if wall not in moved and wall not in excluded)
     last = after
-    pending: list[
-        Firing
-    ] = []  # one that clocks skip may come after others that are later on paper
+    # A firing in a gap is shown later, and may come after firings of later wall times.
+    pending: list[Firing] = []
     for wall in _merge(extra, regular):
         while pending and pending[0].mark <= wall:
             firing = heapq.heappop(pending)
@@ -365,7 +368,7 @@
 
 
 def _merge(extra: list[int], regular: Iterator[int]) -> Iterator[int]:
-    """Merge two ascending runs of wall times."""
+    """Merge two ascending sequences of wall times."""
     queue = list(reversed(extra))
     for wall in regular:
         while queue and queue[-1] <= wall:
--- a/oakmux/schedules/messages.py
+++ b/oakmux/schedules/messages.py
@@ -1,4 +1,4 @@
-"""The commands that schedules add to those of the controller."""
+"""The controller commands that schedules add."""
 
 from typing import Any
 
@@ -6,7 +6,7 @@
 
 
 class SetTimeOfDay(Command, frozen=True):
-    """The machine's clock shows this time, in milliseconds since 1970."""
+    """A reading of the machine's clock, in milliseconds since 1970."""
 
     time_ms: int
 
--- a/oakmux/schedules/plugin.py
+++ b/oakmux/schedules/plugin.py
@@ -1,4 +1,4 @@
-"""Joins schedules to a process: the operator's settings, requests, the clock, the listener."""
+"""Connects schedules to the process: settings, requests, wall clock and CalDAV listener."""
 
 import configparser
 import ssl
@@ -27,7 +27,7 @@
 
 
 class CalDavOptions(msgspec.Struct, frozen=True):
-    """Where calendars' clients are served, with what certificate and whose tokens."""
+    """The CalDAV listener's address, tokens and TLS context (None: plain)."""
 
     listen: str
     tokens: tokens.Tokens
@@ -35,7 +35,7 @@
 
 
 class Plugin:
-    """Schedules, outside the core."""
+    """The part of schedules outside the core."""
 
     subsystems: Sequence[Callable[[Context], Subsystem]] = (SchedulesSubsystem,)
 
@@ -43,7 +43,7 @@
         self.caldav = caldav
 
     def paths(self, offer: Callable[[Command], bool]) -> dict[str, Callable[[Request, str], None]]:
-        """Serve requests of the command line at the public address."""
+        """Return the handler of the command line's requests at the public address."""
 
         def serve(request: Request, operation: str) -> None:
             try:
@@ -57,21 +57,21 @@
         return {PATH: serve}
 
     async def start(self, offer: Callable[[Command], bool], max_connections: int) -> None:
-        """Open the listener for calendars' clients, if there is to be one."""
+        """Open the listener for calendar clients, if it is configured."""
         if self.caldav is not None:
-            from oakmux.schedules.dav.serve import Dav  # brings what reads calendars and XML
+            from oakmux.schedules.dav.serve import Dav  # imports the calendar and XML parsers
 
             await Dav(offer, self.caldav.tokens).listen(
                 self.caldav.listen, self.caldav.context, max(1, max_connections // 4)
             )
 
     def tick(self) -> list[Command]:
-        """Tell the core the time of day."""
+        """Return the command that gives the core the time of day."""
         return [SetTimeOfDay(int(time.time() * 1000))]
 
 
 def load(path: str) -> Plugin:
-    """Read the operator's settings for schedules (INI); raises SettingsError with one line."""
+    """Read the operator's settings for schedules (INI); raises a one-line SettingsError."""
     parser = settings.read_ini(path, SECTIONS)
     try:
         if not parser.getboolean("schedules", "enabled", fallback=True):
@@ -101,8 +101,8 @@
     for name in ("certificate", "key"):
         if not section.get(name):
             raise ValueError(
-                f"{name}: is missing; for a listener without TLS, behind a proxy of "
-                "your own, say plain = yes"
+                f"{name}: is missing; for a listener without TLS, behind a TLS proxy, "
+                "set plain = yes"
             )
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
--- a/oakmux/schedules/policy.py
+++ b/oakmux/schedules/policy.py
@@ -1,4 +1,4 @@
-"""What becomes of one firing: a decision from an entry, its slot and the time, nothing else."""
+"""Decides on one firing from its entry, the entry's slot and the time alone."""
 
 import hashlib
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 
 
 class Decision(NamedTuple):
-    """One firing's outcome: the slot after it, whether to make its jobs, which jobs give way."""
+    """The slot after a firing, and whether to submit its jobs and to cancel earlier ones."""
 
     slot: Slot
     submit: bool
@@ -19,7 +19,7 @@
 
 
 def jitter_ms(entry: Entry) -> int:
-    """Return by how much all firings of an entry are late on purpose (ms): always the same."""
+    """Return the intended delay (ms) of all firings of an entry: always the same."""
     if not entry.policy.jitter_s:
         return 0
     digest = hashlib.blake2b(entry.name.encode(), digest_size=4).digest()
@@ -27,18 +27,18 @@
 
 
 def planned_ms(entry: Entry, firing: Firing) -> int:
-    """Return when a firing is to be made (ms), apart from how far clocks may differ."""
+    """Return when a firing is to be dispatched (ms), without the allowance for clock skew."""
     return firing.at * 1000 + jitter_ms(entry)
 
 
 def window_s(entry: Entry) -> int:
-    """Return how late a firing may still be made (s); without catching up, the grace."""
+    """Return how late a firing may be (s); without catch-up, at most NO_CATCH_UP_S."""
     window = entry.policy.window_s
     return min(window, constants.NO_CATCH_UP_S) if entry.policy.catch_up == "none" else window
 
 
 def expired(entry: Entry, firing: Firing, now_ms: int) -> bool:
-    """Whether a firing is too late to be made."""
+    """Whether a firing is too late to be dispatched."""
     return now_ms - planned_ms(entry, firing) > window_s(entry) * 1000
 
 
@@ -51,10 +51,11 @@
     has_unfinished_jobs: Callable[[], bool],
     tries: int = 0,
 ) -> Decision:
-    """Decide on the next firing of an entry; `later` gives the firing after it.
+    """Decide on the next firing of an entry; `peek_following` returns the firing after it.
 
-    `busy` tells whether jobs of an earlier firing may still run; it is asked only if it matters.
-    Of several firings that are over, `last` makes the latest.
+    `has_unfinished_jobs`, whether jobs of an earlier firing may still run, is called only if the
+    decision depends on it. The catch-up policy `last` dispatches the latest of several past
+    firings.
     """
     following = peek_following() if entry.policy.catch_up == "last" else None
     overtaken = following is not None and planned_ms(entry, following) <= now_ms
@@ -83,5 +84,5 @@
 
 
 def release_pending(slot: Slot, tries: int = 0) -> Decision:
-    """Make the firing that waited for the one before."""
+    """Decide to dispatch the firing that waited for the previous one to finish."""
     return Decision(slot.with_decision(slot.mark, 0, slot.pending, records.MADE, tries), True)
--- a/oakmux/schedules/queries.py
+++ b/oakmux/schedules/queries.py
@@ -1,4 +1,4 @@
-"""What is told of schedules: entries, firings, calendars; nothing here changes anything."""
+"""Read-only requests about schedules: entries, firings, calendars."""
 
 from itertools import islice
 from typing import Any
@@ -22,7 +22,7 @@
 
 
 class ScheduleQueries:
-    """Answers questions from the records that have come."""
+    """Answers read-only requests from the local copy of the records."""
 
     def __init__(self, context: Context, store: ScheduleStore) -> None:
         self.context = context
@@ -64,7 +64,7 @@
     # --- entries and calendars ---
 
     def templates(self, request: Any, args: dict) -> None:
-        """Tell templates."""
+        """Answer with the templates whose names begin with `prefix`."""
         prefix = str(args.get("prefix", ""))
         rows = [
             {
@@ -80,7 +80,7 @@
         self.answer(request, {"templates": rows[: constants.SHOWN_FIRINGS]})
 
     def entries(self, request: Any, args: dict) -> None:
-        """Tell entries, a page at a time."""
+        """Answer with entries, a page at a time."""
         prefix, after = str(args.get("prefix", "")), str(args.get("after", ""))
         names = sorted(n for n in self.store.entries if n.startswith(prefix) and n > after)
         rows = [
@@ -90,7 +90,7 @@
         self.answer(request, {"entries": rows, "more": len(names) > len(rows)})
 
     def entry_summary(self, entry: Entry) -> dict:
-        """Return what a list says of an entry."""
+        """Return an entry's row in a list."""
         slot = self.store.slot(entry.name)
         last = slot.decisions[-1] if slot is not None and slot.decisions else None
         rule = entry.rule
@@ -109,7 +109,7 @@
         }
 
     def firings(self, entry: Entry, mark: int, count: int) -> list[dict]:
-        """Return the firings to come after a mark."""
+        """Return up to `count` firings after a mark."""
         found = []
         for firing in islice(firings(entry.rule, mark, True), count):
             if entry.until and firing.at > entry.until:
@@ -124,7 +124,7 @@
         return found
 
     def show(self, request: Any, args: dict) -> None:
-        """Tell all that an entry says."""
+        """Answer with an entry in full."""
         entry, slot = self.find_entry(args)
         until = zones.local(entry.until, entry.rule.zone).isoformat() if entry.until else None
         self.answer(
@@ -140,7 +140,7 @@
         )
 
     def next(self, request: Any, args: dict) -> None:
-        """Tell the firings to come, and what a change of clocks leaves out."""
+        """Answer with the next firings, and the wall times that a clock change skips."""
         entry, slot = self.find_entry(args)
         count = max(1, min(int(args.get("count", 10)), constants.SHOWN_FIRINGS))
         mark = (
@@ -167,7 +167,7 @@
         )
 
     def history(self, request: Any, args: dict) -> None:
-        """Tell the last decisions and their jobs."""
+        """Answer with the last decisions and their jobs."""
         entry, slot = self.find_entry(args)
         jobs, steps = self.context.replica.jobs, self.store.job_count(entry)
         rows = []
@@ -186,7 +186,7 @@
         self.answer(request, {"name": entry.name, "turns": rows})
 
     def calendars(self, request: Any, args: dict) -> None:
-        """Tell a team's calendars."""
+        """Answer with a team's calendars."""
         team = self.check_team(args["team"])
         found = {
             name.partition("/")[2]: calendar
@@ -205,7 +205,7 @@
         self.answer(request, {"calendars": rows, "epoch": self.context.replica.revision})
 
     def objects(self, request: Any, args: dict) -> None:
-        """Tell a calendar's objects: all, or those named; with their text if asked for."""
+        """Answer with a calendar's objects, all or those named; with their text if requested."""
         calendar = str(args["calendar"])
         if calendar not in self.store.calendars:
             raise RefusedError(404, f"no calendar {calendar}")
@@ -240,7 +240,7 @@
         )
 
     def matches_filter(self, entry: Entry, args: dict) -> bool:
-        """Whether an object is of the component and has a turn in the span that are asked for."""
+        """Whether an object has the requested component, texts and a firing in the time span."""
         if args.get("component") and args["component"] != entry.component:
             return False
         for name, text in (args.get("texts") or {}).items():
@@ -255,7 +255,7 @@
         return firing is not None and (end is None or firing.at < int(end))
 
     def changes(self, request: Any, args: dict) -> None:
-        """Tell which objects of a calendar changed since a revision, if that is still known."""
+        """Answer with a calendar's objects that changed since a revision, if still known."""
         calendar, since = str(args["calendar"]), int(args["since"])
         if calendar not in self.store.calendars:
             raise RefusedError(404, f"no calendar {calendar}")
--- a/oakmux/schedules/records.py
+++ b/oakmux/schedules/records.py
@@ -1,9 +1,15 @@
-"""Records of schedules, as the state service holds them, and a copy of all of them.
+"""Records of schedules in the state service, and a local copy of all of them.
 
-Keys below `ox/s/`: e/<entry> (rule, template, policy), t/<team>/<template> (steps of a firing),
-m/<shard> (of some entries: how far their firings are decided), c/<team>/<calendar>,
-p/<entry>/<part> (a calendar object's text as its client sent it). What moves with every firing
-stands in shards: many entries to a record, so that a firing costs little more than its job.
+Keys below `ox/s/`:
+
+- e/<entry>: rule, template and policy.
+- t/<team>/<template>: the steps of a firing.
+- m/<shard>: for some entries, how far their firings are decided.
+- c/<team>/<calendar>: a calendar.
+- p/<entry>/<part>: part of a calendar object's text, as its client sent it.
+
+All state that changes with every firing is in shards. One shard record serves many entries, so
+that a firing costs little more than its job.
 """
 
 import hashlib
@@ -23,8 +29,9 @@
 NAME_PATTERN = re.compile(r"[A-Za-z0-9_.@+=-]{1,80}\Z")
 OVERLAPS = ("skip", "queue", "allow", "replace")
 CATCH_UPS = ("all", "last", "none")
-# How ids of jobs begin that firings submit: 18 digits, the first two are these. Reserved.
+# Reserved for jobs that firings submit: their ids have 18 digits, of which the first two are 97.
 RESERVED_JOB_PREFIX = "job-97"
+# Outcomes of a firing, as stored in an entry's slot.
 MADE, SKIPPED, QUEUED, MISSED, REFUSED, MANUAL = "m", "s", "q", "x", "r", "h"
 OUTCOMES = {
     MADE: "made",
@@ -37,7 +44,7 @@
 
 
 class Step(msgspec.Struct, frozen=True, array_like=True):
-    """One job of a template; it waits on the steps before it whose numbers `needs` gives."""
+    """One job of a template; `needs` has the indexes of the earlier steps that it waits on."""
 
     name: str
     spec: JobSpec
@@ -45,13 +52,13 @@
 
 
 class Template(msgspec.Struct, frozen=True, array_like=True):
-    """What a firing submits."""
+    """The jobs that a firing submits."""
 
     steps: tuple[Step, ...]
 
 
 class Policy(msgspec.Struct, frozen=True, array_like=True):
-    """What to do when firings meet or come late; times in seconds."""
+    """What to do when firings overlap or are late; times in seconds."""
 
     overlap: str = "skip"
     catch_up: str = "all"
@@ -60,7 +67,7 @@
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One line of a cron table, one calendar object, or one schedule made by hand."""
+    """One line of a cron table, one calendar object, or one schedule created by hand."""
 
     name: str
     rule: Rule
@@ -68,7 +75,7 @@
     policy: Policy = Policy()
     until: int = 0  # s since 1970 after which there are no more firings; 0: no end
     paused: bool = False
-    created_ms: int = 0  # ms; part of the ids of its jobs, so that a namesake has others
+    created_ms: int = 0  # ms; hashed into job ids: a later entry of this name gets others
     shard: int = 0
     deadline_s: float | None = None
     note: str = ""
@@ -84,7 +91,7 @@
 
 
 class Calendar(msgspec.Struct, frozen=True, array_like=True):
-    """A calendar of a team: its title, the zone of times without one, the usual template."""
+    """A team's calendar: title, zone of times that have none, and default template."""
 
     title: str
     zone: str
@@ -94,9 +101,9 @@
 class Slot(msgspec.Struct, array_like=True):
     """How far an entry's firings are decided, and the last decisions.
 
-    `mark` orders firings (see `firings`); `pending` is the firing (s) that waits for the one
-    before it.
-    A row is [firing (s), outcome, tries of its id, note].
+    Firings up to `mark` (see `firings`) are decided; `pending` is the firing (s) that waits for
+    the previous one to finish.
+    A decision is [firing (s), outcome, tries of its id, note].
     """
 
     name: str
@@ -107,7 +114,7 @@
     def with_decision(
         self, mark: int, pending: int, at: int, outcome: str, tries: int = 0, note: str = ""
     ) -> "Slot":
-        """Return the slot after one more decision; old rows fall away."""
+        """Return the slot after one more decision; the oldest decisions are dropped."""
         decisions = [row for row in self.decisions if not (row[0] == at and row[1] == QUEUED)]
         decisions.append((at, outcome, tries, note[: constants.DECISION_NOTE_BYTES]))
         return Slot(self.name, mark, pending, decisions[-constants.DECISIONS_KEPT :])
@@ -139,14 +146,14 @@
 
 
 def encode_record(record: Any) -> Any:
-    """Return a record as the state service takes it."""
+    """Return a record as plain values for the state service."""
     return msgspec.to_builtins(record)
 
 
 def job_id(entry: Entry, firing: str, step: int, tries: int) -> str:
-    """Return the id of a job that a firing makes: it follows from entry and firing alone.
+    """Return the id of a job that a firing submits; it depends on the entry and the firing alone.
 
-    `tries` counts ids that were found taken: by a job from before schedules were switched on.
+    `tries` counts ids that are taken by jobs from before schedules were enabled.
     """
     text = f"{entry.name}|{entry.created_ms}|{firing}|{step}|{tries}"
     number = int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest()) % 10**16
@@ -154,7 +161,7 @@
 
 
 def submitted_job_ids(entry: Entry, decision: tuple[int, str, int, str], steps: int) -> list[str]:
-    """Return the ids of the jobs that a decision made, if it made any."""
+    """Return the ids of the jobs that a decision submitted, if any."""
     at, outcome, tries, note = decision
     if outcome not in (MADE, MANUAL):
         return []
@@ -163,7 +170,7 @@
 
 
 class ScheduleStore:
-    """All records of schedules as far as the watch has brought them, and our own writes."""
+    """All records of schedules, updated by the watch and by this controller's own writes."""
 
     def __init__(self) -> None:
         self.entries: dict[str, Entry] = {}
@@ -174,10 +181,10 @@
         self.template_users: dict[str, set[str]] = {}
         self.mod_revisions: dict[str, int] = {}
         self.removed_at: dict[str, int] = {}
-        # Entries whose rule, template or slot changed, until the clock has taken note.
+        # Entries whose rule, template or slot changed, until the dispatcher plans them again.
         self.changed: set[str] = set()
-        # Recent changes of entries (revision, name), for clients that ask what is new; and the
-        # revision from which on all of them are here.
+        # Recent changes of entries (revision, name), for clients that request the changes since a
+        # revision; and the revision after which the log is complete.
         self.change_log: deque[tuple[int, str]] = deque(maxlen=constants.CHANGES_KEPT)
         self.change_log_start = 0
         self._handlers: dict[str, Callable[[str, Any, int], None]] = {
@@ -189,37 +196,37 @@
         }
 
     def keys(self) -> set[str]:
-        """Return the keys of all records that stand."""
+        """Return the keys of all existing records."""
         return set(self.mod_revisions)
 
     def mod_revision(self, key: str) -> int:
-        """Return a key's version for a guard; 0: there is none."""
+        """Return a key's mod revision for a guard; 0: the key does not exist."""
         return self.mod_revisions.get(key, 0)
 
     def guards(self, *keys: str) -> dict[str, int]:
-        """Return the guards that hold while these records are as they stand here."""
+        """Return guards that hold while the stored records are the same as the local ones."""
         return {key: self.mod_revision(key) for key in keys}
 
     def slot(self, name: str) -> Slot | None:
-        """Return how far an entry's firings are decided; None if it or its shard is not here."""
+        """Return an entry's slot; None if the entry or its shard is not loaded."""
         entry = self.entries.get(name)
         return None if entry is None else self.shards.get(entry.shard, {}).get(name)
 
     def shard_write(self, number: int, slots: dict[str, Slot], removed: str = "") -> tuple:
-        """Return the write of a shard in which some slots are others, and one is gone."""
+        """Return the write of a shard with `slots` replaced and the slot `removed` left out."""
         merged = {**self.shards.get(number, {}), **slots}
         merged.pop(removed, None)
         return shard_key(number), [encode_record(slot) for slot in merged.values()], None
 
     def apply(self, suffix: str, value: Any, mod_revision: int) -> None:
-        """Take one change of the key `ox/s/<rest>`; older news than we have is dropped."""
+        """Apply one change of the key `ox/s/<suffix>` if it is newer than the known one."""
         key = f"{PREFIX}{NAMESPACE}/{suffix}"
         if mod_revision <= max(self.mod_revisions.get(key, 0), self.removed_at.get(key, 0)):
             return
         kind, _, name = suffix.partition("/")
         handler = self._handlers.get(kind)
         if handler is None:
-            return  # of a later version
+            return  # a kind of a later version
         handler(name, value, mod_revision)
         if value is None:
             self.mod_revisions.pop(key, None)
@@ -273,7 +280,7 @@
         self.shards[number] = new
 
     def job_count(self, entry: Entry) -> int:
-        """Return how many jobs a firing of an entry makes."""
+        """Return how many jobs a firing of an entry submits."""
         template = self.templates.get(entry.template)
         return 1 if template is None else len(template.steps)
 
--- a/oakmux/schedules/subsystem.py
+++ b/oakmux/schedules/subsystem.py
@@ -1,4 +1,4 @@
-"""The part of a controller that keeps schedules; made only where they are switched on."""
+"""The controller's subsystem for schedules; created only where schedules are enabled."""
 
 from oakmux.core.context import Context
 from oakmux.core.controller import CommandHandler
@@ -11,7 +11,7 @@
 
 
 class SchedulesSubsystem:
-    """Joins records, clock and desk to a controller."""
+    """Connects records, wall clock, dispatcher and API to a controller."""
 
     def __init__(self, context: Context) -> None:
         self.store = ScheduleStore()
@@ -28,7 +28,7 @@
         }
 
     def tick(self) -> None:
-        """Dispatch firings that are due and go on with requests."""
+        """Retry waiting requests and dispatch due firings."""
         if not self.context.replica.loaded:
             return
         if not self.store.change_log_start:
--- a/oakmux/schedules/templates.py
+++ b/oakmux/schedules/templates.py
@@ -1,4 +1,4 @@
-"""Templates: what a firing submits, checked when it is stored and again when its firing comes."""
+"""Templates: the jobs that a firing submits, checked when stored and again at each firing."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -18,13 +18,13 @@
 
 
 class TemplateError(ValueError):
-    """A template that could never run; the text says why."""
+    """A template that can never run; the text gives the reason."""
 
 
 def parse_steps(rows: Any, team: str) -> Template:
     """Return a template from rows of [name, submission, needed names]; raises TemplateError.
 
-    A step may wait only on steps before it, so that no chain can come back to itself.
+    A step may wait only on steps before it, so dependencies have no cycle.
     """
     if not isinstance(rows, list) or not 0 < len(rows) <= MAX_TEXT:
         raise TemplateError("a template needs one job or more")
@@ -65,10 +65,10 @@
 
 
 def check(context: Context, template: Template) -> None:
-    """Refuse a template that could never run here; raises TemplateError.
+    """Check that a template can run in this deployment; raises TemplateError.
 
-    The firing's record and all its jobs go into one transaction; should earlier jobs have to give
-    way, so do their cancellations.
+    One transaction holds the firing's record, all its jobs and, if earlier jobs are replaced,
+    their cancellations.
     """
     limits = context.facts.store.strictest
     if 2 * len(template.steps) + 1 > limits.txn_ops and len(template.steps) > 1:
@@ -91,12 +91,12 @@
 
 
 def awaits_upgrade(context: Context, template: Template) -> bool:
-    """Whether a chain can't be recorded yet: not all controllers read `waits_on`."""
+    """Whether dependencies can't be recorded yet: not all controllers read `waits_on`."""
     return context.replica.format < FORMAT_COMPACT and any(step.needs for step in template.steps)
 
 
 def refusal(context: Context, template: Template | None) -> str | None:
-    """Return why a firing can't be made now: its template or team has gone, or fits no more."""
+    """Return why a firing can't be dispatched: no template or team, or jobs no longer fit."""
     if template is None:
         return "no template"
     for step in template.steps:
@@ -109,7 +109,7 @@
 def firing_jobs(
     entry: Entry, template: Template, firing: str, tries: int = 0
 ) -> Iterator[tuple[str, JobSpec]]:
-    """Yield (id, job) of a firing, each after those that it waits on."""
+    """Yield (id, job) of a firing, each job after those that it waits on."""
     ids = [job_id(entry, firing, n, tries) for n in range(len(template.steps))]
     for own_id, step in zip(ids, template.steps, strict=True):
         changes: dict[str, Any] = {}
@@ -123,7 +123,7 @@
 def job_writes(
     entry: Entry, template: Template, firing: str, order: int, tries: int = 0
 ) -> tuple[list[str], dict[str, int], list[tuple]]:
-    """Return the ids of a firing's jobs, the guards that none is there, and their writes."""
+    """Return the ids of a firing's jobs, guards that none of them exists, and their writes."""
     ids: list[str] = []
     guards: dict[str, int] = {}
     writes: list[tuple] = []
--- a/oakmux/schedules/wall_clock.py
+++ b/oakmux/schedules/wall_clock.py
@@ -1,4 +1,4 @@
-"""The time of day, which schedules are written in."""
+"""The time of day, in which schedules are written."""
 
 from oakmux import constants
 from oakmux.core.context import Context
@@ -6,7 +6,7 @@
 
 
 class WallClock:
-    """The time of day: the machine's clock as last read, and the monotonic clock since."""
+    """The time of day: the last reading of the machine's clock plus the monotonic time since."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
@@ -17,7 +17,7 @@
     def synchronize(self, time_of_day_ms: int) -> None:
         """Take a reading of the machine's clock (ms since 1970).
 
-        A step of the clock holds up all firings for a moment.
+        After a step of the clock, all firings wait for CLOCK_STEP_HOLD_S.
         """
         if self.last_reading is not None:
             step_ms = time_of_day_ms - self.now_ms()
@@ -35,5 +35,5 @@
 
     @property
     def is_steady(self) -> bool:
-        """Whether the clock was read, and not stepped of late."""
+        """Whether the clock has been read, and has not stepped recently."""
         return self.last_reading is not None and self.context.now >= self.hold_until
--- a/tests/test_schedule_settings.py
+++ b/tests/test_schedule_settings.py
@@ -21,7 +21,7 @@
         ("[caldav]\nlisten = nowhere\ntokens = tokens\nplain = yes\n", "not an address"),
         ("[caldav]\nlisten = 127.0.0.1:1\ntokens = none\nplain = yes\n", "tokens"),
         ("[caldav]\nlisten = 127.0.0.1:1\ntokens = bad\nplain = yes\n", "line 2: not TEAM SALT"),
-        ("[caldav]\nlisten = 127.0.0.1:1\ntokens = tokens\n", "say plain = yes"),
+        ("[caldav]\nlisten = 127.0.0.1:1\ntokens = tokens\n", "set plain = yes"),
         (
             "[caldav]\nlisten = 127.0.0.1:1\ntokens = tokens\ncertificate = tokens\n"
             "key = tokens\n",
