--- a/oakmux/schedules/dispatcher.py
+++ b/oakmux/schedules/dispatcher.py
@@ -166,21 +166,21 @@
         jobs, steps = self.context.replica.jobs, self.store.job_count(entry)
         return [
             jobs[name]
-            for row in slot.decisions
-            for name in records.submitted_job_ids(entry, row, steps)
+            for decision in slot.decisions
+            for name in records.submitted_job_ids(entry, decision, steps)
             if name in jobs
         ]
 
     def _write_due(self, now_ms: int) -> None:
         """Write due firings, shard by shard, the most urgent first."""
-        free_slots = constants.FIRINGS_IN_FLIGHT - len(self.shards_in_flight)
-        if free_slots <= 0 or not self.due:
+        free_transactions = constants.FIRINGS_IN_FLIGHT - len(self.shards_in_flight)
+        if free_transactions <= 0 or not self.due:
             return
         waiting = [
-            (urgency, number)
-            for number, urgency in self.due.most_urgent().items()
-            if number not in self.shards_in_flight
-            and self.retry_at.get(number, 0) <= self.context.now
+            (urgency, shard)
+            for shard, urgency in self.due.most_urgent().items()
+            if shard not in self.shards_in_flight
+            and self.retry_at.get(shard, 0) <= self.context.now
         ]
         if not waiting:
             return
@@ -189,11 +189,11 @@
         # wait: otherwise 500 urgent firings among 5000 take up to 32 s instead of 10 s.
         only_most_urgent = (
             sum(1 for urgency, _ in waiting if urgency.negative_priority == top_priority)
-            > free_slots
+            > free_transactions
         )
-        for _, number in heapq.nsmallest(free_slots, waiting):
-            batch = FiringBatch(number)
-            for plan in self.due.plans_of(number):
+        for _, shard in heapq.nsmallest(free_transactions, waiting):
+            batch = FiringBatch(shard)
+            for plan in self.due.plans_of(shard):
                 if only_most_urgent and plan.urgency.negative_priority != top_priority:
                     break
                 try:
@@ -294,15 +294,15 @@
             count += 1
             slot = plan.slot
             at, outcome, tries, _ = slot.decisions[-1]
-            row = (at, outcome, tries, f"and {count} more")
+            decision = (at, outcome, tries, f"and {count} more")
             mark = plan.firing.mark
             if count >= constants.MISSED_FIRINGS:
-                row = (at, outcome, tries, f"and over {count} more")
+                decision = (at, outcome, tries, f"and over {count} more")
                 reference_s = (now_ms - policy.jitter_ms(plan.entry)) // 1000 - 1
                 mark = max(
                     mark, mark_at(plan.entry.rule, reference_s - policy.window_s(plan.entry))
                 )
-            slot = Slot(slot.name, mark, slot.pending, [*slot.decisions[:-1], row])
+            slot = Slot(slot.name, mark, slot.pending, [*slot.decisions[:-1], decision])
             if count < constants.MISSED_FIRINGS:
                 plan.advance(slot)
                 continue
@@ -359,17 +359,19 @@
         return True
 
     def _send(self, batch: FiringBatch) -> None:
-        number = batch.shard
-        write = self.store.shard_write(number, batch.slots)
+        shard = batch.shard
+        write = self.store.shard_write(shard, batch.slots)
         guards = {
             role_key(CLOCK_ROLE): self.role_revision,
             **self.store.guards(write[0]),
             **batch.guards,
         }
-        self.shards_in_flight.add(number)
+        self.shards_in_flight.add(shard)
         role_revision = self.role_revision
         self.context.call(
-            lambda s, r: self._on_written(batch, write[1], role_revision, s, r),
+            lambda status, result: self._on_written(
+                batch, write[1], role_revision, status, result
+            ),
             messages.Transaction,
             list(guards.items()),
             [write, *batch.writes],
