--- a/tests/test_schedule_firings.py
+++ b/tests/test_schedule_firings.py
@@ -14,8 +14,8 @@
 from tests.timed import JOB, SKEW_MS, Timed, seconds, settled
 
 
-def names(sim: Timed) -> list[str]:
-    """Return the entries whose turns were made, one for each turn."""
+def fired_entries(sim: Timed) -> list[str]:
+    """Return the entry of each dispatched firing."""
     store = sim.cores[sim.holder()].subsystems[0].store
     found = {}
     for name, entry in store.entries.items():
@@ -25,8 +25,8 @@
     return [found.get(job, "?") for _, job in sim.made]
 
 
-def every_minute(sim: Timed, count: int, text: str = "* * * * *", **policy) -> None:
-    """Store so many entries."""
+def store_entries(sim: Timed, count: int, text: str = "* * * * *", **policy) -> None:
+    """Store `count` entries; by default they fire every minute."""
     for n in range(count):
         status, body = sim.cron(f"red/n{n:03d}", text, **{"overlap": "allow", **policy})
         assert status == 200, body
@@ -48,7 +48,7 @@
 @pytest.mark.parametrize(
     "start, before, firing",
     [
-        ("2026-03-29T00:59:30+00:00", "2026-03-29", "03:00"),  # 02:30 is not shown that day
+        ("2026-03-29T00:59:30+00:00", "2026-03-29", "03:00"),  # clocks skip 02:30 that day
         ("2026-10-25T00:29:30+00:00", "2026-10-25", "02:30"),  # shown twice: the first counts
     ],
 )
@@ -58,7 +58,7 @@
     sim.cron("red/often", "*/30 * * * *", "Europe/Berlin", overlap="allow")
     sim.run(80)
     assert sim.past("red/night") == [(f"{before}T{firing}", "made")]
-    sim.crash(sim.holder())  # whoever takes over meets the hour for the second time
+    sim.crash(sim.holder())  # the next holder sees the repeated hour
     for _ in range(2):
         sim.skip(1740)
         sim.run(60)
@@ -69,24 +69,24 @@
 
 def test_a_burst_of_firings_continues_under_another_role_holder():
     sim = settled("2026-12-01T02:59:20+00:00")
-    every_minute(sim, 60, "0 3 * * *")
+    store_entries(sim, 60, "0 3 * * *")
     sim.until("2026-12-01T03:00:00+00:00")
     sim.run(0.104)
     assert 0 < len(sim.made) < 60
     sim.crash(sim.holder(), back=None)
     sim.run(12)
-    assert sorted(names(sim)) == [f"red/n{n:03d}" for n in range(60)]
+    assert sorted(fired_entries(sim)) == [f"red/n{n:03d}" for n in range(60)]
 
 
 def test_a_partitioned_role_holder_writes_nothing_late():
     sim = settled("2026-12-01T02:59:40+00:00", seed=4)
-    every_minute(sim, 20, "0 3 * * *")
+    store_entries(sim, 20, "0 3 * * *")
     sim.until("2026-12-01T02:59:59+00:00")
     old = sim.holder()
-    sim.cuts.add(frozenset((old, "state")))  # what it sends arrives up to 40 s later
+    sim.cuts.add(frozenset((old, "state")))  # its messages arrive up to 40 s late
     sim.run(15)
     assert sim.holder() != old
-    assert sorted(names(sim)) == [f"red/n{n:03d}" for n in range(20)]
+    assert sorted(fired_entries(sim)) == [f"red/n{n:03d}" for n in range(20)]
     sim.cuts.clear()
     sim.run(60)
     assert len(sim.made) == 20
@@ -94,19 +94,19 @@
 
 def test_firings_wait_for_the_store():
     sim = settled("2026-12-01T02:59:40+00:00")
-    every_minute(sim, 5, "0 3 * * *")
+    store_entries(sim, 5, "0 3 * * *")
     sim.until("2026-12-01T02:59:55+00:00")
     sim.state.outage(30)
     sim.run(29)
     assert not sim.made
     sim.run(15)
-    assert sorted(names(sim)) == [f"red/n{n:03d}" for n in range(5)]
+    assert sorted(fired_entries(sim)) == [f"red/n{n:03d}" for n in range(5)]
     assert max(at for at, _ in sim.made) < seconds("2026-12-01T03:00:40+00:00")
 
 
-def test_after_a_full_outage_the_catch_up_window_decides():
+def test_the_catch_up_policy_applies_after_a_full_outage():
     sim = settled("2026-12-01T23:58:00+00:00")
-    every_minute(sim, 1, "* * * * *", catch_up="all", window_s=150)
+    store_entries(sim, 1, "* * * * *", catch_up="all", window_s=150)
     sim.cron("red/last", "* * * * *", overlap="allow", catch_up="last")
     sim.cron("red/none", "* * * * *", overlap="allow", catch_up="none")
     sim.cron("red/daily", "0 0 * * *")
@@ -115,8 +115,8 @@
     for label in sim.labels:
         sim.crash(label, back=250)  # from 23:58 until 00:02
     sim.until("2026-12-02T00:02:50+00:00")
-    made = Counter(names(sim))
-    # Back at 00:02:13 or so: 23:59 is too late by then for a window of 150 s.
+    made = Counter(fired_entries(sim))
+    # Back at about 00:02:13: by then the firing of 23:59 is too late for a window of 150 s.
     assert made["red/n000"] == 3
     assert made["red/daily"] == 1
     assert made["red/last"] == 1
@@ -129,11 +129,11 @@
 
 def test_years_of_missed_firings_are_skipped_at_once():
     sim = settled("2026-12-01T10:00:30+00:00")
-    every_minute(sim, 1, window_s=120)
+    store_entries(sim, 1, window_s=120)
     for label in sim.labels:
         sim.crash(label, back=30)
     sim.run(20)
-    sim.skip(400 * 86_400)  # the machines stood in a cellar
+    sim.skip(400 * 86_400)  # 400 days with all controllers off
     sim.run(90)
     rows = sim.past("red/n000")
     assert [row for row in rows if "missed" in row[1]][0] == (
@@ -156,14 +156,14 @@
         ("replace", ["made", "made", "made"]),
     ],
 )
-def test_a_firing_that_overlaps_the_previous_one(overlap, outcomes):
+def test_the_overlap_policy_applies_while_the_previous_firing_runs(overlap, outcomes):
     sim = settled("2026-12-01T03:00:30+00:00")
     sim.template("red/long", guess_s=140.0)
     sim.cron("red/n", "* * * * *", template="red/long", overlap=overlap)
     sim.run(60 * 3 - 20)
     rows = sim.past("red/n")
     if overlap == "queue":
-        # The second waits, the third finds one waiting; the second goes when the first is over.
+        # The second is queued, so the third is skipped; the second starts when the first ends.
         assert [row[1] for row in rows] == ["made", "queued", outcomes[1]]
         sim.until("2026-12-01T03:03:50+00:00")
         assert sorted(row[1] for row in sim.past("red/n")) == sorted(outcomes)
@@ -188,45 +188,45 @@
         sim.cron(f"red/{name}", "0 3 * * *", overlap="allow")
     sim.until("2026-12-01T02:59:58+00:00")
     assert sim.cron("red/edit", "1 3 * * *", overlap="allow")[0] == 200
-    assert sim.cron("red/same", "0 3 * * *", overlap="skip")[0] == 200  # no time changes
+    assert sim.cron("red/same", "0 3 * * *", overlap="skip")[0] == 200  # the time stays the same
     assert sim.ask_for("pause", name="red/pause")[0] == 200
     assert sim.ask_for("remove", name="red/remove")[0] == 200
     sim.run(4)
-    assert sorted(names(sim)) == ["red/later", "red/same"]
-    sim.cron("red/pause", "0 3 * * *", overlap="skip")  # says nothing of the pause
+    assert sorted(fired_entries(sim)) == ["red/later", "red/same"]
+    sim.cron("red/pause", "0 3 * * *", overlap="skip")  # an edit without `paused`
     assert sim.ask_for("show", name="red/pause")[1]["paused"]
-    # Once made, an edit back, a new namesake and the end of the pause make nothing again.
+    # An edit, a new entry of the same name and a resume repeat no past firing.
     sim.cron("red/later", "0 3 * * *", "Etc/UTC", overlap="allow")
     sim.cron("red/remove", "0 3 * * *")
     sim.ask_for("resume", name="red/pause")
     sim.until("2026-12-01T03:02:00+00:00")
-    assert sorted(names(sim)) == ["red/edit", "red/later", "red/same"]
+    assert sorted(fired_entries(sim)) == ["red/edit", "red/later", "red/same"]
 
 
 def test_requests_that_race_with_a_firing_in_the_same_record_succeed():
     sim = settled("2026-12-01T02:59:30+00:00")
-    every_minute(sim, 20, "0 3 * * *")
+    store_entries(sim, 20, "0 3 * * *")
     sim.until("2026-12-01T03:00:00+00:00")
     for n in range(10):
-        for label, what in zip(sim.labels, ("pause", "remove", "run-now"), strict=True):
+        for label, operation in zip(sim.labels, ("pause", "remove", "run-now"), strict=True):
             sim.command(
                 label,
                 ServeScheduleRequest(
-                    lambda *a: None, what, {"name": f"red/n{n:03d}", "word": f"w{n}"}
+                    lambda *a: None, operation, {"name": f"red/n{n:03d}", "word": f"w{n}"}
                 ),
             )
         sim.run(0.02)
     sim.run(10)
     counts = Counter(job for _, job in sim.made)
     assert set(counts.values()) == {1}
-    assert sum(1 for name in names(sim) if name >= "red/n010") == 10
+    assert sum(1 for name in fired_entries(sim) if name >= "red/n010") == 10
 
 
 def test_clock_skew_causes_no_early_or_repeated_firing():
     sim = settled("2026-12-01T03:00:30+00:00")
-    every_minute(sim, 3)
+    store_entries(sim, 3)
     for at in range(6):
-        for n, label in enumerate(sim.labels):  # some behind, some ahead, wandering
+        for n, label in enumerate(sim.labels):  # some clocks behind, some ahead, drifting
             sim.offsets[label] = SKEW_MS / 1000 * ((n + at) % 3 - 1) / 2
         sim.run(25)
         sim.crash(sim.holder())
@@ -234,21 +234,21 @@
     assert len(sim.made) == 18
     assert len({job for _, job in sim.made}) == 18
     assert max(sim.late()) < 8.0
-    assert min(Counter(names(sim)).values()) == 6
+    assert min(Counter(fired_entries(sim)).values()) == 6
 
 
 def test_a_clock_step_delays_firings_briefly():
     sim = settled("2026-12-01T03:00:20+00:00")
-    every_minute(sim, 1)
+    store_entries(sim, 1)
     sim.offsets = dict.fromkeys(sim.labels, 600.0)
     sim.run(2)
     sim.offsets = {}
     sim.run(100)
-    assert len(sim.made) == 2  # of 03:01 and 03:02; none of those ten minutes ahead
-    assert names(sim) == ["red/n000"] * 2
+    assert len(sim.made) == 2  # of 03:01 and 03:02; none of the firings ten minutes ahead
+    assert fired_entries(sim) == ["red/n000"] * 2
 
 
-def test_a_zone_whose_rules_change_between_versions(monkeypatch):
+def test_changed_rules_of_a_time_zone_repeat_no_firing(monkeypatch):
     sim = settled("2026-11-30T18:59:30+00:00")  # 01:59:30 in Jakarta
     sim.cron("red/night", "0 2,5 * * *", "Asia/Jakarta")
     sim.run(60)
@@ -260,7 +260,7 @@
     )
     for label in sim.labels:
         sim.crash(label)
-    for _ in range(5):  # at the new rules' 02:00, an hour on, nothing is made again
+    for _ in range(5):  # at 02:00 by the new rules, an hour later, nothing repeats
         sim.run(60)
         sim.skip(3540)
     sim.run(10)
@@ -270,23 +270,23 @@
 
 def test_controllers_without_schedules_do_not_block_the_schedule_roles():
     sim = settled("2026-12-01T03:00:30+00:00")
-    every_minute(sim, 2)
-    for n, label in enumerate(("h1", "h2", "h0")):  # schedules are switched off one by one
+    store_entries(sim, 2)
+    for n, label in enumerate(("h1", "h2", "h0")):  # disable schedules on one after another
         sim.off.add(label)
         sim.crash(label)
         sim.run(30)
         held = {role for core in sim.cores.values() if core for role in core.context.held_roles}
         assert held == {"red", "blue", "#fleet"} | ({"#clock"} if n < 2 else set())
-    sim.off = {"h0", "h1"}  # and on again on one
+    sim.off = {"h0", "h1"}  # and enable them again on one
     sim.crash("h2")
     sim.run(40)
     assert sim.holder() == "h2"
-    counts = Counter(names(sim))
+    counts = Counter(fired_entries(sim))
     assert counts["red/n000"] == counts["red/n001"] == 2
     assert len(sim.made) == 4
 
 
-def test_a_template_whose_team_was_removed():
+def test_firings_are_refused_while_the_team_is_removed():
     sim = settled("2026-12-01T03:00:30+00:00")
     sim.template("blue/t")
     sim.cron("blue/n", "* * * * *", template="blue/t")
@@ -303,7 +303,7 @@
     assert [row[1] for row in sim.past("blue/n")][-1] == "made"
 
 
-def test_an_id_that_an_older_job_has():
+def test_a_firing_gets_another_job_id_if_an_older_job_has_it():
     sim = settled("2026-12-01T02:59:30+00:00")
     sim.cron("red/n", "0 3 * * *")
     entry = sim.cores["h0"].subsystems[0].store.entries["red/n"]
@@ -320,18 +320,18 @@
 
 def test_users_cannot_take_the_id_of_a_firing():
     sim = settled("2026-12-01T03:00:30+00:00")
-    every_minute(sim, 1)
+    store_entries(sim, 1)
     sim.submit("job-970000000000000001", spec())
-    sim.submit("job-97", spec(gpus=0.0))  # of fewer digits: as good as any
+    sim.submit("job-97", spec(gpus=0.0))  # fewer digits: not reserved
     sim.run(45)
     assert sim.refusals == {"job-970000000000000001": 422}
     ((_, job),) = sim.made
-    sim.submit(job, spec())  # who asks for a turn's job is told its state
+    sim.submit(job, spec())  # a resubmission is answered with the state of the job
     sim.run(5)
     assert job not in sim.refusals
 
 
-def test_a_chain_of_templates():
+def test_a_step_of_a_template_waits_on_the_step_before():
     sim = settled("2026-12-01T02:59:30+00:00")
     status, body = sim.template("red/chain", ["first", JOB, []], ["then", JOB, ["first"]])
     assert status == 200, body
@@ -353,11 +353,11 @@
         ("red/t", (["main", JOB, []],)),
     ):
         assert sim.template(name, *steps)[0] == 200
-    for n in range(6):  # in more shards than can be written at a time
+    for n in range(6):  # in more shards than can be written at once
         sim.cron(f"red/c{n}", "0 3 * * *", template="red/chain")
     sim.cron("red/z", "0 3 * * *")
     sim.until("2026-12-01T03:00:10+00:00")
-    assert names(sim) == ["red/z"]
+    assert fired_entries(sim) == ["red/z"]
     sim.old.clear()
     sim.crash("h2")
     sim.run(30)
@@ -368,16 +368,16 @@
     sim = settled("2026-12-01T03:00:30+00:00")
     sim.cron("red/n", "0 5 * * *")
     sim.ask_for("pause", name="red/n")
-    told = [sim.ask_for("run-now", label, name="red/n", word="w1") for label in sim.labels]
-    assert [status for status, _ in told] == [201, 200, 200]
-    assert len({tuple(body["jobs"]) for _, body in told}) == 1
+    answers = [sim.ask_for("run-now", label, name="red/n", word="w1") for label in sim.labels]
+    assert [status for status, _ in answers] == [201, 200, 200]
+    assert len({tuple(body["jobs"]) for _, body in answers}) == 1
     assert len(sim.made) == 1
     assert sim.ask_for("run-now", name="red/n", word="w2")[0] == 201
     assert sim.past("red/n")[-1][1] == "by hand"
 
 
 @pytest.mark.parametrize(
-    "what, status, word",
+    "fields, status, expected",
     [
         (dict(name="green/t", steps=[["a", {**JOB, "owner": "green"}, []]]), 422, "unknown team"),
         (dict(name="red/t2", steps=[["a", {**JOB, "vcpus": 99.0}, []]]), 422, "fits no"),
@@ -396,15 +396,15 @@
         (dict(name="red/t2"), 400, "steps"),
     ],
 )
-def test_a_template_that_could_never_run_is_refused_when_it_is_stored(what, status, word):
+def test_a_template_that_could_never_run_is_refused_when_it_is_stored(fields, status, expected):
     sim = settled("2026-12-01T03:00:30+00:00")
-    got, body = sim.ask_for("template", **what)
-    assert got == status
-    assert word in body
+    answered, body = sim.ask_for("template", **fields)
+    assert answered == status
+    assert expected in body
 
 
 @pytest.mark.parametrize(
-    "text, zone, more, word",
+    "text, zone, options, expected",
     [
         ("61 * * * *", "UTC", {}, "minute"),
         ("@reboot", "UTC", {}, "booted"),
@@ -416,34 +416,34 @@
         ("0 3 * * *", "UTC", {"t": 1}, "template"),
     ],
 )
-def test_an_entry_that_could_never_run_is_refused(text, zone, more, word):
+def test_an_entry_that_could_never_run_is_refused(text, zone, options, expected):
     sim = settled("2026-12-01T03:00:30+00:00")
-    template = "red/none" if more.pop("t", None) else "red/t"
-    status, body = sim.cron("red/n", text, zone, template, **more)
+    template = "red/none" if options.pop("t", None) else "red/t"
+    status, body = sim.cron("red/n", text, zone, template, **options)
     assert status == 422
-    assert word in body
+    assert expected in body
     assert sim.ask_for("list", prefix="red/")[1]["entries"] == []
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_fault_storms_lose_and_repeat_no_firing(seed):
+def test_random_faults_lose_and_repeat_no_firing(seed):
     rng = random.Random(seed)
     sim = settled("2026-12-01T03:00:30+00:00", seed=seed + 1)
-    every_minute(sim, 8, jitter_s=5)
+    store_entries(sim, 8, jitter_s=5)
     sim.run(5)
     sim.loss = sim.twice = sim.slow = 0.02
     for _ in range(6):
         label = rng.choice(sim.labels)
-        trouble = rng.randrange(5)
-        if trouble == 0 and sim.cores[label]:
+        fault = rng.randrange(5)
+        if fault == 0 and sim.cores[label]:
             sim.crash(label, back=rng.uniform(1, 20))
-        elif trouble == 1 and label not in sim.frozen:
+        elif fault == 1 and label not in sim.frozen:
             sim.freeze(label, rng.uniform(1, 12))
-        elif trouble == 2:
+        elif fault == 2:
             cut = frozenset((label, "state"))
             sim.cuts.add(cut)
             sim.after(rng.uniform(2, 25), lambda cut=cut: sim.cuts.discard(cut))
-        elif trouble == 3 and not sim.state.down:
+        elif fault == 3 and not sim.state.down:
             sim.state.outage(rng.uniform(2, 20))
         sim.run(rng.uniform(10, 40))
     sim.loss = sim.twice = sim.slow = 0.0
--- a/tests/test_schedule_settings.py
+++ b/tests/test_schedule_settings.py
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, word",
+    "text, expected",
     [
         ("[caldav]\nlisten = 127.0.0.1:1\n", "tokens: is missing"),
         ("[caldav]\nlisten = nowhere\ntokens = tokens\nplain = yes\n", "not an address"),
@@ -34,12 +34,12 @@
         ("enabled = yes\n", "no section"),
     ],
 )
-def test_invalid_schedule_settings_are_reported_in_one_line(tmp_path, text, word):
+def test_invalid_schedule_settings_are_reported_in_one_line(tmp_path, text, expected):
     write_settings(tmp_path, 1, ["red"])
     (tmp_path / "bad").write_text("# one\nred salt hash\n")
     file = tmp_path / "s.ini"
     file.write_text(text)
-    with pytest.raises(settings.SettingsError, match=word) as raised:
+    with pytest.raises(settings.SettingsError, match=expected) as raised:
         plugin.load(str(file))
     assert "\n" not in str(raised.value)
 
@@ -56,7 +56,7 @@
 
 
 def test_the_schedules_package_is_not_loaded_unless_enabled():
-    """A controller that keeps no schedules runs with requirements.txt alone."""
+    """A controller without schedules runs with requirements.txt alone."""
     code = (
         "import sys, oakmux.service, oakmux.cli; bad = [m for m in sys.modules if "
         "m.split('.')[0] in ('cronsim', 'dateutil', 'icalendar', 'lark', 'defusedxml') or "
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, word",
+    "text, expected",
     [
         ("[spread]\nopenings = perhaps\n", "boolean"),
         ("[spread]\nfloor_share = 0.9\n", "0.5"),
@@ -76,16 +76,16 @@
         ("openings = yes\n", "no section"),
     ],
 )
-def test_invalid_load_spreading_settings_are_reported_in_one_line(tmp_path, text, word):
+def test_invalid_load_spreading_settings_are_reported_in_one_line(tmp_path, text, expected):
     path = tmp_path / "spread.ini"
     path.write_text(text)
     with pytest.raises(settings.SettingsError) as error:
         settings.load_scheduling_options(str(path))
-    assert word in str(error.value)
+    assert expected in str(error.value)
     assert "\n" not in str(error.value)
 
 
-def test_the_deploy_example_for_load_spreading_is_valid_and_names_what_it_enables():
+def test_the_deploy_example_for_load_spreading_enables_backfill():
     assert settings.load_scheduling_options(
         str(ROOT / "deploy" / "spread.ini")
     ) == settings.SchedulingOptions(backfill=True)
