--- a/oakmux/schedules/templates.py
+++ b/oakmux/schedules/templates.py
@@ -1,4 +1,4 @@
-"""Templates: what a firing submits, checked when it is stored and again when its firing comes."""
+"""Templates: the jobs that a firing submits, checked when stored and again at each firing."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -14,17 +14,17 @@
 from oakmux.core.state.codecs import encode_job
 from oakmux.core.state.formats import FORMAT_COMPACT, value_bytes, value_limit
 from oakmux.core.state.keys import job_key
-from oakmux.schedules.records import NAME, Entry, Step, Template, job_id, value_of
+from oakmux.schedules.records import NAME_PATTERN, Entry, Step, Template, encode_record, job_id
 
 
 class TemplateError(ValueError):
-    """A template that could never run; the text says why."""
+    """A template that can never run; the text gives the reason."""
 
 
-def from_steps(rows: Any, team: str) -> Template:
+def parse_steps(rows: Any, team: str) -> Template:
     """Return a template from rows of [name, submission, needed names]; raises TemplateError.
 
-    A step may wait only on steps before it, so that no chain can come back to itself.
+    A step may wait only on steps before it, so dependencies have no cycle.
     """
     if not isinstance(rows, list) or not 0 < len(rows) <= MAX_TEXT:
         raise TemplateError("a template needs one job or more")
@@ -35,7 +35,7 @@
             name, job, needs = row
         except (TypeError, ValueError):
             raise TemplateError("a step is a name, a job and what it waits on") from None
-        if not isinstance(name, str) or not NAME.match(name) or name in names:
+        if not isinstance(name, str) or not NAME_PATTERN.match(name) or name in names:
             raise TemplateError(
                 f"step {str(name)[: constants.LOG_TEXT_CHARS]!r}: not a name of its own"
             )
@@ -65,69 +65,69 @@
 
 
 def check(context: Context, template: Template) -> None:
-    """Refuse a template that could never run here; raises TemplateError.
+    """Check that a template can run in this deployment; raises TemplateError.
 
-    The firing's record and all its jobs go into one transaction; should earlier jobs have to give
-    way, so do their cancellations.
+    One transaction holds the firing's record, all its jobs and, if earlier jobs are replaced,
+    their cancellations.
     """
     limits = context.facts.store.strictest
     if 2 * len(template.steps) + 1 > limits.txn_ops and len(template.steps) > 1:
-        most = max(1, (limits.txn_ops - 1) // 2)
-        raise TemplateError(f"{len(template.steps)} jobs: a turn can make {most} here")
+        max_jobs = max(1, (limits.txn_ops - 1) // 2)
+        raise TemplateError(f"{len(template.steps)} jobs: a turn can make {max_jobs} here")
     for step in template.steps:
-        why = quotas.infeasible_reason(context, step.spec)
-        if why is not None:
-            raise TemplateError(f"{step.name}: {why}")
-        waits = tuple("job-" + "9" * 18 for _ in step.needs)
-        spec = msgspec.structs.replace(step.spec, waits_on=waits)
+        reason = quotas.infeasible_reason(context, step.spec)
+        if reason is not None:
+            raise TemplateError(f"{step.name}: {reason}")
+        placeholder_ids = tuple("job-" + "9" * 18 for _ in step.needs)
+        spec = msgspec.structs.replace(step.spec, waits_on=placeholder_ids)
         size = value_bytes(encode_job("queued", spec.team, spec, 10**13, spec.tasks))
         if size > value_limit(limits):
             raise TemplateError(
                 f"{step.name}: description of {size} bytes: a record holds {value_limit(limits)}"
             )
-    size = value_bytes(value_of(template))
+    size = value_bytes(encode_record(template))
     if size > value_limit(limits):
         raise TemplateError(f"template of {size} bytes: a record holds {value_limit(limits)}")
 
 
-def early(context: Context, template: Template) -> bool:
-    """Whether a chain can't be recorded yet: not all controllers read `waits_on`."""
+def awaits_upgrade(context: Context, template: Template) -> bool:
+    """Whether dependencies can't be recorded yet: not all controllers read `waits_on`."""
     return context.replica.format < FORMAT_COMPACT and any(step.needs for step in template.steps)
 
 
 def refusal(context: Context, template: Template | None) -> str | None:
-    """Return why a firing can't be made now: its template or team has gone, or fits no more."""
+    """Return why a firing can't be dispatched: no template or team, or jobs no longer fit."""
     if template is None:
         return "no template"
     for step in template.steps:
-        why = quotas.infeasible_reason(context, step.spec) if context.types else None
-        if why is not None:
-            return why
+        reason = quotas.infeasible_reason(context, step.spec) if context.types else None
+        if reason is not None:
+            return reason
     return None
 
 
-def jobs(
+def firing_jobs(
     entry: Entry, template: Template, firing: str, tries: int = 0
 ) -> Iterator[tuple[str, JobSpec]]:
-    """Yield (id, job) of a firing, each after those that it waits on."""
+    """Yield (id, job) of a firing, each job after those that it waits on."""
     ids = [job_id(entry, firing, n, tries) for n in range(len(template.steps))]
-    for own, step in zip(ids, template.steps, strict=True):
+    for own_id, step in zip(ids, template.steps, strict=True):
         changes: dict[str, Any] = {}
         if step.needs:
             changes["waits_on"] = tuple(ids[n] for n in step.needs)
         if entry.deadline_s is not None:
             changes["deadline_s"] = entry.deadline_s
-        yield own, msgspec.structs.replace(step.spec, **changes) if changes else step.spec
+        yield own_id, msgspec.structs.replace(step.spec, **changes) if changes else step.spec
 
 
-def submission(
+def job_writes(
     entry: Entry, template: Template, firing: str, order: int, tries: int = 0
 ) -> tuple[list[str], dict[str, int], list[tuple]]:
-    """Return the ids of a firing's jobs, the guards that none is there, and their writes."""
+    """Return the ids of a firing's jobs, guards that none of them exists, and their writes."""
     ids: list[str] = []
     guards: dict[str, int] = {}
     writes: list[tuple] = []
-    for name, spec in jobs(entry, template, firing, tries):
+    for name, spec in firing_jobs(entry, template, firing, tries):
         ids.append(name)
         guards[job_key(name)] = 0
         writes.append(
