--- a/oakmux/schedules/calendars.py
+++ b/oakmux/schedules/calendars.py
@@ -1,4 +1,4 @@
-"""Calendar objects (RFC 5545): what a client stores becomes one entry, or is refused with why."""
+"""Calendar objects (RFC 5545): a stored object becomes one entry, or is rejected with a reason."""
 
 from collections.abc import Iterable
 from datetime import date, datetime, time, timedelta
@@ -20,16 +20,16 @@
 
 
 class CalendarError(ValueError):
-    """A calendar object that can't be kept; the text says why."""
+    """A calendar object that cannot be stored; the message says why."""
 
 
 class CalendarObject(NamedTuple):
-    """What a calendar object says of firings."""
+    """The fields of a calendar object that define an entry."""
 
     uid: str
     component: str
     rule: Rule
-    template: str  # as the object names it: may be empty
+    template: str  # as written in the object; may be empty
     policy: dict[str, Any]
     deadline_s: float | None
     inactive: bool  # cancelled or completed as a whole
@@ -37,7 +37,7 @@
 
 
 def parse(text: str, zone: str) -> CalendarObject:
-    """Return what a calendar object means; `zone` is that of times without one.
+    """Parse a calendar object; `zone` applies to times that name none.
 
     Raises CalendarError. An object is one event or to-do with its overridden instances (RFC 4791,
     section 4.1).
@@ -52,7 +52,7 @@
         return _object(parsed, components, zone)
     except (CalendarError, RuleError, zones.UnknownZoneError) as error:
         raise CalendarError(str(error)) from None
-    except Exception as error:  # the parser's and its values' errors are of many kinds
+    except Exception as error:  # the parser and its value types raise many kinds
         raise CalendarError(f"not iCalendar: {error!r}"[: constants.NOTE_CHARS]) from None
 
 
@@ -104,7 +104,7 @@
 
 
 def _zone(moment: date, params: Any, zone: str) -> str:
-    """Return the zone in which a recurrence goes on: its start's."""
+    """Return the zone of a date or time; `zone` is the default for those that name none."""
     if not isinstance(moment, datetime):
         return zone
     name = str(params.get("TZID", ""))
@@ -122,7 +122,7 @@
 
 
 def _wall_time(moment: date, params: Any, rule_zone: str, zone: str) -> int:
-    """Return a date or time of an object as wall time in its zone."""
+    """Return a date or time as wall time in the rule's zone."""
     if not isinstance(moment, datetime):
         return zones.as_wall(datetime.combine(moment, time()))
     written = _zone(moment, params, zone) if moment.tzinfo is not None else rule_zone
@@ -161,7 +161,7 @@
 
 
 def _override(component: Any, rule_zone: str, zone: str) -> tuple[int, int | None]:
-    """Return (wall time of an instance, where it was moved to or None if cancelled)."""
+    """Return (wall time of an instance, its new wall time or None if it is cancelled)."""
     recurrence_id = component["RECURRENCE-ID"]
     if "RANGE" in recurrence_id.params:
         raise CalendarError("RECURRENCE-ID: RANGE is not kept: split the series instead")
@@ -190,7 +190,7 @@
 
 
 def _deadline(master: Any, first: int, rule_zone: str, zone: str) -> float | None:
-    """Return the seconds from a firing to its deadline: a to-do's DUE, or DURATION."""
+    """Return the seconds from a firing to its deadline: a to-do's DUE or DURATION."""
     if master.name != "VTODO":
         return None
     if "DUE" in master:
--- a/oakmux/schedules/commands.py
+++ b/oakmux/schedules/commands.py
@@ -1,4 +1,4 @@
-"""`oakmux schedule`: cron tables, calendars, templates and their turns, from the command line."""
+"""The `oakmux schedule` commands: cron tables, calendars, templates, entries and their firings."""
 
 import hashlib
 import re
@@ -23,17 +23,17 @@
 
 
 def call(context: CliContext, operation: str, **args: Any) -> dict:
-    """Ask the controllers; ends with the reason if they refuse."""
+    """Send a request to the controllers; exit with their reason if they refuse it."""
     status, answer = request(context, "POST", PATH + operation, args)
     if status not in (200, 201):
         if status == 404 and refusal_reason(answer) == "unknown path":
-            fail("these controllers run without schedules (serve --schedules FILE)", EXIT_FAILED)
+            fail("schedules are off: start controllers with serve --schedules FILE", EXIT_FAILED)
         fail(f"refused ({status}): {refusal_reason(answer)}", EXIT_FAILED)
     return answer if isinstance(answer, dict) else {}
 
 
 def import_optional(name: str) -> Any:
-    """Return a module of this package that needs further libraries, or end with a hint."""
+    """Import a module that needs optional libraries; exit with a hint if one is missing."""
     import importlib
 
     try:
@@ -44,7 +44,7 @@
 
 
 def read_toml(path: str) -> dict:
-    """Read a TOML file or end with one line."""
+    """Read a TOML file; exit with a one-line error if that fails."""
     try:
         return tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
@@ -52,7 +52,7 @@
 
 
 def policy_options(command: Any) -> Any:
-    """Add the options that say what happens when turns meet or come late."""
+    """Add the options for firings that overlap or are late."""
     for option in reversed(
         (
             click.option(
@@ -60,28 +60,28 @@
                 type=click.Choice(("skip", "queue", "allow", "replace")),
                 default="skip",
                 show_default=True,
-                help="What a turn does while the one before still runs.",
+                help="What a firing does while the jobs of the previous one still run.",
             ),
             click.option(
                 "--catch-up",
                 type=click.Choice(("all", "last", "none")),
                 default="all",
                 show_default=True,
-                help="Which turns of an outage are made after it.",
+                help="Which firings missed in an outage are run after it.",
             ),
             click.option(
                 "--window-s",
                 type=int,
                 default=3600,
                 show_default=True,
-                help="How late a turn may be made.",
+                help="How late a firing may still run, in seconds.",
             ),
             click.option(
                 "--jitter-s",
                 type=int,
                 default=0,
                 show_default=True,
-                help="Spread entries over so much time, each always by the same.",
+                help="Delay each entry by a fixed share of this many seconds, to spread the load.",
             ),
         )
     ):
@@ -90,20 +90,20 @@
 
 
 def policy_fields(overlap: str, catch_up: str, window_s: int, jitter_s: int) -> dict:
-    """Return the options as a request has them."""
+    """Return the policy options as the fields of a request."""
     return {"overlap": overlap, "catch_up": catch_up, "window_s": window_s, "jitter_s": jitter_s}
 
 
 def format_firing(row: dict) -> str:
-    """Return a turn for people."""
+    """Return the local time of a firing and, in brackets, any note about it."""
     return row["local"] + (f"  ({row['why']})" if row.get("why") else "")
 
 
 @click.group()
 def schedule() -> None:
-    """Cron tables and calendars: turns that submit jobs.
+    """Run jobs on a schedule, from cron tables and calendars.
 
-    Names are TEAM/NAME. A turn submits the jobs of a template; see `schedule template`.
+    Names are TEAM/NAME. A firing submits the jobs of a template; see `schedule template`.
     """
 
 
@@ -112,17 +112,17 @@
 
 @schedule.group()
 def template() -> None:
-    """What a turn submits: a job, or a chain of jobs that wait on one another."""
+    """Manage templates: the job, or jobs that wait on one another, that a firing submits."""
 
 
 def parse_template_steps(value: dict) -> list[list]:
-    """Return the steps of a template's file: one job's fields, or [[jobs]] with names."""
+    """Return the steps of a template file: the fields of one job, or named [[jobs]] tables."""
     jobs = value.get("jobs") if "jobs" in value else [{"name": "main", **value}]
     if not isinstance(jobs, list) or not all(isinstance(job, dict) for job in jobs):
-        fail("jobs: a list of tables is expected", EXIT_BAD)
+        fail("jobs: expected a list of tables", EXIT_BAD)
     extra = sorted(set(value) - {"jobs"}) if "jobs" in value else []
     if extra:
-        fail(f"{extra[0]}: beside [[jobs]] there are no fields", EXIT_BAD)
+        fail(f"{extra[0]}: not allowed beside [[jobs]]", EXIT_BAD)
     steps = []
     for number, job in enumerate(jobs):
         job = dict(job)
@@ -131,7 +131,7 @@
         if unknown:
             fail(f"{name}: unknown field {unknown[0]}", EXIT_BAD)
         if "team" not in job:
-            fail(f"{name}: a job needs team", EXIT_BAD)
+            fail(f"{name}: team is missing", EXIT_BAD)
         submission = make_submission({**job, "id": "job-0"})
         del submission["id"]
         steps.append([name, submission, needs])
@@ -141,21 +141,21 @@
 @template.command("put")
 @click.argument("name")
 @click.argument("file", type=click.Path())
-@click.option("--check", "dry", is_flag=True, help="Only check it.")
+@click.option("--check", "dry", is_flag=True, help="Only check the template.")
 @click.pass_obj
 def template_put(context: CliContext, name: str, file: str, dry: bool) -> None:
-    """Store the template NAME (TEAM/NAME) from the TOML FILE; it is checked in full."""
+    """Check the TOML FILE in full and store it as the template NAME (TEAM/NAME)."""
     answer = call(
         context, "template", name=name, steps=parse_template_steps(read_toml(file)), dry=dry
     )
-    context.show(answer, f"{name}: {'good' if dry else 'stored'}, {answer['steps']} job(s)")
+    context.show(answer, f"{name}: {'valid' if dry else 'stored'}, {answer['steps']} job(s)")
 
 
 @template.command("list")
 @click.argument("prefix", default="")
 @click.pass_obj
 def template_list(context: CliContext, prefix: str) -> None:
-    """Show templates whose names begin with PREFIX."""
+    """Show the templates whose names begin with PREFIX."""
     rows = call(context, "templates", prefix=prefix)["templates"]
     context.show(
         rows,
@@ -178,13 +178,15 @@
 
 @schedule.group()
 def calendar() -> None:
-    """Calendars that clients can write to over CalDAV."""
+    """Manage calendars that clients can write to over CalDAV."""
 
 
 @calendar.command("add")
 @click.argument("name")
 @click.option("--title", default="")
-@click.option("--zone", default="UTC", show_default=True, help="Zone of times without one.")
+@click.option(
+    "--zone", default="UTC", show_default=True, help="Time zone of times that name none."
+)
 @click.option(
     "--template",
     "default_template",
@@ -231,9 +233,9 @@
 @click.argument("team")
 @click.pass_obj
 def token(context: CliContext, team: str) -> None:
-    """Make a token with which calendars' clients may write TEAM's calendars.
+    """Make a token that lets CalDAV clients write TEAM's calendars.
 
-    The token is shown once; the line goes into the file of tokens of every controller.
+    The token is shown only once. Add the printed line to the token file of every controller.
     """
     secret, line = import_optional("dav.tokens").make(team)
     context.show({"token": secret, "line": line}, f"token: {secret}\nline for the file: {line}")
@@ -244,14 +246,21 @@
 
 @schedule.command()
 @click.argument("name")
-@click.option("--cron", help="Five fields, or @daily and its like.")
-@click.option("--at", "moment", help="A single turn, in ISO form, like 2026-12-24T18:00.")
+@click.option("--cron", help="Five cron fields, or an alias like @daily.")
+@click.option(
+    "--at", "moment", help="Time of a single firing, in ISO form, like 2026-12-24T18:00."
+)
 @click.option("--zone", default="UTC", show_default=True)
 @click.option(
-    "--template", "template_name", required=True, help="TEAM/NAME of what a turn submits."
+    "--template",
+    "template_name",
+    required=True,
+    help="Template (TEAM/NAME) that a firing submits.",
+)
+@click.option("--until", help="No firings after this time (ISO form, in the zone).")
+@click.option(
+    "--deadline-s", type=float, help="Seconds from a firing until its jobs should be complete."
 )
-@click.option("--until", help="No turns after this time (ISO form, in the zone).")
-@click.option("--deadline-s", type=float, help="When a turn's jobs should be complete.")
 @click.option("--note", default="")
 @policy_options
 @click.pass_obj
@@ -267,9 +276,9 @@
     note: str,
     **policy_values: Any,
 ) -> None:
-    """Store the entry NAME (TEAM/NAME), or change it. An edit counts from now on."""
+    """Add the entry NAME (TEAM/NAME), or change it. A change applies to firings from now on."""
     if (cron is None) == (moment is None):
-        fail("one of --cron and --at is needed", EXIT_BAD)
+        fail("give either --cron or --at", EXIT_BAD)
     rule: Any = {"cron": cron, "zone": zone}
     if moment is not None:
         rule = ["calendar", zone, "", parse_wall_time(moment)]
@@ -291,33 +300,33 @@
     upcoming = call(context, "next", name=name, count=1)["turns"]
     context.show(
         answer,
-        f"{name}: stored, next turn " + (format_firing(upcoming[0]) if upcoming else "never"),
+        f"{name}: stored, next firing " + (format_firing(upcoming[0]) if upcoming else "never"),
     )
 
 
 def parse_wall_time(text: str) -> int:
-    """Return a time without a zone as wall seconds."""
+    """Return an ISO time without a zone as wall time (see `zones.as_wall`); exit if invalid."""
     try:
         moment = datetime.fromisoformat(text)
     except ValueError:
         fail(f"{text}: not a time like 2026-12-24T18:00", EXIT_BAD)
     if moment.tzinfo is not None:
-        fail(f"{text}: give the zone with --zone", EXIT_BAD)
+        fail(f"{text}: a UTC offset is not allowed here; give the zone with --zone", EXIT_BAD)
     return int(import_optional("zones").as_wall(moment))
 
 
 def slug(text: str) -> str:
-    """Return what of a text may stand in a name."""
+    """Return a text as part of a name: other characters become dashes, long texts are cut."""
     return INVALID_NAME_CHARS.sub("-", text).strip("-")[: constants.SLUG_CHARS] or "entry"
 
 
 def qualified_name(team: str, name: str) -> str:
-    """Return a template's whole name; without a team it is the entry's."""
+    """Return a template's full name; a name without a team gets the entry's."""
     return name if "/" in name else f"{team}/{name}"
 
 
 class EntryImporter:
-    """A table's lines on their way to entries."""
+    """Builds entries from the lines or events of a file and gives them unique names."""
 
     def __init__(
         self, team: str, prefix: str, default_template: str | None, mapping: dict
@@ -330,7 +339,7 @@
         self.names: Counter[str] = Counter()
 
     def entry(self, line: Any, policy: dict) -> dict:
-        """Return the entry of a line of a cron table; its name follows from what it says."""
+        """Return the entry of a cron table line; its name is derived from the line's content."""
         program = line.command.split()[0] if line.command.split() else ""
         team = self.users.get(line.user, self.team)
         template_name = (
@@ -355,7 +364,7 @@
         }
 
     def name(self, team: str, stem: str, text: str) -> str:
-        """Return a name that stays the same as long as the line does."""
+        """Return a unique name that stays the same as long as the line does."""
         digest = hashlib.blake2b(text.encode(), digest_size=4).hexdigest()
         name = f"{team}/{self.prefix}.{slug(stem)}.{digest}"
         self.names[name] += 1
@@ -363,14 +372,14 @@
 
 
 def parse_calendar_file(text: str, zone: str) -> list[tuple[str, Any]]:
-    """Return (UID, object or error's text) of a file with many events."""
+    """Return (UID, calendar object or error text) of each event or to-do in a file."""
     calendars = import_optional("calendars")
-    from icalendar import Calendar as ICalendar  # there, since `calendars` is
+    from icalendar import Calendar as ICalendar  # installed if `calendars` is
 
     try:
         parsed = ICalendar.from_ical(text)
     except ValueError as error:
-        fail(f"not iCalendar: {error}", EXIT_BAD)
+        fail(f"invalid iCalendar file: {error}", EXIT_BAD)
     groups: dict[str, list] = {}
     for component in parsed.subcomponents:
         if component.name != "VTIMEZONE":
@@ -391,7 +400,7 @@
 def parse_file(
     file: str, importer: EntryImporter, zone: str, system: bool, policy: dict
 ) -> tuple[list[tuple[str, dict]], list[str]]:
-    """Return ([(where, entry)], [problem]) of a cron table or a calendar's file."""
+    """Return ([(location, entry)], [problem]) of a cron table or an iCalendar file."""
     try:
         text = Path(file).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -431,14 +440,14 @@
 
 
 def batches(rows: list, size: int) -> list[list]:
-    """Cut a list."""
+    """Split a list into batches of at most `size`."""
     return [rows[n : n + size] for n in range(0, len(rows), size)]
 
 
 def check_entries(
     context: CliContext, file: str, rows: list[tuple[str, dict]]
 ) -> tuple[list[dict], list[str]]:
-    """Let the controllers check entries; return the good ones and the problems found."""
+    """Have the controllers check entries; return the valid ones and the problems found."""
     good: list[dict] = []
     problems: list[str] = []
     for batch in batches(rows, constants.CHECK_BATCH):
@@ -462,7 +471,7 @@
     system: bool,
     **policy_values: Any,
 ) -> tuple[list[dict], list[str], str]:
-    """Read and check a file; returns entries, problems and how their names begin."""
+    """Read and check a file; return entries, problems and the prefix of the entry names."""
     importer = EntryImporter(
         team,
         prefix or slug(Path(file).stem),
@@ -479,26 +488,28 @@
     for option in reversed(
         (
             click.argument("file", type=click.Path()),
-            click.option("--team", required=True, help="Team of the entries."),
+            click.option("--team", required=True, help="Team that owns the entries."),
             click.option(
                 "--template",
                 "default_template",
-                help="Template of lines that name none; else the command's own name.",
+                help="Template of lines that name none (default: the command's name).",
             ),
             click.option(
                 "--map",
                 "mapping",
                 type=click.Path(),
-                help="TOML: [commands] command = template, [users] user = team.",
+                help="TOML file: [commands] command = template, [users] user = team.",
             ),
-            click.option("--prefix", help="How the entries' names begin (default: the file's)."),
+            click.option("--prefix", help="Prefix of the entry names (default: the file's name)."),
             click.option(
                 "--zone",
                 default="UTC",
                 show_default=True,
-                help="Zone of lines without CRON_TZ or TZ, and of floating times.",
+                help="Time zone of lines without CRON_TZ or TZ, and of floating times.",
+            ),
+            click.option(
+                "--system", is_flag=True, help="The table has a user column, like /etc/crontab."
             ),
-            click.option("--system", is_flag=True, help="The table has a column for the user."),
         )
     ):
         command = option(command)
@@ -507,17 +518,19 @@
 
 @schedule.command("import")
 @import_options
-@click.option("--skip-bad", is_flag=True, help="Store the good entries, say what is left out.")
+@click.option("--skip-bad", is_flag=True, help="Store the valid entries and list the others.")
 @click.option(
-    "--prune", is_flag=True, help="Remove entries of an earlier import that the file has no more."
+    "--prune",
+    is_flag=True,
+    help="Remove entries of an earlier import that are no longer in the file.",
 )
 @policy_options
 @click.pass_obj
 def import_file(context: CliContext, skip_bad: bool, prune: bool, **options: Any) -> None:
     """Store the entries of a cron table or an iCalendar FILE: all of them, or none.
 
-    All lines are checked, here and by a controller, before the first is stored. Imported again,
-    lines that did not change go on where they are.
+    All lines are checked, here and by a controller, before the first is stored. Importing the
+    file again leaves the state of unchanged lines as it is.
     """
     entries, problems, name_prefix = load_entries(context, **options)
     for problem in problems:
@@ -545,18 +558,18 @@
 @policy_options
 @click.pass_obj
 def check(context: CliContext, **options: Any) -> None:
-    """Check a cron table or an iCalendar FILE as `import` does, and store nothing."""
+    """Check a cron table or an iCalendar FILE as `import` does, but store nothing."""
     entries, problems, _ = load_entries(context, **options)
     context.show(
         {"good": [entry["name"] for entry in entries], "problems": problems},
-        "\n".join([*problems, f"{len(entries)} good, {len(problems)} bad"]),
+        "\n".join([*problems, f"{len(entries)} valid, {len(problems)} bad"]),
     )
     if problems:
         sys.exit(EXIT_BAD)
 
 
 def fetch_entries(context: CliContext, prefix: str) -> list[dict]:
-    """Return all entries whose names begin so."""
+    """Return all entries whose names begin with `prefix`, page by page."""
     rows: list[dict] = []
     while True:
         answer = call(context, "list", prefix=prefix, after=rows[-1]["name"] if rows else "")
@@ -569,7 +582,7 @@
 @click.argument("prefix", default="")
 @click.pass_obj
 def list_entries(context: CliContext, prefix: str) -> None:
-    """Show entries whose names begin with PREFIX (like a team and a slash)."""
+    """Show the entries whose names begin with PREFIX (such as TEAM/)."""
     rows = fetch_entries(context, prefix)
     context.show(
         rows,
@@ -580,7 +593,7 @@
                 if row["paused"]
                 else f"next {format_firing(row['next'][0])}"
                 if row["next"]
-                else "no turns to come"
+                else "no upcoming firings"
             )
             + (f", last {row['last']['outcome']}" if row["last"] else "")
             for row in rows
@@ -593,7 +606,7 @@
 @click.argument("name")
 @click.pass_obj
 def show(context: CliContext, name: str) -> None:
-    """Show all that an entry says."""
+    """Show all fields of an entry."""
     answer = call(context, "show", name=name)
     context.show(
         answer,
@@ -606,11 +619,11 @@
 @click.option("--count", default=10, show_default=True)
 @click.pass_obj
 def next_firings(context: CliContext, name: str, count: int) -> None:
-    """Show the turns to come, and what a change of clocks does to them."""
+    """Show the upcoming firings and how daylight saving changes affect them."""
     answer = call(context, "next", name=name, count=count)
-    lines = [format_firing(row) for row in answer["turns"]] or ["no turns to come"]
+    lines = [format_firing(row) for row in answer["turns"]] or ["no upcoming firings"]
     if answer["paused"]:
-        lines.insert(0, "paused: none of these will be made until it is resumed")
+        lines.insert(0, "paused: none of these run until the entry is resumed")
     context.show(answer, "\n".join([*lines, *answer["skipped"]]))
 
 
@@ -618,7 +631,7 @@
 @click.argument("name")
 @click.pass_obj
 def history(context: CliContext, name: str) -> None:
-    """Show the last turns, what became of each, and their jobs."""
+    """Show the latest firings, with their outcomes and jobs."""
     rows = call(context, "history", name=name)["turns"]
     context.show(
         rows,
@@ -627,7 +640,7 @@
             + "".join(f"  {job}: {state}" for job, state in row["jobs"].items())
             for row in rows
         )
-        or "no turns yet",
+        or "no firings yet",
     )
 
 
@@ -635,7 +648,7 @@
 @click.argument("name")
 @click.pass_obj
 def pause(context: CliContext, name: str) -> None:
-    """Make no turns until the entry is resumed; those of the pause are not made up for."""
+    """Stop firing until the entry is resumed; firings missed meanwhile are not caught up."""
     context.show(call(context, "pause", name=name), f"{name}: paused")
 
 
@@ -643,7 +656,7 @@
 @click.argument("name")
 @click.pass_obj
 def resume(context: CliContext, name: str) -> None:
-    """Make turns again, from now on."""
+    """Resume firing from now on."""
     context.show(call(context, "resume", name=name), f"{name}: resumed")
 
 
@@ -651,7 +664,7 @@
 @click.argument("name")
 @click.pass_obj
 def run_now(context: CliContext, name: str) -> None:
-    """Make one turn by hand, at once, also of a paused entry."""
+    """Fire an entry once, immediately, even if it is paused."""
     answer = call(context, "run-now", name=name, word=secrets.token_hex(8))
     context.show(answer, f"{name}: {', '.join(answer['jobs'])}")
 
@@ -660,7 +673,7 @@
 @click.argument("name")
 @click.pass_obj
 def remove(context: CliContext, name: str) -> None:
-    """Remove an entry. Jobs that its turns made go on."""
+    """Remove an entry. Jobs that it has submitted continue."""
     context.show(call(context, "remove", name=name), f"{name}: removed")
 
 
@@ -671,20 +684,22 @@
 @click.option("--seed", default=1, show_default=True)
 @click.pass_obj
 def replay(context: CliContext, entries: int, days: int, start: str, seed: int) -> None:
-    """Replay a year of turns on a model with controllers that die; exit 1 if one is wrong.
+    """Simulate a year of firings while controllers crash; exit 1 if any firing is wrong.
 
-    Needs no controllers. Every turn is compared with a slow count of its own, minute by minute.
+    Needs no running controllers. Every firing is compared with an independent oracle that goes
+    minute by minute.
     """
     year = import_optional("replay.year")
     zones = import_optional("zones")
     result = year.replay(entries, days, seed, zones.instant(parse_wall_time(start), "UTC"))
     text = [
         f"{result.entries} entries, {days} days from {start}, seed {seed}: "
-        f"{result.firings} turns, {result.made} made, {result.skipped} skipped since the one "
-        f"before ran; {result.seconds:.0f} s",
-        "troubles: " + ", ".join(f"{n} {name}" for name, n in result.troubles.items()),
-        "late (ms): " + ", ".join(f"{name} {value:.0f}" for name, value in result.late_ms.items()),
-        f"lost {len(result.lost)}, besides {len(result.besides)}, doubled "
+        f"{result.firings} firings, {result.made} run, {result.skipped} skipped because the "
+        f"previous one still ran; {result.seconds:.0f} s",
+        "faults: " + ", ".join(f"{n} {name}" for name, n in result.troubles.items()),
+        "lateness (ms): "
+        + ", ".join(f"{name} {value:.0f}" for name, value in result.late_ms.items()),
+        f"lost {len(result.lost)}, unexpected {len(result.besides)}, duplicate "
         f"{len(result.doubled)}, early {result.early}",
     ]
     text += [*result.lost[:5], *result.besides[:5], *result.doubled[:5]]
@@ -699,12 +714,12 @@
     "--rate",
     default=75.0,
     show_default=True,
-    help="Changes a second at the state service that turns may use.",
+    help="Limit of state service changes per second for firings.",
 )
 @click.option("--seed", default=1, show_default=True)
 @click.pass_obj
 def burst(context: CliContext, entries: int, rate: float, seed: int) -> None:
-    """Measure many turns due in one second, on the same model as `replay`."""
+    """Measure many firings due in the same second, on the same model as `replay`."""
     year = import_optional("replay.year")
     result = year.burst(
         entries, rate, seed, import_optional("zones").instant(parse_wall_time("2026-06-01"), "UTC")
@@ -712,11 +727,12 @@
     context.show(
         result._asdict(),
         (
-            f"{result.made} of {result.entries} turns made at {result.rate:g} changes/s: the last "
-            f"{result.last_late_s:.1f} s late, the last urgent one {result.urgent_late_s:.1f} s; "
-            f"{result.changes_a_turn:.2f} changes a turn\n"
+            f"{result.made} of {result.entries} firings run at {result.rate:g} changes/s: "
+            f"the last {result.last_late_s:.1f} s late, "
+            f"the last urgent one {result.urgent_late_s:.1f} s; "
+            f"{result.changes_a_turn:.2f} changes per firing\n"
             f"ticks (ms): "
             + ", ".join(f"{k} {v:.1f}" for k, v in result.tick_ms.items())
-            + f"; planned in {result.plan_s:.2f} s of processor time"
+            + f"; planning took {result.plan_s:.2f} s of processor time"
         ),
     )
--- a/oakmux/schedules/crontab.py
+++ b/oakmux/schedules/crontab.py
@@ -1,6 +1,6 @@
-"""Cron tables: a file's text becomes lines with a rule each, or errors with line and column.
+"""Parser for cron tables: returns a rule for each line, or an error with line and column.
 
-The grammar is in `crontab.lark`; `firings` checks what the fields hold and when they fire.
+The grammar is in `crontab.lark`; `firings` checks complete rules and computes when they fire.
 """
 
 import re
@@ -46,7 +46,7 @@
 
 
 class Line(NamedTuple):
-    """One entry of a table; `number` counts from 1, `stdin` are the lines after a %."""
+    """An entry of a table: `number` is the line, from 1; `stdin` the lines after the first %."""
 
     number: int
     rule: Rule
@@ -57,7 +57,7 @@
 
 
 class Problem(NamedTuple):
-    """A line that can't be kept: where (from 1), and what is wrong with it."""
+    """An invalid line: line number and column (both from 1) and the reason."""
 
     number: int
     column: int
@@ -65,7 +65,7 @@
 
     @property
     def text(self) -> str:
-        """The problem in one line."""
+        """The problem as one line of text."""
         return f"line {self.number}, column {self.column}: {self.reason}"
 
 
@@ -78,10 +78,10 @@
 def parse(
     text: str, default_zone: str = "UTC", system: bool = False
 ) -> tuple[list[Line], list[Problem]]:
-    """Return a table's entries and its problems; `system` tables have a column for the user.
+    """Return the entries and the problems of a table; `system` tables have a user column.
 
-    Environment lines hold from where they stand. Neither list is ever a stand-in for the other:
-    whoever imports must look at the problems.
+    An environment line applies to the lines after it. Entries are returned even if other lines
+    have problems, so callers must check both lists.
     """
     lines: list[Line] = []
     problems: list[Problem] = []
@@ -111,7 +111,7 @@
 
 
 def _logical_lines(text: str) -> Iterator[tuple[int, str]]:
-    """Yield (number, line), a line that ends in a backslash joined to the next."""
+    """Yield (number, line); a line that ends in one backslash is joined to the next."""
     continued, start = "", 0
     for number, raw in enumerate(re.split(r"\r\n|\r|\n", text), 1):
         start = start or number
@@ -147,7 +147,7 @@
 
 
 def _error_position(error: UnexpectedInput, raw: str) -> tuple[int, str]:
-    """Return the column at which a line stops making sense, and what was expected there."""
+    """Return the column of a syntax error and what was expected there."""
     column = error.column if error.column > 0 else len(raw) + 1
     if isinstance(error, UnexpectedToken):
         names = error.accepts or error.expected
@@ -176,12 +176,12 @@
 
 
 def _without_empty_zones(environment: dict[str, str]) -> dict[str, str]:
-    """Return what is set; an empty zone means the usual one again."""
+    """Drop empty zone variables: they restore the default zone."""
     return {name: text for name, text in environment.items() if text or name not in ZONE_VARIABLES}
 
 
 def _command(token: Token, system: bool) -> tuple[str, str, str]:
-    """Split the end of a line into user, command and what the command reads."""
+    """Split the end of a line into user, command and the command's standard input."""
     text, user = str(token), ""
     column = token.column or 1
     if system:
@@ -225,7 +225,7 @@
 
 
 def _field(field: Tree, name: str, low: int, high: int) -> str:
-    """Return a field as written, its values checked."""
+    """Return a field with its names as numbers; check the range of each value."""
     parts = []
     for part in field.children:
         assert isinstance(part, Tree)
@@ -249,7 +249,7 @@
             assert isinstance(token, Token)
             if not 0 < int(token) <= high:
                 raise _LineError(token.column or 1, f"{name}: a step of 1 to {high} is expected")
-            if len(ends) == 1:  # as old crons have it: from there on
+            if len(ends) == 1:  # as in traditional cron: from this value on
                 text += f"-{high}"
             text += f"/{int(token)}"
         parts.append(text)
--- a/oakmux/schedules/dav/__init__.py
+++ b/oakmux/schedules/dav/__init__.py
@@ -1,1 +1,1 @@
-"""Calendars over CalDAV (RFC 4791): a listener of its own for clients that speak it."""
+"""CalDAV server (RFC 4791): serves calendars on a listener of its own."""
--- a/oakmux/schedules/dav/protocol.py
+++ b/oakmux/schedules/dav/protocol.py
@@ -1,4 +1,4 @@
-"""HTTP for calendars' clients: as for users, with headers and bodies of text."""
+"""HTTP for CalDAV clients: extends the user protocol by headers and text bodies."""
 
 from typing import Any
 
@@ -22,7 +22,7 @@
 
 
 class DavRequest(Request):
-    """A request with its headers, by lower-case name."""
+    """A request with its headers, keyed by lower-case name."""
 
     __slots__ = ("headers",)
 
@@ -39,18 +39,18 @@
         self.headers = headers
 
     def reply(self, status: int, body: bytes = b"", /, **headers: str) -> None:
-        """Answer once; words of a header's name are joined by `_`."""
+        """Answer once; an underscore in a header's name stands for a hyphen."""
         conn, self._conn = self._conn, None
         if isinstance(conn, DavProtocol):
             conn.write(self, status, body, headers)
 
     def respond(self, status: int, body: bytes, retry_after: int | None = None) -> None:
-        """Answer in the way of other requests, as when one failed."""
+        """Answer without a body; called by code that serves all kinds of requests."""
         self.reply(status, b"")
 
 
 class DavProtocol(ServerProtocol):
-    """A connection that a calendar's client opened."""
+    """A connection opened by a CalDAV client."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
@@ -58,12 +58,12 @@
         self.header_bytes = 0
 
     def on_message_begin(self) -> None:
-        """Start a request."""
+        """Reset the headers for a new request."""
         super().on_message_begin()
         self.headers, self.header_bytes = {}, 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect a header."""
+        """Store a header; the number and total size of headers are limited."""
         self.header_bytes += len(name) + len(value)
         if (
             self.header_bytes > constants.DAV_HEADER_BYTES
@@ -73,16 +73,16 @@
         self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
-        """Let a client go on that asks first whether its body will be read."""
+        """Answer `Expect: 100-continue`, so that the client sends its body."""
         if self.headers.get("expect", "").lower() == "100-continue" and self.transport:
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def request(self, method: str, path: str, body: bytes, too_large: bool) -> Request:
-        """Return what the handler gets."""
+        """Return the request object for the handler."""
         return DavRequest(method, path, body, too_large, self, self.headers)
 
     def write(self, request: Request, status: int, body: bytes, headers: dict[str, str]) -> None:
-        """Write the answer of the current request."""
+        """Write the answer to the current request."""
         if self.transport is None or self.current is not request:
             return
         self.current = None
--- a/oakmux/schedules/dav/serve.py
+++ b/oakmux/schedules/dav/serve.py
@@ -1,7 +1,10 @@
-"""CalDAV: what a client asks, turned into requests of the core, and what it is answered.
+"""CalDAV server: translates client requests to core requests, and their answers back.
 
-Resources: /dav/TEAM/ is the team and the home of its calendars, /dav/TEAM/CALENDAR/ a calendar,
-/dav/TEAM/CALENDAR/OBJECT an event or to-do: one entry of the schedules.
+Resources:
+
+- /dav/TEAM/ is the team's principal and its calendar home
+- /dav/TEAM/CALENDAR/ is a calendar
+- /dav/TEAM/CALENDAR/OBJECT is an event or to-do, stored as one schedule entry
 """
 
 import asyncio
@@ -30,7 +33,7 @@
 
 ROOT = "/dav/"
 SYNC_TOKEN_PREFIX = "urn:oakmux:sync:"
-# Properties whose texts can be looked for.
+# iCalendar properties that a text-match filter can search.
 SEARCHABLE_PROPERTIES = ("UID", "SUMMARY")
 METHODS = (
     "OPTIONS",
@@ -49,7 +52,7 @@
 
 
 class DavError(Exception):
-    """A request that can't be served: status, body, headers."""
+    """A request that fails: status, body and headers of the answer."""
 
     def __init__(self, status: int, body: bytes = b"", /, **headers: str) -> None:
         super().__init__(status)
@@ -59,19 +62,19 @@
 
 
 class PendingReply:
-    """Takes the core's answer to a request of ours."""
+    """Passes the core's answer to the future that awaits it."""
 
     def __init__(self, future: asyncio.Future) -> None:
         self.future = future
 
     def respond(self, status: int, body: bytes, retry_after: int | None = None) -> None:
-        """Hand the answer to whoever waits."""
+        """Decode the answer and set the future's result."""
         if not self.future.done():
             self.future.set_result((status, decode(body)))
 
 
 class CalDavServer:
-    """Serves calendars' clients."""
+    """Serves CalDAV clients."""
 
     def __init__(self, offer: Callable[[Command], bool], tokens: Tokens) -> None:
         self.offer = offer
@@ -89,7 +92,7 @@
         }
 
     async def listen(self, addr: str, context: ssl.SSLContext | None, limit: int) -> Any:
-        """Open the listener; returns the server."""
+        """Open the listener and return the server."""
         live: set[ServerProtocol] = set()
         host, port = settings.split_addr(addr)
         server = await asyncio.get_running_loop().create_server(
@@ -102,7 +105,7 @@
         return server
 
     def handle(self, request: Request) -> None:
-        """Take one request; it is answered from a task of its own."""
+        """Serve a request in its own task; answer 503 if too many are in progress."""
         assert isinstance(request, DavRequest)
         if len(self.tasks) >= constants.MAX_WAITING_REQUESTS:
             request.reply(503, Retry_After=str(constants.RETRY_AFTER_S))
@@ -121,7 +124,7 @@
             request.reply(400, str(error).encode(), Content_Type="text/plain")
         except TimeoutError:
             request.reply(503, Retry_After=str(constants.RETRY_AFTER_S))
-        except Exception:  # one request must not end the process, nor show its inside
+        except Exception:  # must neither end the process nor expose internals
             log.exception("event=caldav_request_failed method=%s", request.method)
             request.reply(500)
 
@@ -147,14 +150,14 @@
         elif not path.startswith(ROOT.rstrip("/")) or len(segments) > 3:
             raise DavError(404)
         if segments and segments[0] != team:
-            raise DavError(403)  # whether another team has it is not told
+            raise DavError(403)  # does not reveal whether the resource exists
         serve = self.methods.get(request.method)
         if serve is None:
             raise DavError(501, **ALLOW_HEADERS)
         await serve(request, team, segments)
 
     async def _call(self, operation: str, **args: Any) -> dict:
-        """Ask the core; raises DavError unless it says yes."""
+        """Send a request to the core and return its answer; raises DavError on failure."""
         future = asyncio.get_running_loop().create_future()
         if not self.offer(ServeScheduleRequest(PendingReply(future), operation, args)):
             raise DavError(503, Retry_After=str(constants.RETRY_AFTER_S))
@@ -279,7 +282,7 @@
             answer.add_found(_path(calendar, row["name"]), self._object_props(row, False), names)
 
     async def _proppatch(self, request: DavRequest, team: str, segments: list[str]) -> None:
-        """Change a calendar's title; all other properties stand as they are."""
+        """Change a calendar's title; changes of other properties are refused."""
         root = xml.read(request.body, DAV + "propertyupdate")
         found = {
             child.tag: child.text or ""
@@ -370,7 +373,7 @@
         request.reply(207, answer.body(token), **XML_HEADERS)
 
     async def _changes_since(self, calendar: str, token: str) -> dict:
-        """Return what changed since a token, or all objects if there is none."""
+        """Return the changes since a sync token, or all objects if there is no token."""
         if not token:
             return await self._call("objects", calendar=calendar)
         stale = DavError(403, xml.error(DAV + "valid-sync-token"), **XML_HEADERS)
@@ -475,15 +478,15 @@
 
 
 def _unquoted_etag(header: str) -> str:
-    """Return the ETag of a header, without its quotes."""
+    """Return the ETag in a header without quotes and weak marker."""
     return header.strip().removeprefix("W/").strip('"')
 
 
 def _parse_filter(root: Any) -> dict[str, Any]:
-    """Return what a calendar-query asks for: a component, a time range, texts of
-    SEARCHABLE_PROPERTIES.
+    """Return the filter of a calendar-query: component, time range, SEARCHABLE_PROPERTIES texts.
 
-    All else is refused, as the RFC has it, so that no client takes a part for the whole.
+    Other filters are refused, as RFC 4791 requires, so that no client mistakes a partial result
+    for a complete one.
     """
     calendar_filter = root.find(f"{CAL}filter/{CAL}comp-filter")
     if calendar_filter is None or calendar_filter.get("name") != "VCALENDAR":
--- a/oakmux/schedules/dav/tokens.py
+++ b/oakmux/schedules/dav/tokens.py
@@ -1,7 +1,7 @@
-"""Tokens of calendars' clients: each is for one team, and kept only as a salted hash.
+"""Access tokens of CalDAV clients: each belongs to one team and is stored as a salted hash.
 
-A token is 32 random bytes, made by `oakmux schedule token`: nobody guesses it, so that one salted
-hash is enough and a slow one would only cost the controller.
+A token is 32 random bytes, made by `oakmux schedule token`. It cannot be guessed, so one fast
+salted hash is enough; a slow hash would only cost controller time.
 """
 
 import base64
@@ -14,7 +14,7 @@
 
 
 class TokenFileError(ValueError):
-    """A file of tokens that can't be used; the text says which line and why."""
+    """An unusable token file; the message names the line and the reason."""
 
 
 def _hash(salt: bytes, token: str) -> bytes:
@@ -22,14 +22,14 @@
 
 
 def make(team: str) -> tuple[str, str]:
-    """Return a new token and the line of the file that lets it in."""
+    """Return a new token and its line for the token file."""
     token = secrets.token_urlsafe(constants.TOKEN_BYTES)
     salt = secrets.token_bytes(constants.SALT_BYTES)
     return token, f"{team} {salt.hex()} {_hash(salt, token).hex()}"
 
 
 class Tokens:
-    """Which token is which team's."""
+    """Maps tokens to teams. Verified tokens are cached under a keyed digest."""
 
     def __init__(self, entries: list[tuple[str, bytes, bytes]]) -> None:
         self.entries = entries
@@ -37,7 +37,7 @@
         self._verified: dict[bytes, str] = {}
 
     def team(self, token: str) -> str | None:
-        """Return whose a token is, or None. All rows are looked at, found or not."""
+        """Return the team of a token, or None. Checks all entries even after a match."""
         cache_key = hmac.digest(self._secret, token.encode(), "sha256")
         if cache_key in self._verified:
             return self._verified[cache_key]
@@ -67,7 +67,7 @@
 
 
 def load(path: str) -> Tokens:
-    """Read a file of tokens: TEAM SALT HASH a line, # for comments; raises TokenFileError."""
+    """Read a token file: one TEAM SALT HASH per line, # for comments; raises TokenFileError."""
     try:
         lines = Path(path).read_text(encoding="utf-8").splitlines()
     except (OSError, UnicodeDecodeError) as error:
@@ -83,6 +83,6 @@
         except ValueError:
             raise TokenFileError(f"tokens: {path}, line {number}: not TEAM SALT HASH") from None
         if len(entry[1]) != constants.SALT_BYTES or len(entry[2]) != 64:
-            raise TokenFileError(f"tokens: {path}, line {number}: not a hash made by oakmux")
+            raise TokenFileError(f"tokens: {path}, line {number}: wrong length of salt or hash")
         entries.append(entry)
     return Tokens(entries)
--- a/oakmux/schedules/dav/xml.py
+++ b/oakmux/schedules/dav/xml.py
@@ -1,6 +1,6 @@
-"""XML of WebDAV (RFC 4918) and CalDAV (RFC 4791): requests read, answers written.
+"""Reads and writes the XML of WebDAV (RFC 4918) and CalDAV (RFC 4791).
 
-No request may declare a document type, entities or references to anything outside.
+Requests with a document type declaration, entities or external references are rejected.
 """
 
 from typing import NamedTuple
@@ -16,18 +16,18 @@
 
 
 class XmlError(ValueError):
-    """A body that can't be read; the text says why."""
+    """An invalid request body; the message says why."""
 
 
 class Prop(NamedTuple):
-    """A property's value: text, elements, or both."""
+    """The value of a property: text, child elements, or both."""
 
     text: str = ""
     children: tuple[Element, ...] = ()
 
 
 def read(body: bytes, *tags: str) -> Element:
-    """Return the root of a body, which must be one of these; raises XmlError."""
+    """Return the root element of a body; raises XmlError unless its tag is one of `tags`."""
     try:
         root = fromstring(body, forbid_dtd=True)
     except (ParseError, DefusedXmlException, ValueError, LookupError) as error:
@@ -38,7 +38,7 @@
 
 
 def requested_properties(root: Element) -> list[str] | None:
-    """Return the properties that a request names, or None for all."""
+    """Return the names of the requested properties, or None for all."""
     props = root.find(DAV + "prop")
     if props is None:
         return None
@@ -46,7 +46,7 @@
 
 
 def element(tag: str, text: str = "", *children: Element) -> Element:
-    """Return an element."""
+    """Return an element with a text and children."""
     node = Element(tag)
     node.text = text or None
     node.extend(children)
@@ -54,18 +54,18 @@
 
 
 def href(path: str) -> Element:
-    """Return a reference."""
+    """Return an href element."""
     return element(DAV + "href", path)
 
 
 class Multistatus:
-    """An answer about many resources."""
+    """A multistatus response: the status of several resources."""
 
     def __init__(self) -> None:
         self.root = Element(DAV + "multistatus")
 
     def add_found(self, path: str, properties: dict[str, Prop], names: list[str] | None) -> None:
-        """Add a resource: the properties that it has of those asked for, and those it lacks."""
+        """Add a resource: the requested properties that it has (200) and lacks (404)."""
         requested = list(properties) if names is None else names
         response = SubElement(self.root, DAV + "response")
         response.append(href(path))
@@ -83,13 +83,13 @@
             stat.append(element(DAV + "status", f"HTTP/1.1 {status}"))
 
     def add_missing(self, path: str) -> None:
-        """Add a resource that there is not, or no more."""
+        """Add a resource that does not exist or was deleted."""
         response = SubElement(self.root, DAV + "response")
         response.append(href(path))
         response.append(element(DAV + "status", "HTTP/1.1 404 Not Found"))
 
     def add_refused(self, path: str, names: list[str]) -> None:
-        """Add a resource whose properties can't be changed so."""
+        """Add a resource whose property changes are refused (403)."""
         response = SubElement(self.root, DAV + "response")
         response.append(href(path))
         stat = SubElement(response, DAV + "propstat")
@@ -97,19 +97,19 @@
         stat.append(element(DAV + "status", "HTTP/1.1 403 Forbidden"))
 
     def body(self, token: str = "") -> bytes:
-        """Return the body, with a token for what changes later."""
+        """Return the document, with the sync token if there is one."""
         if token:
             self.root.append(element(DAV + "sync-token", token))
         return render(self.root)
 
 
 def render(root: Element) -> bytes:
-    """Return a document."""
+    """Return an element as an XML document."""
     return tostring(root, encoding="utf-8", xml_declaration=True)
 
 
 def error(condition: str, text: str = "") -> bytes:
-    """Return the body that names a failed condition, with a reason for people."""
+    """Return an error body: the failed condition and a human-readable reason."""
     root = Element(DAV + "error")
     root.append(element(condition))
     if text:
--- a/oakmux/schedules/replay/__init__.py
+++ b/oakmux/schedules/replay/__init__.py
@@ -1,1 +1,1 @@
-"""A year of firings, replayed against a slow oracle, with controllers that die."""
+"""Replay of a year of firings while controllers crash, checked against a slow oracle."""
--- a/oakmux/schedules/replay/model.py
+++ b/oakmux/schedules/replay/model.py
@@ -1,9 +1,9 @@
-"""A model of a deployment for schedules alone: guarded records, clocks, and holders that die.
+"""Discrete-event model of a deployment that runs schedules only, with faults.
 
-Only the clock's part of a controller runs here (records, daytime, clock), over time that jumps
-from event to event, so that a year fits into minutes. Whoever holds the role is decided as the
-lease would: when a holder is gone or cut off for the lease's time, another one takes the role's
-record, and what the old one sent may still arrive later.
+Of each controller only the schedules subsystem runs, with its wall clock. Time jumps from event to
+event, so that a year takes minutes. Leases are modelled by their outcome: when the holder of the
+role has been down or partitioned for the lease time, another controller takes the role's record.
+Writes that the old holder sent may still arrive later.
 """
 
 import heapq
@@ -34,23 +34,23 @@
 )
 
 TEAM = "press"
-# Share of transactions whose answer is lost.
+# Share of transactions whose answer is lost, apart from partitions.
 LOST_ANSWER_SHARE = 0.01
-# Seconds between two looks at queued firings: a real clock looks each second.
+# Seconds between checks of queued firings; real controllers check every second.
 QUEUED_POLL_S = 30.0
 SKEW_S = 0.1
-# Seconds: a watch's news, a transaction's way, one that is held up by a cut, a job's run.
+# Ranges in seconds.
 WATCH_DELAY_S, STORE_DELAY_S, LATE_WRITE_DELAY_S, JOB_RUN_S = (
-    (0.02, 0.1),
-    (0.01, 0.08),
-    (1.0, 120.0),
-    (20.0, 5400.0),
+    (0.02, 0.1),  # until watch events arrive
+    (0.01, 0.08),  # of a transaction or its answer
+    (1.0, 120.0),  # of a transaction that is held up, as by a partition
+    (20.0, 5400.0),  # run time of a job
 )
 MACHINE = MachineType("plain", 64.0, 8.0, 256.0, 100.0, 1.0, 1.0, 1.0, 1.0, ["a"])
 
 
 def settings_for(label: str) -> Settings:
-    """Return the settings of a controller of the model."""
+    """Return the settings of a controller in the model."""
     return Settings(
         label,
         "10.0.0.1:80",
@@ -69,7 +69,7 @@
 
 
 class Controller:
-    """One controller's clock, with a clock of its own that wanders."""
+    """The schedules subsystem of one controller, with a wall clock that drifts."""
 
     def __init__(self, model: "Model", label: str) -> None:
         self.model = model
@@ -81,7 +81,7 @@
         self.schedules: SchedulesSubsystem | None = None
 
     def boot(self) -> None:
-        """Start anew: read all records."""
+        """Start a new incarnation and read all records."""
         self.incarnation += 1
         self.context = Context(settings_for(self.label), random.Random(self.incarnation), 0)
         self.context.types = {MACHINE.name: MACHINE}
@@ -96,12 +96,12 @@
         self.wake(0.0)
 
     def crash(self) -> None:
-        """End without a word."""
+        """Stop without releasing the role."""
         self.incarnation += 1
         self.schedules = None
 
     def wake(self, seconds: float) -> None:
-        """Have a turn in so many seconds, unless one comes before."""
+        """Schedule a tick after some seconds, unless an earlier one is scheduled."""
         at = self.model.now + seconds
         if self.wake_at <= self.model.now or at < self.wake_at:
             self.wake_at = at
@@ -109,7 +109,7 @@
             self.model.call_later(seconds, lambda: self.run_tick(incarnation, at))
 
     def run_tick(self, incarnation: int, at: float) -> None:
-        """Have a turn as a controller has in every tick."""
+        """Run one tick as a controller does, then schedule the next."""
         if self.schedules is None or incarnation != self.incarnation or at != self.wake_at:
             return
         model, context, dispatcher = self.model, self.context, self.schedules.dispatcher
@@ -127,7 +127,7 @@
         model.tick_s.append(time.perf_counter() - begin)
         effects, context.effects = context.effects, []
         for effect in effects:
-            assert isinstance(effect, Transaction)  # schedules ask for nothing else
+            assert isinstance(effect, Transaction)  # the only effect of schedules
             self.send(effect, incarnation)
         self.wake_at = 0.0
         if dispatcher.due or dispatcher.to_plan or dispatcher.shards_in_flight:
@@ -142,7 +142,7 @@
         self.wake(max(constants.TICK_S, wait_s))
 
     def send(self, transaction: Transaction, incarnation: int) -> None:
-        """Carry a transaction to the state service, and its outcome back if there is one."""
+        """Deliver a transaction to the state service and, unless lost, its outcome back."""
         conditions, writes = transaction.conditions, transaction.writes
         model = self.model
         on_answer = self.context.operations.pop(transaction.operation)
@@ -158,7 +158,8 @@
             if not lost:
                 model.call_later(model.rng.uniform(*STORE_DELAY_S), lambda: answer(*outcome))
 
-        # Cut off, or one in a hundred: carried out long after it was given up, or without a word.
+        # In a partition, or for one transaction in a hundred, the answer is lost. Half of these
+        # transactions are also held up, often until long after the timeout.
         lost = self.partitioned or model.rng.random() < LOST_ANSWER_SHARE
         delay_range_s = LATE_WRITE_DELAY_S if lost and model.rng.random() < 0.5 else STORE_DELAY_S
         queue_s = model.queue_delay(len(writes))
@@ -167,7 +168,7 @@
             model.call_later(queue_s + constants.STORE_TIMEOUT_S, lambda: answer(0, None))
 
     def apply_events(self, events: list[tuple[str, Any, int]]) -> None:
-        """Take news of the watch."""
+        """Apply watch events; tick if the role changed, or records did while holding it."""
         if self.schedules is not None:
             for event in events:
                 self.context.replica.apply(*event)
@@ -183,7 +184,7 @@
 
 
 class Model:
-    """State service, controllers, jobs and troubles over true time from `start` (s since 1970)."""
+    """State service, controllers, jobs and faults, in true time from `start` (s since 1970)."""
 
     def __init__(self, start: int, seed: int) -> None:
         self.start = start
@@ -194,7 +195,7 @@
         self.values: dict[str, tuple[Any, int]] = {}
         self.revision = 1
         self.down = False
-        # Changes a second that firings may use, if they are bounded, and when the next may go.
+        # Limit of changes per second (None: no limit), and the time of the next change (s).
         self.rate: float | None = None
         self.next_change = 0.0
         self.changes = 0
@@ -206,12 +207,12 @@
         self.controllers = [Controller(self, f"h{n}") for n in range(3)]
 
     def call_later(self, seconds: float, run: Callable[[], None]) -> None:
-        """Run something in so many seconds."""
+        """Run a callback after some seconds."""
         self.count += 1
         heapq.heappush(self.heap, (self.now + seconds, self.count, run))
 
     def run(self, until: float) -> None:
-        """Go on until a time (s from the start)."""
+        """Run all events up to a time (s from the start)."""
         while self.heap and self.heap[0][0] <= until:
             self.now, _, run = heapq.heappop(self.heap)
             run()
@@ -220,7 +221,7 @@
     # --- state service ---
 
     def queue_delay(self, changes: int) -> float:
-        """Return how long a transaction waits for its share of the rate of changes."""
+        """Return how long (s) a transaction waits because of the rate limit."""
         self.changes += changes
         if self.rate is None:
             return 0.0
@@ -228,7 +229,7 @@
         return self.next_change - self.now
 
     def write(self, guards: list, writes: list) -> tuple[int, Any]:
-        """Carry out a transaction, or none of it."""
+        """Apply a transaction atomically; return status and result."""
         if self.down:
             return 503, None
         failed = [
@@ -242,7 +243,7 @@
         return 200, (self.revision, [])
 
     def put(self, pairs: list[tuple[str, Any]]) -> None:
-        """Write keys, and bring the news to all."""
+        """Write keys and send the watch events to all reachable controllers."""
         self.revision += 1
         events = []
         for key, value in pairs:
@@ -269,7 +270,7 @@
     def _finish_job(self, name: str, value: list) -> None:
         self.put([(f"{PREFIX}j/{name}", encode_job("done", value[1], None, value[3], value[4]))])
         self.finished.append((self.now, name))
-        # A real deployment keeps the records; here they only would fill the memory.
+        # Real deployments keep these records; here, drop them after a day to save memory.
         while self.finished and self.finished[0][0] < self.now - 86_400:
             _, old = self.finished.pop(0)
             self.values.pop(f"{PREFIX}j/{old}", None)
@@ -279,7 +280,7 @@
                     controller.context.replica.changes.jobs.discard(old)
 
     def _collect_outcomes(self, value: list) -> None:
-        """Collect the decisions that a shard's record shows."""
+        """Collect the decisions in a shard's record."""
         for name, _, _, rows in value:
             known = self.outcomes.setdefault(name, {})
             for at, outcome, *_ in rows:
@@ -287,10 +288,10 @@
                 if not seen or seen[-1] != outcome:
                     seen.append(outcome)
 
-    # --- who holds the clock ---
+    # --- role holder ---
 
     def elect(self) -> None:
-        """Give the role to a controller that lives, as its lease's end would."""
+        """Give the role to a reachable controller; retry every second until one can take it."""
         candidates = [
             controller
             for controller in self.controllers
@@ -303,7 +304,7 @@
             self.call_later(1.0, self.elect)
 
     def holder(self) -> Controller | None:
-        """Return who holds the role by the records."""
+        """Return the controller that holds the role according to the records."""
         role = self.values.get(role_key(CLOCK_ROLE))
         return next(
             (
@@ -315,11 +316,11 @@
         )
 
     def takeover(self) -> None:
-        """The holder is gone: its lease ends, another takes the role."""
+        """Let another controller take the role once the holder's lease has expired."""
         self.call_later(constants.CONTROLLER_LEASE_S + self.rng.uniform(0.1, 1.0), self.elect)
 
     def crash(self, controller: Controller, restart_s: float) -> None:
-        """End a controller; it comes back after a time."""
+        """Crash a controller; it restarts after a time."""
         if controller.schedules is None:
             return
         was_holder = self.holder() is controller
@@ -331,7 +332,7 @@
             self.takeover()
 
     def partition(self, controller: Controller, seconds: float) -> None:
-        """Cut a controller off; what it sends meanwhile arrives late."""
+        """Partition a controller; its transactions are not answered and may arrive late."""
         if controller.schedules is None or controller.partitioned:
             return
         controller.partitioned = True
@@ -341,7 +342,7 @@
         def heal() -> None:
             controller.partitioned = False
             if controller.schedules is not None:
-                controller.crash()  # its watch starts anew; so do its plans
+                controller.crash()  # restarts its watch and its plans
                 controller.boot()
                 if self.holder() is None:
                     self.elect()
@@ -349,7 +350,7 @@
         self.call_later(seconds, heal)
 
     def outage(self, seconds: float) -> None:
-        """Take the state service away for a while."""
+        """Make the state service unavailable for some seconds."""
         self.down = True
 
         def restore() -> None:
--- a/oakmux/schedules/replay/oracle.py
+++ b/oakmux/schedules/replay/oracle.py
@@ -1,7 +1,7 @@
-"""Which firings there should be, found slowly: minute by minute, sharing nothing with `firings`.
+"""Slow oracle for the expected firings; it shares no code with the computation in `firings`.
 
-Cron fields are read anew here, recurrences are tried day by day, and a change of clocks is seen
-as what it is: wall minutes that no instant shows, or that two do.
+It goes minute by minute, with its own cron parser, and tries recurrences day by day. A clock
+change appears as wall minutes that no instant shows, or that two instants show.
 """
 
 from collections.abc import Iterator
@@ -16,8 +16,10 @@
 
 
 class Minute(NamedTuple):
-    """One minute of a zone: its instant (s), what clocks show, whether for the second time, and
-    the wall minutes that were left out just before it.
+    """One minute of a zone.
+
+    `at` is its instant (s) and `wall` the time that clocks show; `again` means that they show it
+    for the second time. `left_out` are the wall minutes skipped just before it.
     """
 
     at: int
@@ -57,7 +59,7 @@
 
 
 class CronOracle:
-    """One cron expression."""
+    """Matches minutes against one cron expression."""
 
     def __init__(self, text: str) -> None:
         fields = text.split()
@@ -69,18 +71,18 @@
         self.either_day = not (fields[2].startswith("*") or fields[4].startswith("*"))
 
     def matches_day(self, wall: date) -> bool:
-        """Whether the expression has this day."""
+        """Whether the expression matches a day."""
         of_month, of_week = wall.day in self.days, wall.isoweekday() % 7 in self.weekdays
         return wall.month in self.months and (
             of_month or of_week if self.either_day else of_month and of_week
         )
 
     def matches_wall(self, wall: datetime) -> bool:
-        """Whether the expression has this wall minute."""
+        """Whether the expression matches a wall minute, regardless of clock changes."""
         return wall.minute in self.minutes and wall.hour in self.hours and self.matches_day(wall)
 
     def fires_in(self, minute: Minute) -> bool:
-        """Whether there is a firing in this minute."""
+        """Whether the expression fires in a minute."""
         if self.wildcard_time:
             return self.matches_wall(minute.wall)
         if minute.again:
@@ -91,7 +93,7 @@
 
 
 class CalendarOracle:
-    """One calendar rule: RRULE parts by day, EXDATE, RDATE, moved instances."""
+    """Matches minutes against one calendar rule: RRULE, EXDATE, RDATE, moved instances."""
 
     def __init__(self, rule: Rule, last: datetime) -> None:
         self.parts = dict(part.split("=") for part in rule.text.split(";")) if rule.text else {}
@@ -113,15 +115,14 @@
         self.walls = walls
 
     def fires_in(self, minute: Minute) -> bool:
-        """Whether there is a firing in this minute.
+        """Whether the rule fires in a minute.
 
-        One that no clock shows is as long after the gap as it would have been before it, thus
-        shown later by the length of the gap.
+        An instance in a gap fires later by the length of the gap; see `shift_gaps`.
         """
         return not minute.again and minute.wall in self.walls
 
     def _walls(self, last: datetime) -> Iterator[datetime]:
-        """Yield the wall times of all instances, in order, up to a time."""
+        """Yield the wall times of all RRULE instances up to `last`, in order."""
         yield self.start
         if not self.parts:
             return
@@ -183,7 +184,7 @@
 
 
 def shift_gaps(oracle: CalendarOracle, all_minutes: list[Minute]) -> None:
-    """Move the instances that no clock shows to where they are taken to be."""
+    """Move instances in a gap, which no clock shows, later by the length of the gap."""
     for minute in all_minutes:
         if minute.left_out:
             gap = timedelta(minutes=len(minute.left_out))
@@ -194,7 +195,7 @@
 
 
 def expected(rule: Rule, all_minutes: list[Minute]) -> set[int]:
-    """Return the instants (s) of all firings within these minutes."""
+    """Return the instants (s) of all firings of a rule within these minutes."""
     if rule.kind == "cron":
         cron = CronOracle(rule.text)
         return {minute.at for minute in all_minutes if cron.fires_in(minute)}
--- a/oakmux/schedules/replay/year.py
+++ b/oakmux/schedules/replay/year.py
@@ -1,4 +1,4 @@
-"""The replayed year: entries in ten zones, a year of troubles, every firing against the oracle."""
+"""Replays a year with faults, for entries in ten zones; the oracle checks every firing."""
 
 import random
 import time
@@ -33,7 +33,11 @@
 
 
 class Result(NamedTuple):
-    """What a replay found: counts, firings that were lost, doubled, early or besides, lateness."""
+    """Result of a replay: counts, lateness, and firings that were wrong.
+
+    A firing is lost, doubled (its job was created twice), early, or besides: decided although the
+    oracle has none, or inconsistent with its job.
+    """
 
     entries: int
     firings: int
@@ -49,12 +53,12 @@
 
     @property
     def good(self) -> bool:
-        """Whether every firing was decided once, none besides and none early."""
+        """Whether every expected firing was decided exactly once, and no other, and none early."""
         return not (self.lost or self.besides or self.doubled or self.early)
 
 
 def cron_text(rng: random.Random) -> str:
-    """Draw an expression such as stands in old tables; few turn more often than hourly."""
+    """Draw a typical cron expression; few fire more often than hourly."""
     minute, hour = rng.randrange(60), rng.choice((0, 1, 2, 2, 2, 3, rng.randrange(24)))
     kind = rng.random()
     if kind < 0.5:
@@ -73,10 +77,10 @@
 
 
 def calendar_rule(rng: random.Random, start: int, zone: str) -> Rule:
-    """Draw a calendar's rule, begun in the two years before."""
+    """Draw a calendar rule that began within the two years before `start`."""
     wall = zones.as_wall(zones.local(start, zone).replace(second=0))
     first = wall // DAY * DAY - rng.randrange(730) * DAY + rng.randrange(1440) * 60
-    if rng.random() < 0.5:  # the hours at which clocks are changed
+    if rng.random() < 0.5:  # hours in which clocks change
         first = first // DAY * DAY + rng.choice((0, 1, 2, 3)) * 3600 + rng.randrange(60) * 60
     text = rng.choice(
         (
@@ -105,7 +109,7 @@
 
 
 def draw_entries(count: int, seed: int, start: int) -> list[Entry]:
-    """Draw entries: three of four from cron tables, the others from calendars."""
+    """Draw entries: three of four are cron entries, the others calendar entries."""
     rng = random.Random(seed)
     found = []
     for n in range(count):
@@ -134,7 +138,7 @@
 
 
 def write_records(model: Model, entries: list[Entry]) -> None:
-    """Write the entries' records with both templates, and no role yet."""
+    """Write the records of the entries and both templates; nobody holds the role yet."""
     pairs: list[tuple[str, Any]] = []
     for name, priority in ((TEMPLATE, 1), (URGENT, 2)):
         spec = JobSpec(
@@ -172,7 +176,10 @@
 
 
 def schedule_faults(model: Model, end: float) -> Counter:
-    """Draw a year's troubles; outages and falls of all over midnight and changes of clocks."""
+    """Schedule faults until `end` and count them by kind.
+
+    Some outages and crashes of all controllers span midnight or typical hours of clock changes.
+    """
     rng = model.rng
     count: Counter[str] = Counter()
 
@@ -206,7 +213,7 @@
             "cut",
             lambda controller=controller: model.partition(controller, rng.uniform(5, 300)),
         )
-        # The role changes hands at a full minute, in the middle of what is due.
+        # Crash the holder just after a full minute, among the firings that are due.
         schedule_at(
             day + rng.randrange(1440) * 60 + rng.uniform(0.1, 0.4),
             "crash in a burst",
@@ -216,7 +223,7 @@
             schedule_at(
                 day + rng.uniform(0, DAY), "outage", lambda: model.outage(rng.uniform(5, 1800))
             )
-        if rng.random() < 0.1:  # over an awkward hour, UTC
+        if rng.random() < 0.1:  # over hours (UTC) in which clocks change
             schedule_at(
                 day + rng.choice((0, 1, 2, 15, 16)) * 3600 - rng.uniform(10, 900),
                 "night outage",
@@ -237,7 +244,7 @@
 
 
 def replay(entries: int, days: int, seed: int, start: int) -> Result:
-    """Play so many days with so many entries; compare all firings with the oracle's."""
+    """Replay `days` days with `entries` entries and compare all firings with the oracle."""
     begin = time.monotonic()
     model = Model(start, seed)
     drawn = draw_entries(entries, seed, start)
@@ -259,7 +266,7 @@
     troubles: dict[str, int],
     begin: float,
 ) -> Result:
-    """Compare what was decided with what should have been."""
+    """Compare the decided firings with the expected ones."""
     lost, besides, doubled = [], [], list(model.duplicate_jobs)
     histogram = HdrHistogram(1, 7 * DAY * 1000, 3)
     made = skipped = early = firings = 0
@@ -315,12 +322,12 @@
 
 
 def format_instant(at: int) -> str:
-    """Return an instant for people."""
+    """Return an instant as ISO text."""
     return datetime.fromtimestamp(at, UTC).isoformat()
 
 
 class Burst(NamedTuple):
-    """What many firings at once cost: lateness by priority (ms), changes a firing, and ticks."""
+    """Cost of many simultaneous firings: lateness by priority (s), changes per firing, ticks."""
 
     entries: int
     rate: float
@@ -333,7 +340,10 @@
 
 
 def burst(entries: int, rate: float, seed: int, start: int) -> Burst:
-    """Make so many entries due in one second, a tenth of them urgent, at a rate of changes."""
+    """Measure `entries` firings due in one second, a tenth of them urgent.
+
+    `rate` limits the changes per second at the state service.
+    """
     model = Model(start, seed)
     rule = cron_rule("0 3 * * *", "UTC")
     drawn = [
--- a/oakmux/schedules/zones.py
+++ b/oakmux/schedules/zones.py
@@ -1,4 +1,4 @@
-"""Time zones from the pinned tzdata alone, so that all controllers agree on every firing."""
+"""Time zones from the pinned tzdata only, so that all controllers agree on every firing."""
 
 import zoneinfo
 from datetime import UTC, datetime, timedelta, tzinfo
@@ -6,16 +6,16 @@
 
 from oakmux import constants
 
-zoneinfo.reset_tzpath(to=[])  # what the machine has installed may be older, or newer
+zoneinfo.reset_tzpath(to=[])  # the system's tzdata may be older or newer
 
 
 class UnknownZoneError(ValueError):
-    """A name that tzdata does not know; the text says so."""
+    """A zone name that tzdata does not have."""
 
 
 @lru_cache(maxsize=constants.CACHED_TIME_ZONES)
 def zone(name: str) -> tzinfo:
-    """Return the time zone of a name like `Africa/Nairobi`; raises UnknownZoneError."""
+    """Return the time zone with a name like `Africa/Nairobi`; raises UnknownZoneError."""
     if name == "UTC":
         return UTC
     try:
@@ -30,20 +30,21 @@
 
 
 def as_wall(moment: datetime) -> int:
-    """Return the hands of a clock as seconds, as if they showed UTC: what orders local times."""
+    """Return a local time as seconds since 1970, read as if it were UTC: orders local times."""
     return int(moment.replace(tzinfo=UTC).timestamp())
 
 
 def from_wall(wall: int) -> datetime:
-    """Return the local time, without a zone, of seconds made by `as_wall`."""
+    """Return the local time, without a zone, of a value from `as_wall`."""
     return datetime.fromtimestamp(wall, UTC).replace(tzinfo=None)
 
 
 def instant(wall: int, name: str, fold: int = 0) -> int:
     """Return the instant (s) at which a zone's clocks show a wall time.
 
-    Shown twice: the first, or the second if `fold` is 1. Never shown: by the offset before the
-    gap, thus as long after the gap's end as it would have been before it (RFC 5545, 3.3.5).
+    A wall time that occurs twice means the first occurrence, or the second if `fold` is 1. A wall
+    time in a gap is read with the offset before the gap, so that it is shown later by the length
+    of the gap (RFC 5545, 3.3.5).
     """
     return int(from_wall(wall).replace(tzinfo=zone(name), fold=fold).timestamp())
 
@@ -51,7 +52,7 @@
 def latest_wall(at: int, name: str) -> int:
     """Return the latest wall time (s) that a zone's clocks have shown by an instant.
 
-    Within an hour that clocks show again, it is the hour's end: all of its first showing is over.
+    While clocks repeat an hour, this is the end of the hour, which they have shown once in full.
     """
     here = local(at, name)
     wall = as_wall(here)
@@ -61,14 +62,14 @@
 
 
 def offset_change_before(at: int, name: str) -> int:
-    """Return the first instant of an offset that began within hours before an instant."""
+    """Return when the offset at an instant began: at most CLOCK_CHANGE_MAX_S earlier."""
     return offset_change_between(at - int(constants.CLOCK_CHANGE_MAX_S), at, name)
 
 
 def offset_change_between(low: int, high: int, name: str) -> int:
-    """Return the first instant after `low` that has the offset of `high`."""
+    """Return the first instant after `low` with the offset of `high`; one change lies between."""
     shift = local(high, name).utcoffset()
-    while high - low > 1:  # the change lies between the two
+    while high - low > 1:  # bisect
         middle = (low + high) // 2
         if local(middle, name).utcoffset() == shift:
             high = middle
@@ -78,7 +79,7 @@
 
 
 def offset_change_near(at: int, name: str) -> tuple[timedelta, timedelta] | None:
-    """Return the offsets before and after if clocks were changed in the hours round an instant."""
+    """Return the offsets before and after a change within CLOCK_CHANGE_MAX_S of an instant."""
     reach = int(constants.CLOCK_CHANGE_MAX_S)
     before = local(at - reach, name).utcoffset() or timedelta(0)
     after = local(at + reach, name).utcoffset() or timedelta(0)
