--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,6 +1,6 @@
-"""A real process on loopback: a simulated deployment in real time, with both listeners.
+"""A process with a simulated deployment in real time, and both listeners on loopback.
 
-Prints one JSON line with its ports and tokens once it serves.
+Prints one JSON line with its ports and tokens when it is ready.
 """
 
 import asyncio
@@ -26,14 +26,14 @@
 
 
 def free_port() -> int:
-    """Return a port that nobody listens on."""
+    """Return an unused port."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return int(sock.getsockname()[1])
 
 
 def write_settings(folder: Path, port: int, teams: list[str]) -> tuple[str, dict[str, str]]:
-    """Write the operator's files; return the INI's path and a token for each team."""
+    """Write the schedule settings; return the INI file's path and a token for each team."""
     team_tokens = {team: tokens.make(team) for team in teams}
     (folder / "tokens").write_text(
         "# who may write\n" + "\n".join(row for _, row in team_tokens.values()) + "\n"
--- a/tests/test_schedule_clients.py
+++ b/tests/test_schedule_clients.py
@@ -1,4 +1,4 @@
-"""Clients of schedules: a CalDAV client over TLS and the command line, on loopback."""
+"""CalDAV over TLS and the `oakmux schedule` commands, against a service on loopback."""
 
 import base64
 import json
@@ -57,7 +57,7 @@
 def send_request(
     service: dict, method: str, path: str, body: bytes = b"", team: str = "red", **headers: str
 ) -> tuple[int, bytes]:
-    """Make a request of any kind; return status and body."""
+    """Send a raw HTTP request; return status and body."""
     context = ssl.create_default_context(cafile=CERT)
     conn = HTTPSConnection("localhost", service["dav"], timeout=10, context=context)
     login = base64.b64encode(f"{team}:{service['tokens'][team]}".encode()).decode()
@@ -81,7 +81,7 @@
 
 
 def run_command(service: dict, *args: str, code: int = 0) -> str:
-    """Run the command line; return what it printed."""
+    """Run a command; check its exit code and return its output."""
     result = CliRunner().invoke(
         main, ["--server", f"127.0.0.1:{service['public']}", *args], catch_exceptions=False
     )
--- a/tests/test_schedule_expressions.py
+++ b/tests/test_schedule_expressions.py
@@ -1,4 +1,4 @@
-"""Cron expressions and recurrences: their firings against an oracle, and robust parsers."""
+"""Firings of cron expressions and recurrences against an oracle, and robustness of parsers."""
 
 from datetime import UTC, datetime, timedelta
 from functools import cache
@@ -24,7 +24,7 @@
     "Pacific/Apia",
     "Australia/Adelaide",
 ]
-# Days round changes of clocks in those zones, and others.
+# Days near clock changes in these zones, and other days.
 DAYS = [
     "2026-03-28",
     "2026-10-24",
@@ -108,7 +108,7 @@
     ],
 )
 def test_half_hour_daylight_saving_change(text, day):
-    """Found by the replayed year: the library, given the zone, lost the turn after it."""
+    """cronsim loses the firing after such a change if it is given the time zone."""
     rule = cron_rule(text, "Australia/Lord_Howe")
     start = int(datetime.fromisoformat(day).replace(tzinfo=UTC).timestamp())
     for shift in (0, 86_400 + 14 * 3600, 86_400 + 15 * 3600 + 600, 86_400 + 16 * 3600):
@@ -192,11 +192,11 @@
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.binary(max_size=300), st.text(max_size=200))
 def test_arbitrary_input_raises_only_parse_errors(data, text):
-    for one in (data.decode("latin-1"), text, "0 3 * * " + text, "BEGIN:VCALENDAR\n" + text):
-        crontab.parse(one)
-        crontab.parse(one, system=True)
+    for sample in (data.decode("latin-1"), text, "0 3 * * " + text, "BEGIN:VCALENDAR\n" + text):
+        crontab.parse(sample)
+        crontab.parse(sample, system=True)
         with pytest.raises(calendars.CalendarError):
-            calendars.parse(one, "UTC")
+            calendars.parse(sample, "UTC")
     tokens.credentials(text)
     with pytest.raises(xml.XmlError):
         xml.read(data, xml.DAV + "propfind")
@@ -299,7 +299,7 @@
     assert made.rule.zone == "UTC"
     assert local_firings(calendar("DTSTART;TZID=Europe/Berlin:20260329T023000"), 2) == [
         "2026-03-29T03:30"
-    ]  # never shown: as long after the gap
+    ]  # in a gap: later by its length
 
 
 def test_to_do_sets_a_deadline_and_policy():
@@ -347,7 +347,7 @@
     ],
 )
 def test_a_recurrence_without_occurrences_is_rejected_at_once(text):
-    """The library goes to the year 9999 for some of these, while a controller stands still."""
+    """dateutil searches up to the year 9999 for some of these, which blocks a controller."""
     with pytest.raises(RuleError, match="no instance"):
         check_recurrence(text, zones.as_wall(datetime(1990, 1, 1, 3, 30)))
 
--- a/tests/test_schedule_replay.py
+++ b/tests/test_schedule_replay.py
@@ -1,4 +1,4 @@
-"""A shortened replay of a year of firings, which must detect unconditional writes."""
+"""A shortened replay of a year of firings, which must also detect unconditional writes."""
 
 from datetime import datetime
 
@@ -22,8 +22,10 @@
 
 @pytest.mark.parametrize("dropped_prefix", ["own/", "s/m/"])
 def test_the_replay_detects_unconditional_writes(monkeypatch, dropped_prefix):
-    """Without the guard of the shard and the jobs a deposed holder's late writes do harm; that of
-    the role alone is covered by the shard's, which is what makes a turn exactly one."""
+    """Late writes of a former role holder do harm if no condition on shard, jobs and role is left.
+    Dropping the condition on the role alone does no harm: the condition on the shard already
+    ensures that each firing happens exactly once.
+    """
     send = dispatcher.FiringDispatcher._send
 
     def send_without_guards(self, batch):
