--- a/oakmux/schedules/crontab.py
+++ b/oakmux/schedules/crontab.py
@@ -1,6 +1,6 @@
-"""Cron tables: a file's text becomes lines with a rule each, or errors with line and column.
+"""Parser for cron tables: returns a rule for each line, or an error with line and column.
 
-The grammar is in `crontab.lark`; `firings` checks what the fields hold and when they fire.
+The grammar is in `crontab.lark`; `firings` checks complete rules and computes when they fire.
 """
 
 import re
@@ -25,8 +25,8 @@
 )
 MONTHS = ["jan", "feb", "mar", "apr", "may", "jun", "jul", "aug", "sep", "oct", "nov", "dec"]
 DAYS = ["sun", "mon", "tue", "wed", "thu", "fri", "sat"]
-ZONE_NAMES = ("CRON_TZ", "TZ")
-PLAIN = {
+ZONE_VARIABLES = ("CRON_TZ", "TZ")
+TOKEN_DESCRIPTIONS = {
     "_WS": "a blank",
     "NUMBER": "a number",
     "WORD": "a name",
@@ -46,7 +46,7 @@
 
 
 class Line(NamedTuple):
-    """One entry of a table; `number` counts from 1, `stdin` are the lines after a %."""
+    """An entry of a table: `number` is the line, from 1; `stdin` the lines after the first %."""
 
     number: int
     rule: Rule
@@ -57,7 +57,7 @@
 
 
 class Problem(NamedTuple):
-    """A line that can't be kept: where (from 1), and what is wrong with it."""
+    """An invalid line: line number and column (both from 1) and the reason."""
 
     number: int
     column: int
@@ -65,7 +65,7 @@
 
     @property
     def text(self) -> str:
-        """The problem in one line."""
+        """The problem as one line of text."""
         return f"line {self.number}, column {self.column}: {self.reason}"
 
 
@@ -78,50 +78,50 @@
 def parse(
     text: str, default_zone: str = "UTC", system: bool = False
 ) -> tuple[list[Line], list[Problem]]:
-    """Return a table's entries and its problems; `system` tables have a column for the user.
+    """Return the entries and the problems of a table; `system` tables have a user column.
 
-    Environment lines hold from where they stand. Neither list is ever a stand-in for the other:
-    whoever imports must look at the problems.
+    An environment line applies to the lines after it. Entries are returned even if other lines
+    have problems, so callers must check both lists.
     """
     lines: list[Line] = []
     problems: list[Problem] = []
     environment: dict[str, str] = {}
     if len(text) > constants.CRONTAB_BYTES:
         return [], [Problem(1, 1, f"more than {constants.CRONTAB_BYTES} characters")]
-    for number, raw in _joined(text):
+    for number, raw in _logical_lines(text):
         if not raw.strip() or raw.lstrip().startswith("#"):
             continue
         try:
-            found = _line(raw, number, default_zone, system, environment)
-        except _Bad as bad:
+            parsed = _line(raw, number, default_zone, system, environment)
+        except _LineError as bad:
             problems.append(Problem(number, bad.column, bad.reason))
             continue
-        if isinstance(found, Line):
-            lines.append(found)
+        if isinstance(parsed, Line):
+            lines.append(parsed)
         else:
-            environment = _without_empty({**environment, **found})
+            environment = _without_empty_zones({**environment, **parsed})
     return lines, problems
 
 
-class _Bad(Exception):
+class _LineError(Exception):
     def __init__(self, column: int, reason: str) -> None:
         super().__init__(reason)
         self.column = column
         self.reason = reason
 
 
-def _joined(text: str) -> Iterator[tuple[int, str]]:
-    """Yield (number, line), a line that ends in a backslash joined to the next."""
-    held, start = "", 0
+def _logical_lines(text: str) -> Iterator[tuple[int, str]]:
+    """Yield (number, line); a line that ends in one backslash is joined to the next."""
+    continued, start = "", 0
     for number, raw in enumerate(re.split(r"\r\n|\r|\n", text), 1):
         start = start or number
         if raw.endswith("\\") and not raw.endswith("\\\\"):
-            held += raw[:-1] + " "
+            continued += raw[:-1] + " "
             continue
-        yield start, held + raw
-        held, start = "", 0
-    if held:
-        yield start, held
+        yield start, continued + raw
+        continued, start = "", 0
+    if continued:
+        yield start, continued
 
 
 def _line(
@@ -130,24 +130,24 @@
     try:
         tree = _grammar().parse(raw)
     except UnexpectedInput as error:
-        raise _Bad(*_place(error, raw)) from None
+        raise _LineError(*_error_position(error, raw)) from None
     if not tree.children:
-        raise _Bad(1, "nothing that a table has")
-    found = tree.children[0]
-    assert isinstance(found, Tree)
-    if found.data == "environment":
-        return _environment(found)
+        raise _LineError(1, "nothing that a table has")
+    content = tree.children[0]
+    assert isinstance(content, Tree)
+    if content.data == "environment":
+        return _environment(content)
     zone_name = next(
-        (environment[name] for name in ZONE_NAMES if name in environment), default_zone
+        (environment[name] for name in ZONE_VARIABLES if name in environment), default_zone
     )
-    rest = found.children[-1]
-    assert isinstance(rest, Tree) and isinstance(rest.children[0], Token)
-    user, command, stdin = _command(rest.children[0], system)
-    return Line(number, _rule(found, zone_name), user, command, stdin, dict(environment))
+    command_tree = content.children[-1]
+    assert isinstance(command_tree, Tree) and isinstance(command_tree.children[0], Token)
+    user, command, stdin = _command(command_tree.children[0], system)
+    return Line(number, _rule(content, zone_name), user, command, stdin, dict(environment))
 
 
-def _place(error: UnexpectedInput, raw: str) -> tuple[int, str]:
-    """Return the column at which a line stops making sense, and what was expected there."""
+def _error_position(error: UnexpectedInput, raw: str) -> tuple[int, str]:
+    """Return the column of a syntax error and what was expected there."""
     column = error.column if error.column > 0 else len(raw) + 1
     if isinstance(error, UnexpectedToken):
         names = error.accepts or error.expected
@@ -155,7 +155,7 @@
             column = len(raw) + 1
     else:
         names = getattr(error, "allowed", None) or set()
-    text = ", ".join(sorted({PLAIN.get(name, name) for name in names}))
+    text = ", ".join(sorted({TOKEN_DESCRIPTIONS.get(name, name) for name in names}))
     return column, f"expected {text or 'five fields and a command'}"
 
 
@@ -165,23 +165,23 @@
     text = str(value).rstrip()
     if isinstance(value, Token) and value.type in ("DOUBLE", "SINGLE"):
         text = text[1:-1]
-    if name in ZONE_NAMES and text:
+    if name in ZONE_VARIABLES and text:
         try:
             zone(text.removeprefix(":"))
         except UnknownZoneError as error:
             column = value.column if isinstance(value, Token) and value.column else 1
-            raise _Bad(column, str(error)) from None
+            raise _LineError(column, str(error)) from None
         text = text.removeprefix(":")
     return {name: text}
 
 
-def _without_empty(environment: dict[str, str]) -> dict[str, str]:
-    """Return what is set; an empty zone means the usual one again."""
-    return {name: text for name, text in environment.items() if text or name not in ZONE_NAMES}
+def _without_empty_zones(environment: dict[str, str]) -> dict[str, str]:
+    """Drop empty zone variables: they restore the default zone."""
+    return {name: text for name, text in environment.items() if text or name not in ZONE_VARIABLES}
 
 
 def _command(token: Token, system: bool) -> tuple[str, str, str]:
-    """Split the end of a line into user, command and what the command reads."""
+    """Split the end of a line into user, command and the command's standard input."""
     text, user = str(token), ""
     column = token.column or 1
     if system:
@@ -190,7 +190,7 @@
         )
         text = text.strip()
         if not text:
-            raise _Bad(column + len(user), "expected a command after the user")
+            raise _LineError(column + len(user), "expected a command after the user")
     command, *stdin = re.split(r"(?<!\\)%", text)
     lines = [part.replace("\\%", "%") for part in (command, *stdin)]
     return user, lines[0].strip(), "\n".join(lines[1:])
@@ -203,7 +203,7 @@
         try:
             return cron_rule(str(first), zone_name)
         except RuleError as error:
-            raise _Bad(
+            raise _LineError(
                 first.column or 1,
                 f"{first}: {error}".removeprefix(f"{first}: {first}: ")
                 if str(error).startswith("@")
@@ -216,17 +216,17 @@
     try:
         return cron_rule(" ".join(parts), zone_name)
     except RuleError as error:
-        raise _Bad(_first(tree), str(error)) from None
+        raise _LineError(_first_column(tree), str(error)) from None
 
 
-def _first(tree: Tree) -> int:
+def _first_column(tree: Tree) -> int:
     token = next(tree.scan_values(lambda value: isinstance(value, Token)))
     return token.column or 1
 
 
 def _field(field: Tree, name: str, low: int, high: int) -> str:
-    """Return a field as written, its values checked."""
-    made = []
+    """Return a field with its names as numbers; check the range of each value."""
+    parts = []
     for part in field.children:
         assert isinstance(part, Tree)
         base, *step = part.children
@@ -243,17 +243,17 @@
                 ends[1] = 7  # sat-sun
                 text = f"{ends[0]}-7"
             if len(ends) == 2 and ends[0] > ends[1]:
-                raise _Bad(_first(base), f"{name}: {text} runs backwards")
+                raise _LineError(_first_column(base), f"{name}: {text} runs backwards")
         if step:
             token = step[0]
             assert isinstance(token, Token)
             if not 0 < int(token) <= high:
-                raise _Bad(token.column or 1, f"{name}: a step of 1 to {high} is expected")
-            if len(ends) == 1:  # as old crons have it: from there on
+                raise _LineError(token.column or 1, f"{name}: a step of 1 to {high} is expected")
+            if len(ends) == 1:  # as in traditional cron: from this value on
                 text += f"-{high}"
             text += f"/{int(token)}"
-        made.append(text)
-    return ",".join(made)
+        parts.append(text)
+    return ",".join(parts)
 
 
 def _value(token: object, name: str, low: int, high: int) -> int:
@@ -262,9 +262,9 @@
     if token.type == "WORD":
         word = str(token).lower()
         if word not in names:
-            kept = f" or one of {', '.join(names)}" if names else ""
-            raise _Bad(token.column or 1, f"{name}: {low} to {high}{kept} is expected")
+            names_hint = f" or one of {', '.join(names)}" if names else ""
+            raise _LineError(token.column or 1, f"{name}: {low} to {high}{names_hint} is expected")
         return names.index(word) + (1 if name == "month" else 0)
     if len(token) > 4 or not low <= int(token) <= high:
-        raise _Bad(token.column or 1, f"{name}: {low} to {high} is expected")
+        raise _LineError(token.column or 1, f"{name}: {low} to {high} is expected")
     return int(token)
--- a/oakmux/schedules/firings.py
+++ b/oakmux/schedules/firings.py
@@ -96,7 +96,7 @@
 
 def mark_at(rule: Rule, at: int) -> int:
     """Return the mark up to which all firings are over at an instant (s)."""
-    return at if by_instant(rule) else zones.reached(at, rule.zone)
+    return at if by_instant(rule) else zones.latest_wall(at, rule.zone)
 
 
 def firings(rule: Rule, after: int, explain: bool = False) -> Iterator[Firing]:
@@ -130,7 +130,7 @@
         at = zones.instant(wall, rule.zone)
         mark, why = zones.as_wall(zones.local(at, rule.zone)), ""
         if mark != wall:
-            at = zones.change_before(at, rule.zone)
+            at = zones.offset_change_before(at, rule.zone)
             mark = zones.as_wall(zones.local(at, rule.zone))
             why = "its time is not shown that day: clocks go ahead, so at the gap's end"
         elif explain and zones.instant(wall, rule.zone, 1) != at:
@@ -142,7 +142,7 @@
 
 def _instant_firings(rule: Rule, after: int, explain: bool) -> Iterator[Firing]:
     start = zones.as_wall(zones.local(after, rule.zone))
-    if zones.change_near(after, rule.zone):
+    if zones.offset_change_near(after, rule.zone):
         start -= int(constants.CLOCK_CHANGE_MAX_S)
     pending: list[Firing] = []  # a second showing comes after first showings of later wall times
     shown_twice = "clocks show this hour twice: so often runs in both" if explain else ""
@@ -164,10 +164,10 @@
     """Return a star rule's wall times that a clock change skips between two instants (s)."""
     if rule.kind != "cron" or not by_instant(rule):
         return []
-    change = zones.change_near((start + end) // 2, rule.zone)
+    change = zones.offset_change_near((start + end) // 2, rule.zone)
     if change is None or change[1] <= change[0]:
         return []
-    at = zones.change_between(start, end, rule.zone)
+    at = zones.offset_change_between(start, end, rule.zone)
     first = zones.as_wall(zones.local(at - 1, rule.zone))
     last = zones.as_wall(zones.local(at, rule.zone))
     found: list[int] = []
--- a/oakmux/schedules/plugin.py
+++ b/oakmux/schedules/plugin.py
@@ -59,9 +59,9 @@
     async def start(self, offer: Callable[[Command], bool], max_connections: int) -> None:
         """Open the listener for calendar clients, if it is configured."""
         if self.caldav is not None:
-            from oakmux.schedules.dav.serve import Dav  # imports the calendar and XML parsers
+            from oakmux.schedules.dav.serve import CalDavServer  # needs icalendar, defusedxml
 
-            await Dav(offer, self.caldav.tokens).listen(
+            await CalDavServer(offer, self.caldav.tokens).listen(
                 self.caldav.listen, self.caldav.context, max(1, max_connections // 4)
             )
 
--- a/oakmux/schedules/replay/oracle.py
+++ b/oakmux/schedules/replay/oracle.py
@@ -1,7 +1,7 @@
-"""Which firings there should be, found slowly: minute by minute, sharing nothing with `firings`.
+"""Slow oracle for the expected firings; it shares no code with the computation in `firings`.
 
-Cron fields are read anew here, recurrences are tried day by day, and a change of clocks is seen
-as what it is: wall minutes that no instant shows, or that two do.
+It goes minute by minute, with its own cron parser, and tries recurrences day by day. A clock
+change appears as wall minutes that no instant shows, or that two instants show.
 """
 
 from collections.abc import Iterator
@@ -16,8 +16,10 @@
 
 
 class Minute(NamedTuple):
-    """One minute of a zone: its instant (s), what clocks show, whether for the second time, and
-    the wall minutes that were left out just before it.
+    """One minute of a zone.
+
+    `at` is its instant (s) and `wall` the time that clocks show; `again` means that they show it
+    for the second time. `left_out` are the wall minutes skipped just before it.
     """
 
     at: int
@@ -28,10 +30,10 @@
 
 def minutes(name: str, start: int, end: int) -> Iterator[Minute]:
     """Yield the minutes of a zone whose instants lie in [start, end)."""
-    here = zone(name)
-    latest = datetime.fromtimestamp(start - 60, UTC).astimezone(here).replace(tzinfo=None)
+    tz = zone(name)
+    latest = datetime.fromtimestamp(start - 60, UTC).astimezone(tz).replace(tzinfo=None)
     for at in range(start, end, 60):
-        wall = datetime.fromtimestamp(at, UTC).astimezone(here).replace(tzinfo=None)
+        wall = datetime.fromtimestamp(at, UTC).astimezone(tz).replace(tzinfo=None)
         left_out = []
         step = latest + timedelta(minutes=1)
         while step < wall:
@@ -43,21 +45,21 @@
 
 
 def _field(text: str, low: int, high: int) -> set[int]:
-    found: set[int] = set()
+    values: set[int] = set()
     for part in text.split(","):
         base, _, step = part.partition("/")
         if base == "*":
             first, last = low, high
         else:
-            one, _, other = base.partition("-")
-            first = int(one)
-            last = int(other) if other else first
-        found.update(range(first, last + 1, int(step or 1)))
-    return found
+            low_text, _, high_text = base.partition("-")
+            first = int(low_text)
+            last = int(high_text) if high_text else first
+        values.update(range(first, last + 1, int(step or 1)))
+    return values
 
 
 class CronOracle:
-    """One cron expression."""
+    """Matches minutes against one cron expression."""
 
     def __init__(self, text: str) -> None:
         fields = text.split()
@@ -65,31 +67,33 @@
             _field(field, *span) for field, span in zip(fields, RANGES, strict=True)
         )
         self.weekdays = {day % 7 for day in weekdays}
-        self.stars = fields[0].startswith("*") or fields[1].startswith("*")
-        self.both = not (fields[2].startswith("*") or fields[4].startswith("*"))
+        self.wildcard_time = fields[0].startswith("*") or fields[1].startswith("*")
+        self.either_day = not (fields[2].startswith("*") or fields[4].startswith("*"))
 
-    def day(self, wall: date) -> bool:
-        """Whether the expression has this day."""
+    def matches_day(self, wall: date) -> bool:
+        """Whether the expression matches a day."""
         of_month, of_week = wall.day in self.days, wall.isoweekday() % 7 in self.weekdays
         return wall.month in self.months and (
-            of_month or of_week if self.both else of_month and of_week
+            of_month or of_week if self.either_day else of_month and of_week
         )
 
-    def shows(self, wall: datetime) -> bool:
-        """Whether the expression has this wall minute."""
-        return wall.minute in self.minutes and wall.hour in self.hours and self.day(wall)
+    def matches_wall(self, wall: datetime) -> bool:
+        """Whether the expression matches a wall minute, regardless of clock changes."""
+        return wall.minute in self.minutes and wall.hour in self.hours and self.matches_day(wall)
 
-    def has(self, minute: Minute) -> bool:
-        """Whether there is a firing in this minute."""
-        if self.stars:
-            return self.shows(minute.wall)
+    def fires_in(self, minute: Minute) -> bool:
+        """Whether the expression fires in a minute."""
+        if self.wildcard_time:
+            return self.matches_wall(minute.wall)
         if minute.again:
             return False
-        return self.shows(minute.wall) or any(self.shows(wall) for wall in minute.left_out)
+        return self.matches_wall(minute.wall) or any(
+            self.matches_wall(wall) for wall in minute.left_out
+        )
 
 
 class CalendarOracle:
-    """One calendar rule: RRULE parts by day, EXDATE, RDATE, moved instances."""
+    """Matches minutes against one calendar rule: RRULE, EXDATE, RDATE, moved instances."""
 
     def __init__(self, rule: Rule, last: datetime) -> None:
         self.parts = dict(part.split("=") for part in rule.text.split(";")) if rule.text else {}
@@ -110,16 +114,15 @@
                 walls.add(datetime.fromtimestamp(new, UTC).replace(tzinfo=None))
         self.walls = walls
 
-    def has(self, minute: Minute) -> bool:
-        """Whether there is a firing in this minute.
+    def fires_in(self, minute: Minute) -> bool:
+        """Whether the rule fires in a minute.
 
-        One that no clock shows is as long after the gap as it would have been before it, thus
-        shown later by the length of the gap.
+        An instance in a gap fires later by the length of the gap; see `shift_gaps`.
         """
         return not minute.again and minute.wall in self.walls
 
     def _walls(self, last: datetime) -> Iterator[datetime]:
-        """Yield the wall times of all instances, in order, up to a time."""
+        """Yield the wall times of all RRULE instances up to `last`, in order."""
         yield self.start
         if not self.parts:
             return
@@ -130,11 +133,11 @@
         moment = self.start
         while moment <= end and seen < count:
             moment += timedelta(days=1)
-            if moment <= end and self._day(moment.date()):
+            if moment <= end and self._matches_day(moment.date()):
                 seen += 1
                 yield moment
 
-    def _day(self, day: date) -> bool:
+    def _matches_day(self, day: date) -> bool:
         first, interval = self.start.date(), int(self.parts.get("INTERVAL", 1))
         by_month = [int(m) for m in self.parts.get("BYMONTH", "").split(",") if m]
         by_days = [d for d in self.parts.get("BYDAY", "").split(",") if d]
@@ -158,7 +161,7 @@
             if months % interval:
                 return False
             if by_days:
-                return any(self._nth(day, text) for text in by_days)
+                return any(self._matches_weekday(day, text) for text in by_days)
             length = (
                 (day.replace(day=28) + timedelta(days=4)).replace(day=1) - timedelta(days=1)
             ).day
@@ -167,7 +170,7 @@
             day.day == first.day and (bool(by_month) or day.month == first.month)
         )
 
-    def _nth(self, day: date, text: str) -> bool:
+    def _matches_weekday(self, day: date, text: str) -> bool:
         if WEEKDAYS[day.weekday()] != text[-2:]:
             return False
         number = int(text[:-2] or 0)
@@ -181,21 +184,21 @@
 
 
 def shift_gaps(oracle: CalendarOracle, all_minutes: list[Minute]) -> None:
-    """Move the instances that no clock shows to where they are taken to be."""
+    """Move instances in a gap, which no clock shows, later by the length of the gap."""
     for minute in all_minutes:
         if minute.left_out:
-            by = timedelta(minutes=len(minute.left_out))
+            gap = timedelta(minutes=len(minute.left_out))
             for wall in minute.left_out:
                 if wall in oracle.walls:
                     oracle.walls.discard(wall)
-                    oracle.walls.add(wall + by)
+                    oracle.walls.add(wall + gap)
 
 
 def expected(rule: Rule, all_minutes: list[Minute]) -> set[int]:
-    """Return the instants (s) of all firings within these minutes."""
+    """Return the instants (s) of all firings of a rule within these minutes."""
     if rule.kind == "cron":
         cron = CronOracle(rule.text)
-        return {minute.at for minute in all_minutes if cron.has(minute)}
+        return {minute.at for minute in all_minutes if cron.fires_in(minute)}
     calendar = CalendarOracle(rule, all_minutes[-1].wall)
     shift_gaps(calendar, all_minutes)
-    return {minute.at for minute in all_minutes if calendar.has(minute)}
+    return {minute.at for minute in all_minutes if calendar.fires_in(minute)}
