--- a/tests/test_scale_bench.py
+++ b/tests/test_scale_bench.py
@@ -32,63 +32,71 @@
     return load_config(DATA)
 
 
-def job(kind: Kind, team: int = 0, tasks: int = 2, serial: int = 1) -> Job:
+def make_job(kind: Kind, team: int = 0, tasks: int = 2, serial: int = 1) -> Job:
     """Return a job."""
     return Job(kind, team, tasks, 5.0, serial)
 
 
-def on(at: float, made: Job, number: int, machine: str, zone: int = 0) -> Event:
+def placed_event(at: float, job: Job, number: int, machine: str, zone: int = 0) -> Event:
     """Return that a task has its image."""
-    return Event(at, "on", f"{made.id}/{number}", (1, machine, zone_name(zone), ""))
+    return Event(at, "on", f"{job.id}/{number}", (1, machine, zone_name(zone), ""))
 
 
-def off(at: float, made: Job, number: int, machine: str, cause: str = "done") -> Event:
+def ended_event(at: float, job: Job, number: int, machine: str, cause: str = "done") -> Event:
     """Return that a task is over."""
-    return Event(at, "off", f"{made.id}/{number}", (1, machine, zone_name(0), cause))
+    return Event(at, "off", f"{job.id}/{number}", (1, machine, zone_name(0), cause))
 
 
-def told(at: float, verb: str, made: Job) -> Event:
+def user_event(at: float, verb: str, job: Job) -> Event:
     """Return what a user was told."""
-    return Event(at, verb, made.id, ())
+    return Event(at, verb, job.id, ())
 
 
-ARRAY, GANG = job(Kind.ARRAY), job(Kind.GANG, serial=2)
-PINNED = job(Kind.PINNED, team=1, serial=3)
+ARRAY, GANG = make_job(Kind.ARRAY), make_job(Kind.GANG, serial=2)
+PINNED = make_job(Kind.PINNED, team=1, serial=3)
 
 # The ledger is the run's only judge: each rule has a course of events that must break it, and one
 # next to it that must not.
-FAULTS = {
-    "ran_twice": [on(1, ARRAY, 0, "m1"), on(2, ARRAY, 0, "m2")],
-    "quota": [on(1, job(Kind.ARRAY, serial=n), 0, f"m{n}") for n in range(40)],
-    "wrong_place": [on(1, GANG, 0, "m1", 0), on(2, GANG, 1, "m2", 1)],
-    "ran_cancelled": [on(1, ARRAY, 0, "m1"), told(2, "cancelled", ARRAY), told(30, "asked", GANG)],
-    "not_done": [on(1, ARRAY, 0, "m1"), off(2, ARRAY, 0, "m1"), told(3, "done", ARRAY)],
-    "forgotten": [told(1, "accepted", ARRAY), told(2, "forgotten", ARRAY)],
+BREAKING_EVENTS = {
+    "ran_twice": [placed_event(1, ARRAY, 0, "m1"), placed_event(2, ARRAY, 0, "m2")],
+    "quota": [placed_event(1, make_job(Kind.ARRAY, serial=n), 0, f"m{n}") for n in range(40)],
+    "wrong_place": [placed_event(1, GANG, 0, "m1", 0), placed_event(2, GANG, 1, "m2", 1)],
+    "ran_cancelled": [
+        placed_event(1, ARRAY, 0, "m1"),
+        user_event(2, "cancelled", ARRAY),
+        user_event(30, "asked", GANG),
+    ],
+    "not_done": [
+        placed_event(1, ARRAY, 0, "m1"),
+        ended_event(2, ARRAY, 0, "m1"),
+        user_event(3, "done", ARRAY),
+    ],
+    "forgotten": [user_event(1, "accepted", ARRAY), user_event(2, "forgotten", ARRAY)],
 }
-SOUND = [
-    on(1, ARRAY, 0, "m1"),
-    off(2, ARRAY, 0, "m1", "lease"),
-    on(3, ARRAY, 0, "m2"),
-    off(4, ARRAY, 0, "m2"),
-    on(3, ARRAY, 1, "m2"),
-    off(4, ARRAY, 1, "m2"),
-    told(5, "done", ARRAY),
-    on(5, GANG, 0, "m1", 1),
-    on(5, GANG, 1, "m2", 1),
-    off(6, GANG, 0, "m1"),
-    told(6, "done", GANG),
-    off(6.1, GANG, 1, "m2"),
-    on(7, PINNED, 0, "m1", 1),
-    told(8, "cancelled", PINNED),
-    off(16.9, PINNED, 0, "m1", "halted"),
-    told(30, "asked", ARRAY),
+CORRECT_EVENTS = [
+    placed_event(1, ARRAY, 0, "m1"),
+    ended_event(2, ARRAY, 0, "m1", "lease"),
+    placed_event(3, ARRAY, 0, "m2"),
+    ended_event(4, ARRAY, 0, "m2"),
+    placed_event(3, ARRAY, 1, "m2"),
+    ended_event(4, ARRAY, 1, "m2"),
+    user_event(5, "done", ARRAY),
+    placed_event(5, GANG, 0, "m1", 1),
+    placed_event(5, GANG, 1, "m2", 1),
+    ended_event(6, GANG, 0, "m1"),
+    user_event(6, "done", GANG),
+    ended_event(6.1, GANG, 1, "m2"),
+    placed_event(7, PINNED, 0, "m1", 1),
+    user_event(8, "cancelled", PINNED),
+    ended_event(16.9, PINNED, 0, "m1", "halted"),
+    user_event(30, "asked", ARRAY),
 ]
 
 
 @pytest.mark.parametrize("rule", RULES)
 def test_the_ledger_reports_each_broken_rule_and_nothing_else(rule, config):
     ledger = Ledger(config)
-    ledger.take(FAULTS[rule])
+    ledger.apply_events(BREAKING_EVENTS[rule])
     ledger.close(40.0)
     assert {name for name in RULES if ledger.counts[name]} == {rule}
     assert ledger.breaches[0].rule == rule
@@ -96,11 +104,11 @@
 
 def test_the_ledger_reports_nothing_for_a_correct_run(config):
     ledger = Ledger(config)
-    ledger.take(SOUND)
+    ledger.apply_events(CORRECT_EVENTS)
     ledger.close(60.0)
     assert not ledger.breaches
     assert ledger.counts["starts"] == 6
-    ledger.take([on(61, PINNED, 0, "m1", 0)])
+    ledger.apply_events([placed_event(61, PINNED, 0, "m1", 0)])
     assert {breach.rule for breach in ledger.breaches} == {"wrong_place", "ran_cancelled"}
 
 
@@ -109,15 +117,15 @@
     ledger, now = Ledger(config), 0.0
 
     def observe(verb: str, key: TaskKey, worker: HollowWorker, cause: str) -> None:
-        rest = (key.attempt, worker.name, worker.zone, cause)
-        ledger.take([Event(now, verb, key.task, rest)])
+        fields = (key.attempt, worker.name, worker.zone, cause)
+        ledger.apply_events([Event(now, verb, key.task, fields)])
 
-    made = [HollowWorker(config, name, "", zone_name(0), 0.0, observe) for name in ("m1", "m2")]
+    workers = [HollowWorker(config, name, "", zone_name(0), 0.0, observe) for name in ("m1", "m2")]
     order = {"verb": "launch", "piece": f"{ARRAY.id}/0", "try": 1}
-    for worker in made:
-        assert worker.direct({"baton": 3, "tenure": 1, "orders": [order]}, now) == 200
+    for worker in workers:
+        assert worker.apply_direct_orders({"baton": 3, "tenure": 1, "orders": [order]}, now) == 200
     now = 1.0
-    for worker in made:
+    for worker in workers:
         worker.advance(now)
     assert ledger.counts["ran_twice"] == 1
 
@@ -125,33 +133,35 @@
 def test_a_worker_follows_the_rules_of_lease_agent_epoch_and_fencing_token(config):
     worker = HollowWorker(config, "m1", "", zone_name(0), 0.0, lambda *_: None)
     launch = {"verb": "launch", "piece": f"{ARRAY.id}/0", "try": 1}
-    worker.answered(0.0, 1, {"baton": 5, "orders": [launch]}, 0.1)
+    worker.apply_answer(0.0, 1, {"baton": 5, "orders": [launch]}, 0.1)
     assert worker.fencing_token == 5
     assert len(worker.tasks) == 1
-    assert worker.direct({"baton": 4, "tenure": 1, "orders": []}, 0.2) == 409
-    assert worker.direct({"tenure": 1, "orders": []}, 0.2) == 400
-    again = {**launch, "try": 2}
-    worker.answered(0.2, 1, {"baton": 4, "orders": [again]}, 0.3)  # dropped: a lower token
-    assert worker.lease_from == 0.0
+    assert worker.apply_direct_orders({"baton": 4, "tenure": 1, "orders": []}, 0.2) == 409
+    assert worker.apply_direct_orders({"tenure": 1, "orders": []}, 0.2) == 400
+    second_launch = {**launch, "try": 2}
+    worker.apply_answer(
+        0.2, 1, {"baton": 4, "orders": [second_launch]}, 0.3
+    )  # dropped: a lower token
+    assert worker.lease_renewed_at == 0.0
     assert len(worker.tasks) == 1
-    worker.answered(0.4, 1, {"baton": 5, "orders": [again]}, 0.5)
-    assert worker.tasks[TaskKey(again["piece"], 2)].cause == "in_use"
+    worker.apply_answer(0.4, 1, {"baton": 5, "orders": [second_launch]}, 0.5)
+    assert worker.tasks[TaskKey(second_launch["piece"], 2)].cause == "in_use"
     worker.advance(0.4 + config.times.lease_s + 0.1)
     assert worker.agent_epoch == 2
     assert not worker.tasks
-    worker.answered(9.0, 1, {"baton": 5, "orders": [launch]}, 9.1)  # of an earlier session
+    worker.apply_answer(9.0, 1, {"baton": 5, "orders": [launch]}, 9.1)  # of an earlier session
     assert not worker.tasks
 
 
 def test_gangs_start_and_end_together_across_processes():
-    hub, made = GangHub(2), job(Kind.GANG)
-    assert not hub.take(0, [GangEvent("ready", made.id, 1, 0)], 0.0)
-    assert [row.verb for row in hub.take(1, [GangEvent("ready", made.id, 1, 1)], 1.0)] == ["go"]
-    assert [row.verb for row in hub.take(0, [], 6.1)] == ["go", "finish"]
-    hub.take(0, [GangEvent("ready", made.id, 2, 0)], 7.0)
-    hub.take(1, [GangEvent("ready", made.id, 2, 1)], 7.0)
-    hub.take(1, [GangEvent("left", made.id, 2, 1)], 8.0)
-    assert [row.verb for row in hub.take(0, [], 20.0)] == ["go", "peers"]
+    hub, job = GangHub(2), make_job(Kind.GANG)
+    assert not hub.exchange(0, [GangEvent("ready", job.id, 1, 0)], 0.0)
+    assert [row.verb for row in hub.exchange(1, [GangEvent("ready", job.id, 1, 1)], 1.0)] == ["go"]
+    assert [row.verb for row in hub.exchange(0, [], 6.1)] == ["go", "finish"]
+    hub.exchange(0, [GangEvent("ready", job.id, 2, 0)], 7.0)
+    hub.exchange(1, [GangEvent("ready", job.id, 2, 1)], 7.0)
+    hub.exchange(1, [GangEvent("left", job.id, 2, 1)], 8.0)
+    assert [row.verb for row in hub.exchange(0, [], 20.0)] == ["go", "peers"]
 
 
 def test_the_store_enforces_conditions_leases_and_limits_and_keeps_a_log():
@@ -172,7 +182,7 @@
     store.renew(0.9, lease)
     assert not store.expire(1.5)
     assert store.expire(2.0)
-    assert not store.rows
+    assert not store.records
     with pytest.raises(Refused) as refused:
         store.renew(2.0, lease)
     assert refused.value.status == 404
@@ -191,8 +201,8 @@
 
 def test_ids_describe_their_jobs():
     for kind in Kind:
-        made = Job(kind, 40, 512, 16.3, 999_999)
-        assert parse_job(made.id) == made
+        job = Job(kind, 40, 512, 16.3, 999_999)
+        assert parse_job(job.id) == job
     with pytest.raises(ValueError):
         parse_job("job-12")
 
@@ -241,19 +251,19 @@
     )
     try:
         until = time.monotonic() + 90
-        while len(of_run(tmp_path)) < 7 and time.monotonic() < until:
+        while len(processes_of_run(tmp_path)) < 7 and time.monotonic() < until:
             time.sleep(0.1)
-        assert len(of_run(tmp_path)) >= 7
+        assert len(processes_of_run(tmp_path)) >= 7
     finally:
         run.send_signal(signal.SIGKILL)
         run.wait()
     until = time.monotonic() + 20
-    while of_run(tmp_path) and time.monotonic() < until:
+    while processes_of_run(tmp_path) and time.monotonic() < until:
         time.sleep(0.05)
-    assert not of_run(tmp_path)
+    assert not processes_of_run(tmp_path)
 
 
-def of_run(folder: Path) -> list[str]:
+def processes_of_run(folder: Path) -> list[str]:
     """Return the processes that were told of a run's folder."""
     found = []
     for path in Path("/proc").glob("[0-9]*/cmdline"):
--- a/tools/scale/__main__.py
+++ b/tools/scale/__main__.py
@@ -12,8 +12,8 @@
 import click
 
 from tools.scale.config import ConfigError, RunConfig, load_config
-from tools.scale.report import lines, make_report, write_report
-from tools.scale.runner import CannotStart, OutOfBounds, Run
+from tools.scale.report import make_report, report_lines, write_report
+from tools.scale.runner import CannotStart, LimitExceeded, Run
 
 INTERRUPTED = 130
 
@@ -37,26 +37,26 @@
     except ConfigError as error:
         click.echo(f"scale: {error}", err=True)
         sys.exit(2)
-    sys.exit(play(loaded, out, quiet))
+    sys.exit(run_and_report(loaded, out, quiet))
 
 
-def play(config: RunConfig, out: Path | None, quiet: bool) -> int:
+def run_and_report(config: RunConfig, out: Path | None, quiet: bool) -> int:
     """Play a run and report it; return the exit code."""
     with tempfile.TemporaryDirectory(prefix="oakmux-scale-") as folder:
         run = Run(config, Path(folder), (lambda _: None) if quiet else click.echo)
         code = 0
         try:
-            asyncio.run(run.go())
+            asyncio.run(run.execute())
         except CannotStart as error:
             click.echo(f"scale: can't start: {error}", err=True)
             return 2
-        except OutOfBounds as error:
+        except LimitExceeded as error:
             click.echo(f"scale: ended: {error}", err=True)
             code = 1
         except KeyboardInterrupt:
             code = INTERRUPTED
         report = make_report(run, code == 0)
-    for line in lines(report):
+    for line in report_lines(report):
         click.echo(line)
     if out is not None:
         write_report(report, out)
--- a/tools/scale/child.py
+++ b/tools/scale/child.py
@@ -14,11 +14,11 @@
     """Run one stand-in."""
     plan = read_plan(plan_path)
 
-    def run(ended: asyncio.Event) -> Coroutine[Any, Any, None]:
+    def run(stop_requested: asyncio.Event) -> Coroutine[Any, Any, None]:
         if role == "hollow":
-            return hollow.main(plan, ended, int(index))
-        parts = {"state": state_service.main, "cloud": cloud.main, "users": users.main}
-        return parts[role](plan, ended)
+            return hollow.main(plan, stop_requested, int(index))
+        stand_ins = {"state": state_service.main, "cloud": cloud.main, "users": users.main}
+        return stand_ins[role](plan, stop_requested)
 
     run_child(run)
 
--- a/tools/scale/cloud.py
+++ b/tools/scale/cloud.py
@@ -18,43 +18,52 @@
 from tools.scale.hollow import worker_address
 from tools.scale.jobs import zone_name
 from tools.scale.plan import WORKER_NET, Plan
-from tools.scale.serving import answer, listen, write_summary
+from tools.scale.serving import listen, send_response, write_summary
 
 # Seconds for which a machine that died is listed as running (PROTOCOL: about 30 s).
-LISTED_S = 30.0
+FAILURE_LISTING_DELAY_S = 30.0
 # Seconds to wait for a process of hollow workers.
-HOLLOW_S = 10.0
-MOST_RENTED = 50
-MOST_LISTED = 500
+HOLLOW_TIMEOUT_S = 10.0
+MAX_RENTED = 50
+MAX_LISTED = 500
 # Seconds of requests that may come at once.
 BURST_S = 2.0
 
 
-class Box:
+class Machine:
     """A machine: where it is, and when it was rented, up, dead and gone (s)."""
 
-    __slots__ = ("name", "zone", "process", "address", "rented", "up", "dead", "gone")
+    __slots__ = (
+        "name",
+        "zone",
+        "process",
+        "address",
+        "rented_at",
+        "up_at",
+        "dead_at",
+        "returned_at",
+    )
 
     def __init__(self, name: str, zone: str, process: int, address: str, now: float) -> None:
         self.name = name
         self.zone = zone
         self.process = process
         self.address = address
-        self.rented = now
-        self.up: float | None = None
-        self.dead: float | None = None
-        self.gone: float | None = None
+        self.rented_at = now
+        self.up_at: float | None = None
+        self.dead_at: float | None = None
+        self.returned_at: float | None = None
 
     def status(self, at: float) -> str | None:
         """Return how the machine is listed as of a time; None if it is not."""
-        if self.rented > at or (self.gone is not None and self.gone <= at):
+        if self.rented_at > at or (self.returned_at is not None and self.returned_at <= at):
             return None
-        if self.dead is not None and self.dead + LISTED_S <= at:
+        if self.dead_at is not None and self.dead_at + FAILURE_LISTING_DELAY_S <= at:
             return "failed"
-        return "running" if self.up is not None and self.up <= at else "booting"
+        return "running" if self.up_at is not None and self.up_at <= at else "booting"
 
 
-class CloudClient:
+class CloudService:
     """All machines."""
 
     def __init__(self, plan: Plan) -> None:
@@ -62,26 +71,30 @@
         self.config: RunConfig = plan.config
         self.loop = asyncio.get_running_loop()
         self.rng = random.Random(plan.config.seed)
-        self.boxes: dict[str, Box] = {}
-        self.hires: dict[str, list[str]] = {}
-        self.numbers = [0] * len(plan.hollow)
-        self.requests = TokenBucket(self.config.service.cloud_rps, BURST_S)
+        self.machines: dict[str, Machine] = {}
+        self.rentals: dict[str, list[str]] = {}
+        self.machine_counts = [0] * len(plan.hollow)
+        self.request_limit = TokenBucket(self.config.service.cloud_rps, BURST_S)
         self.counts: Counter[str] = Counter()
         self.client = Client(4 * len(plan.hollow))
         self.hub = GangHub(len(plan.hollow))
         self.tasks: set[asyncio.Task] = set()
 
-    async def run(self, ended: asyncio.Event) -> None:
+    async def run(self, stop_requested: asyncio.Event) -> None:
         """Serve until told to end."""
         await listen(self.plan.cloud, self.serve, self.counts)
-        await ended.wait()
+        await stop_requested.wait()
         write_summary(
-            self.plan.folder, "cloud", {"counts": self.counts, "rented": len(self.boxes)}
+            self.plan.folder, "cloud", {"counts": self.counts, "rented": len(self.machines)}
         )
 
-    def alive(self) -> list[Box]:
+    def alive(self) -> list[Machine]:
         """Return the machines that are neither dead nor gone."""
-        return [box for box in self.boxes.values() if box.gone is None and box.dead is None]
+        return [
+            machine
+            for machine in self.machines.values()
+            if machine.returned_at is None and machine.dead_at is None
+        ]
 
     def serve(self, request: Request) -> None:
         """Serve one request."""
@@ -93,21 +106,21 @@
             self.spawn(self._control(request))
             return
         self.counts[f"{request.method} {parts.path}"] += 1
-        if self.requests.wait(self.loop.time(), 1) > 0:
-            answer(request, 429, {"error": "too many requests"})
+        if self.request_limit.wait(self.loop.time(), 1) > 0:
+            send_response(request, 429, {"error": "too many requests"})
             return
-        self.requests.consume(1)
+        self.request_limit.consume(1)
         if parts.path == PATH_CATALOGUE:
-            answer(request, 200, {"flavours": [self.flavour()]})
+            send_response(request, 200, {"flavours": [self.machine_type()]})
         elif parts.path == PATH_RETURN:
             self.spawn(self._return(request))
         elif parts.path == PATH_INSTANCES and request.method == "POST":
             self._rent(request)
         elif parts.path == PATH_INSTANCES:
             query = {name: row[0] for name, row in parse_qs(parts.query).items()}
-            self._list(request, query.get("since", ""), int(query.get("page", MOST_LISTED)))
+            self._list(request, query.get("since", ""), int(query.get("page", MAX_LISTED)))
         else:
-            answer(request, 400, {"error": "path"})
+            send_response(request, 400, {"error": "path"})
 
     def spawn(self, work: Any) -> None:
         """Run something in the background."""
@@ -115,7 +128,7 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def flavour(self) -> dict[str, Any]:
+    def machine_type(self) -> dict[str, Any]:
         """Return the only machine type."""
         return {
             "sku": "hollow",
@@ -132,110 +145,117 @@
 
     def _rent(self, request: Request) -> None:
         order = decode(request.body)
-        known = self.hires.get(order["hire"])
-        if known is None:
-            room = self.config.sizes.workers - len(self.alive())
-            count = min(int(order["count"]), MOST_RENTED, room)
+        names = self.rentals.get(order["hire"])
+        if names is None:
+            free_machines = self.config.sizes.workers - len(self.alive())
+            count = min(int(order["count"]), MAX_RENTED, free_machines)
             if count <= 0:
-                answer(request, 503, {"error": "no capacity"})
+                send_response(request, 503, {"error": "no capacity"})
                 return
-            known = self.hires[order["hire"]] = [
-                self._make(order["site"]).name for _ in range(count)
+            names = self.rentals[order["hire"]] = [
+                self._create_machine(order["site"]).name for _ in range(count)
             ]
-        answer(request, 200, {"boxes": known})
+        send_response(request, 200, {"boxes": names})
 
-    def _make(self, zone: str) -> Box:
-        process = len(self.boxes) % len(self.plan.hollow)
-        number = self.numbers[process]
-        self.numbers[process] += 1
-        name = f"n-{len(self.boxes):06}"
+    def _create_machine(self, zone: str) -> Machine:
+        process = len(self.machines) % len(self.plan.hollow)
+        number = self.machine_counts[process]
+        self.machine_counts[process] += 1
+        name = f"n-{len(self.machines):06}"
         address = worker_address(WORKER_NET + process, self.plan.worker_ports[process], number)
-        box = self.boxes[name] = Box(name, zone, process, address, self.loop.time())
+        machine = self.machines[name] = Machine(name, zone, process, address, self.loop.time())
         self.loop.call_later(
             self.config.machines.boot_s * self.rng.uniform(0.6, 1.5),
-            lambda: self.spawn(self._boot(box)),
+            lambda: self.spawn(self._boot(machine)),
         )
-        return box
+        return machine
 
-    async def _boot(self, box: Box) -> None:
-        if box.gone is None:
-            box.up = self.loop.time()
-            await self._tell(box.process, {"add": [[box.name, box.address, box.zone]]})
-            if box.gone is not None:  # returned while it came up
-                await self._tell(box.process, {"remove": [box.name]})
+    async def _boot(self, machine: Machine) -> None:
+        if machine.returned_at is None:
+            machine.up_at = self.loop.time()
+            await self._send_order(
+                machine.process, {"add": [[machine.name, machine.address, machine.zone]]}
+            )
+            if machine.returned_at is not None:  # returned while it came up
+                await self._send_order(machine.process, {"remove": [machine.name]})
 
-    async def _tell(self, process: int, order: dict[str, Any]) -> None:
+    async def _send_order(self, process: int, order: dict[str, Any]) -> None:
         try:
             await self.client.request(
-                self.plan.hollow[process], "POST", "/machines", encode(order), HOLLOW_S
+                self.plan.hollow[process], "POST", "/machines", encode(order), HOLLOW_TIMEOUT_S
             )
         except (RequestNotSentError, NoResponseError) as error:
             self.counts[f"hollow process {process}: {error}"] += 1
 
-    async def _remove(self, boxes: list[Box]) -> None:
+    async def _remove(self, machines: list[Machine]) -> None:
         """Take machines away."""
         by_process: dict[int, list[str]] = {}
-        for box in boxes:
-            by_process.setdefault(box.process, []).append(box.name)
+        for machine in machines:
+            by_process.setdefault(machine.process, []).append(machine.name)
         await asyncio.gather(
-            *(self._tell(process, {"remove": names}) for process, names in by_process.items())
+            *(
+                self._send_order(process, {"remove": names})
+                for process, names in by_process.items()
+            )
         )
 
     async def _return(self, request: Request) -> None:
         names = decode(request.body)["boxes"]
-        boxes = [self.boxes[name] for name in names if name in self.boxes]
+        machines = [self.machines[name] for name in names if name in self.machines]
         now = self.loop.time()
-        for box in boxes:
-            box.gone = now if box.gone is None else box.gone
-        await self._remove(boxes)
-        answer(request, 200, {})
+        for machine in machines:
+            machine.returned_at = now if machine.returned_at is None else machine.returned_at
+        await self._remove(machines)
+        send_response(request, 200, {})
 
-    def _list(self, request: Request, since: str, most: int) -> None:
+    def _list(self, request: Request, since: str, limit: int) -> None:
         at = self.loop.time() - self.config.service.list_lag_s
         rows: list[dict[str, Any]] = []
-        more = False
-        for name, box in self.boxes.items():  # in the order of their names
-            status = box.status(at) if name > since else None
+        has_next = False
+        for name, machine in self.machines.items():  # in the order of their names
+            status = machine.status(at) if name > since else None
             if status is None:
                 continue
-            if len(rows) >= min(most, MOST_LISTED):
-                more = True
+            if len(rows) >= min(limit, MAX_LISTED):
+                has_next = True
                 break
             rows.append(
                 {
                     "id": name,
-                    "addr": box.address,
+                    "addr": machine.address,
                     "flavour": "hollow",
-                    "site": box.zone,
+                    "site": machine.zone,
                     "loaner": False,
                     "status": status,
-                    "held_s": at - box.rented,
+                    "held_s": at - machine.rented_at,
                 }
             )
-        answer(request, 200, {"boxes": rows, "has_next": more})
+        send_response(request, 200, {"boxes": rows, "has_next": has_next})
 
     def _gangs(self, request: Request) -> None:
         order = decode(request.body)
         events = [GangEvent(*row) for row in order["events"]]
-        orders = self.hub.take(order["process"], events, self.loop.time())
-        answer(request, 200, {"orders": [list(row) for row in orders]})
+        orders = self.hub.exchange(order["process"], events, self.loop.time())
+        send_response(request, 200, {"orders": [list(row) for row in orders]})
 
     async def _control(self, request: Request) -> None:
         """Let machines die: some of one zone, all of one, or some anywhere."""
         order = decode(request.body)
-        boxes = self.alive()
+        machines = self.alive()
         if order["kind"] in ("rack", "zone"):
-            boxes = [box for box in boxes if box.zone == zone_name(order["index"])]
+            machines = [
+                machine for machine in machines if machine.zone == zone_name(order["index"])
+            ]
         if order["kind"] != "zone":
-            boxes = self.rng.sample(boxes, min(len(boxes), order["count"]))
+            machines = self.rng.sample(machines, min(len(machines), order["count"]))
         now = self.loop.time()
-        for box in boxes:
-            box.dead = now
-        await self._remove(boxes)
-        self.counts["died"] += len(boxes)
-        answer(request, 200, {"died": len(boxes)})
+        for machine in machines:
+            machine.dead_at = now
+        await self._remove(machines)
+        self.counts["died"] += len(machines)
+        send_response(request, 200, {"died": len(machines)})
 
 
-async def main(plan: Plan, ended: asyncio.Event) -> None:
+async def main(plan: Plan, stop_requested: asyncio.Event) -> None:
     """Run the cloud."""
-    await CloudClient(plan).run(ended)
+    await CloudService(plan).run(stop_requested)
--- a/tools/scale/gangs.py
+++ b/tools/scale/gangs.py
@@ -12,7 +12,7 @@
     verb: str
     job_id: str
     attempt: int
-    number: int
+    task_index: int
 
 
 class GangOrder(NamedTuple):
@@ -31,7 +31,7 @@
         self.run_s = run_s
         self.ready: set[int] = set()
         self.processes: set[int] = set()
-        self.ends: float | None = None
+        self.ends_at: float | None = None
 
 
 class GangHub:
@@ -41,45 +41,45 @@
         self.gangs: dict[tuple[str, int], Gang] = {}
         self.outboxes: list[list[GangOrder]] = [[] for _ in range(processes)]
 
-    def take(self, process: int, events: Iterable[GangEvent], now: float) -> list[GangOrder]:
+    def exchange(self, process: int, events: Iterable[GangEvent], now: float) -> list[GangOrder]:
         """Take a process's events; return what it has to do."""
         for event in events:
             if event.verb == "ready":
-                self._ready(process, event, now)
+                self._task_ready(process, event, now)
             else:
-                self._left(event)
-        self._finish(now)
+                self._task_left(event)
+        self._finish_due(now)
         orders, self.outboxes[process] = self.outboxes[process], []
         return orders
 
-    def _ready(self, process: int, event: GangEvent, now: float) -> None:
+    def _task_ready(self, process: int, event: GangEvent, now: float) -> None:
         job = parse_job(event.job_id)
         key = (event.job_id, event.attempt)
         gang = self.gangs.setdefault(key, Gang(job.tasks, job.run_s))
         gang.processes.add(process)
-        gang.ready.add(event.number)
-        if gang.ends is None and len(gang.ready) == gang.tasks:
-            gang.ends = now + gang.run_s
-            self._tell(gang, GangOrder("go", *key))
+        gang.ready.add(event.task_index)
+        if gang.ends_at is None and len(gang.ready) == gang.tasks:
+            gang.ends_at = now + gang.run_s
+            self._queue_order(gang, GangOrder("go", *key))
 
-    def _left(self, event: GangEvent) -> None:
+    def _task_left(self, event: GangEvent) -> None:
         key = (event.job_id, event.attempt)
         gang = self.gangs.get(key)
         if gang is None:
             return
-        gang.ready.discard(event.number)
-        if gang.ends is not None:
+        gang.ready.discard(event.task_index)
+        if gang.ends_at is not None:
             del self.gangs[key]
-            self._tell(gang, GangOrder("peers", *key))
+            self._queue_order(gang, GangOrder("peers", *key))
         elif not gang.ready:
             del self.gangs[key]
 
-    def _finish(self, now: float) -> None:
+    def _finish_due(self, now: float) -> None:
         for key, gang in list(self.gangs.items()):
-            if gang.ends is not None and gang.ends <= now:
+            if gang.ends_at is not None and gang.ends_at <= now:
                 del self.gangs[key]
-                self._tell(gang, GangOrder("finish", *key))
+                self._queue_order(gang, GangOrder("finish", *key))
 
-    def _tell(self, gang: Gang, order: GangOrder) -> None:
+    def _queue_order(self, gang: Gang, order: GangOrder) -> None:
         for process in gang.processes:
             self.outboxes[process].append(order)
--- a/tools/scale/histograms.py
+++ b/tools/scale/histograms.py
@@ -4,35 +4,35 @@
 
 from hdrh.histogram import HdrHistogram
 
-HIGHEST_US = 120_000_000
-DIGITS = 3
+MAX_US = 120_000_000
+SIGNIFICANT_DIGITS = 3
 PERCENTILES = (50, 90, 95, 99, 100)
 
 
 def new_histogram() -> HdrHistogram:
     """Return an empty histogram."""
-    return HdrHistogram(1, HIGHEST_US, DIGITS)
+    return HdrHistogram(1, MAX_US, SIGNIFICANT_DIGITS)
 
 
 def record_s(histogram: HdrHistogram, seconds: float) -> None:
     """Record a time in seconds; what is beyond the ends counts as the end."""
-    histogram.record_value(min(HIGHEST_US, max(1, int(seconds * 1e6))))
+    histogram.record_value(min(MAX_US, max(1, int(seconds * 1e6))))
 
 
-def of_seconds(values: Iterable[float]) -> HdrHistogram:
+def from_seconds(values: Iterable[float]) -> HdrHistogram:
     """Return a histogram of times in seconds."""
-    found = new_histogram()
+    histogram = new_histogram()
     for value in values:
-        record_s(found, value)
-    return found
+        record_s(histogram, value)
+    return histogram
 
 
 def merged(encoded: Iterable[str]) -> HdrHistogram:
     """Return the sum of encoded histograms."""
-    found = new_histogram()
+    histogram = new_histogram()
     for text in encoded:
-        found.decode_and_add(text.encode())
-    return found
+        histogram.decode_and_add(text.encode())
+    return histogram
 
 
 def percentiles(histogram: HdrHistogram) -> dict[str, float]:
--- a/tools/scale/hollow.py
+++ b/tools/scale/hollow.py
@@ -15,19 +15,19 @@
 from tools.scale.gangs import GangEvent, GangOrder
 from tools.scale.histograms import new_histogram, record_s
 from tools.scale.plan import Plan
-from tools.scale.serving import EventLog, answer, listen, write_summary
+from tools.scale.serving import EventLog, listen, send_response, write_summary
 from tools.scale.worker import HollowWorker, TaskKey
 
 # Seconds between two looks at leases and tasks, and between two exchanges with the gangs' hub.
-LOOK_S = 0.1
-GANGS_S = 0.1
+ADVANCE_INTERVAL_S = 0.1
+GANG_EXCHANGE_INTERVAL_S = 0.1
 # Seconds for an answer to a report, between two reports that changes cause, and before the next
 # node is tried (PROTOCOL).
-ANSWER_S = 4.0
-CHANGE_S = 0.5
-NEXT_NODE_S = 1.0
+REQUEST_TIMEOUT_S = 4.0
+MIN_REPORT_INTERVAL_S = 0.5
+NEXT_CONTROLLER_DELAY_S = 1.0
 # Seconds between two summaries.
-SUMMARY_S = 1.0
+SUMMARY_INTERVAL_S = 1.0
 
 
 class Reporter:
@@ -38,22 +38,24 @@
         self.worker = worker
         self.loop = asyncio.get_running_loop()
         self.client = Client(1)
-        self.node = process.rng.randrange(len(process.nodes))
+        self.controller_index = process.rng.randrange(len(process.controller_addrs))
         self.wake = asyncio.Event()
-        self.last = -1e9
-        self.due_ms = self.loop.time() + process.rng.uniform(0.0, 0.5)
+        self.last_report_at = -1e9
+        self.next_report_at = self.loop.time() + process.rng.uniform(0.0, 0.5)
         self.gone = False
-        self.token_told = -1e9
+        self.token_reported_at = -1e9
 
-    def changed(self) -> None:
+    def report_soon(self) -> None:
         """Report sooner: something changed."""
-        self.due_ms = min(self.due_ms, max(self.loop.time(), self.last + CHANGE_S))
+        self.next_report_at = min(
+            self.next_report_at, max(self.loop.time(), self.last_report_at + MIN_REPORT_INTERVAL_S)
+        )
         self.wake.set()
 
     async def run(self) -> None:
         """Report until the machine is gone."""
         while not self.gone:
-            wait = self.due_ms - self.loop.time()
+            wait = self.next_report_at - self.loop.time()
             if wait <= 0:
                 await self.report()
                 continue
@@ -69,15 +71,21 @@
         process, worker = self.process, self.worker
         worker.advance(self.loop.time())
         sent, agent_epoch = self.loop.time(), worker.agent_epoch
-        self.last = sent
+        self.last_report_at = sent
         body = encode(worker.report())
         process.counts["report_bytes"] += len(body)
-        self.due_ms = sent + process.plan.config.times.report_s * process.rng.uniform(0.75, 1.25)
+        self.next_report_at = sent + process.plan.config.times.report_s * process.rng.uniform(
+            0.75, 1.25
+        )
         status = 0
         value: dict[str, Any] = {}
         try:
             status, data = await self.client.request(
-                process.nodes[self.node], "POST", PATH_HEARTBEAT, body, ANSWER_S
+                process.controller_addrs[self.controller_index],
+                "POST",
+                PATH_HEARTBEAT,
+                body,
+                REQUEST_TIMEOUT_S,
             )
             process.counts["answer_bytes"] += len(data)
             value = decode(data) if data else {}
@@ -91,21 +99,21 @@
         worker.advance(now)
         if status == 200:
             before = worker.fencing_token
-            worker.answered(sent, agent_epoch, value, now)
-            if worker.fencing_token > before and now - self.token_told > (
+            worker.apply_answer(sent, agent_epoch, value, now)
+            if worker.fencing_token > before and now - self.token_reported_at > (
                 process.plan.config.times.lease_s / 2
             ):
-                self.token_told = now
-                self.changed()
+                self.token_reported_at = now
+                self.report_soon()
             elif worker.dirty:
-                self.changed()
-        elif status == 421 and value.get("boss", "") in process.labels:
-            self.node = process.labels[value["boss"]]
-            self.due_ms = now + process.rng.uniform(0.0, 0.5)
+                self.report_soon()
+        elif status == 421 and value.get("boss", "") in process.index_by_label:
+            self.controller_index = process.index_by_label[value["boss"]]
+            self.next_report_at = now + process.rng.uniform(0.0, 0.5)
         else:
             process.counts[f"reports_{status}"] += 1
-            self.node = (self.node + 1) % len(process.nodes)
-            self.due_ms = now + NEXT_NODE_S
+            self.controller_index = (self.controller_index + 1) % len(process.controller_addrs)
+            self.next_report_at = now + NEXT_CONTROLLER_DELAY_S
 
 
 class HollowProcess:
@@ -115,14 +123,14 @@
         self.plan = plan
         self.index = index
         self.rng = random.Random(plan.config.seed * 1000 + index)
-        self.nodes = [controller.public for controller in plan.controllers]
-        self.labels = {
+        self.controller_addrs = [controller.public for controller in plan.controllers]
+        self.index_by_label = {
             controller.label: number for number, controller in enumerate(plan.controllers)
         }
         self.reporters: dict[str, Reporter] = {}
         self.servers: dict[str, asyncio.Server] = {}
-        self.running: dict[str, asyncio.Task] = {}
-        self.changing: set[asyncio.Task] = set()
+        self.report_loops: dict[str, asyncio.Task] = {}
+        self.control_tasks: set[asyncio.Task] = set()
         self.events = EventLog(plan.folder, f"hollow-{index}")
         self.gang_events: list[GangEvent] = []
         self.counts: Counter[str] = Counter()
@@ -130,16 +138,16 @@
         self.hub = Client(1)
         self.loop = asyncio.get_running_loop()
 
-    async def run(self, ended: asyncio.Event) -> None:
+    async def run(self, stop_requested: asyncio.Event) -> None:
         """Serve until told to end."""
         await listen(self.plan.hollow[self.index], self.control, Counter())
         gangs = self.loop.create_task(self.exchange_gangs())
         next_summary = 0.0
-        while not ended.is_set():
-            await asyncio.sleep(LOOK_S)
-            self.look()
+        while not stop_requested.is_set():
+            await asyncio.sleep(ADVANCE_INTERVAL_S)
+            self.advance_workers()
             if self.loop.time() >= next_summary:
-                next_summary = self.loop.time() + SUMMARY_S
+                next_summary = self.loop.time() + SUMMARY_INTERVAL_S
                 self.summarize()
         gangs.cancel()
         self.summarize()
@@ -163,32 +171,32 @@
             },
         )
 
-    def look(self) -> None:
+    def advance_workers(self) -> None:
         """Bring all workers up to date."""
         now = self.loop.time()
         for reporter in self.reporters.values():
             reporter.worker.advance(now)
             if reporter.worker.dirty:
-                reporter.changed()
+                reporter.report_soon()
 
     # --- machines ---
 
     def control(self, request: Request) -> None:
         """Take an order of the cloud."""
         task = self.loop.create_task(self.change_machines(request))
-        self.changing.add(task)
-        task.add_done_callback(self.changing.discard)
+        self.control_tasks.add(task)
+        task.add_done_callback(self.control_tasks.discard)
 
     async def change_machines(self, request: Request) -> None:
         """Add and remove machines; what is removed is gone before the answer."""
         order = decode(request.body)
         for name in order.get("remove", ()):
-            self.remove(name)
+            self.remove_machine(name)
         for name, address, zone in order.get("add", ()):
-            await self.add(name, address, zone)
-        answer(request, 200, {})
+            await self.add_machine(name, address, zone)
+        send_response(request, 200, {})
 
-    async def add(self, name: str, address: str, zone: str) -> None:
+    async def add_machine(self, name: str, address: str, zone: str) -> None:
         """A machine is up."""
         worker = HollowWorker(
             self.plan.config, name, address, zone, self.loop.time(), self.observe
@@ -198,9 +206,9 @@
             address, lambda request: self.serve(reporter, request), self.counts
         )
         self.reporters[name] = reporter
-        self.running[name] = self.loop.create_task(reporter.run())
+        self.report_loops[name] = self.loop.create_task(reporter.run())
 
-    def remove(self, name: str) -> None:
+    def remove_machine(self, name: str) -> None:
         """A machine and all on it is gone."""
         reporter = self.reporters.pop(name, None)
         if reporter is None:
@@ -209,7 +217,7 @@
         reporter.wake.set()
         reporter.worker.clear("machine")
         self.servers.pop(name).close()
-        task = self.running.pop(name)
+        task = self.report_loops.pop(name)
         task.cancel()
 
     def serve(self, reporter: Reporter, request: Request) -> None:
@@ -219,17 +227,17 @@
             return  # silent, like a machine without power
         worker.advance(now)
         if request.path == PATH_COMMANDS and request.method == "POST":
-            status = worker.direct(decode(request.body), now)
+            status = worker.apply_direct_orders(decode(request.body), now)
             dirty = worker.dirty
-            answer(request, status, worker.report())
+            send_response(request, status, worker.report())
             self.counts["direct_orders"] += 1
             if dirty:
                 worker.dirty = True
-                reporter.changed()
+                reporter.report_soon()
         elif request.path == "/show":
-            answer(request, 200, worker.report())
+            send_response(request, 200, worker.report())
         else:
-            answer(request, 404, {})
+            send_response(request, 404, {})
 
     # --- what happens to tasks ---
 
@@ -239,7 +247,7 @@
         if verb == "on":
             self.counts["starts"] += 1
         task = worker.tasks.get(key)
-        if task is None or not task.job.joint:
+        if task is None or not task.job.coscheduled:
             return
         index = int(key.task.partition("/")[2])
         if verb == "on":
@@ -250,20 +258,20 @@
     async def exchange_gangs(self) -> None:
         """Tell the hub what became of gangs' tasks, and do what it says."""
         while True:
-            await asyncio.sleep(GANGS_S)
+            await asyncio.sleep(GANG_EXCHANGE_INTERVAL_S)
             events, self.gang_events = self.gang_events, []
             body = encode({"process": self.index, "events": [list(row) for row in events]})
             try:
                 _, data = await self.hub.request(
-                    self.plan.cloud, "POST", "/gangs", body, ANSWER_S, 4 * 1024 * 1024
+                    self.plan.cloud, "POST", "/gangs", body, REQUEST_TIMEOUT_S, 4 * 1024 * 1024
                 )
             except (RequestNotSentError, NoResponseError):
                 self.gang_events = events + self.gang_events
                 continue
             for row in decode(data)["orders"]:
-                self.obey_hub(GangOrder(*row))
+                self.apply_gang_order(GangOrder(*row))
 
-    def obey_hub(self, order: GangOrder) -> None:
+    def apply_gang_order(self, order: GangOrder) -> None:
         """Do what the hub says of an attempt, on all workers here."""
         for reporter in self.reporters.values():
             worker = reporter.worker
@@ -273,11 +281,11 @@
                 if key.attempt == order.attempt and key.job_id == order.job_id
             ]:
                 if order.verb == "go":
-                    worker.begin_gang(key)
+                    worker.start_gang_task(key)
                 else:
                     worker.exit(key, "done" if order.verb == "finish" else "peers")
             if worker.dirty:
-                reporter.changed()
+                reporter.report_soon()
 
 
 def worker_address(net: int, port: int, number: int) -> str:
@@ -287,6 +295,6 @@
     return address
 
 
-async def main(plan: Plan, ended: asyncio.Event, index: int) -> None:
+async def main(plan: Plan, stop_requested: asyncio.Event, index: int) -> None:
     """Run a process of hollow workers."""
-    await HollowProcess(plan, index).run(ended)
+    await HollowProcess(plan, index).run(stop_requested)
--- a/tools/scale/jobs.py
+++ b/tools/scale/jobs.py
@@ -29,7 +29,7 @@
     serial: int
 
     @property
-    def joint(self) -> bool:
+    def coscheduled(self) -> bool:
         """Whether its tasks run together or not at all."""
         return self.kind == Kind.GANG and self.tasks > 1
 
@@ -79,7 +79,7 @@
 def submission(config: RunConfig, job: Job) -> dict:
     """Return a job as users submit it."""
     shape = {Kind.GANG: "ensemble", Kind.SERVICE: "daemon"}.get(job.kind, "array")
-    rank = {Kind.GANG: "urgent", Kind.URGENT: "urgent", Kind.SERVICE: "production"}.get(
+    priority = {Kind.GANG: "urgent", Kind.URGENT: "urgent", Kind.SERVICE: "production"}.get(
         job.kind, "standard"
     )
     return {
@@ -87,7 +87,7 @@
         "lane": job.kind.name.lower(),
         "owner": team_name(job.team),
         "shape": shape,
-        "rank": rank,
+        "rank": priority,
         "pieces": job.tasks,
         "vcpus": task_cpus(config, job),
         "accelerators": 0.0,
@@ -111,7 +111,7 @@
     hot team what its share of the starts needs as well.
     """
     total = config.sizes.workers * config.machines.cpus
-    even = 2 * total / config.sizes.teams
-    limits = [min(total, even)] * config.sizes.teams
-    limits[0] = min(total, even + total * config.traffic.hot_team_share)
+    even_share = 2 * total / config.sizes.teams
+    limits = [min(total, even_share)] * config.sizes.teams
+    limits[0] = min(total, even_share + total * config.traffic.hot_team_share)
     return limits
--- a/tools/scale/ledger.py
+++ b/tools/scale/ledger.py
@@ -14,8 +14,8 @@
 EXAMPLES = 3
 # Seconds by which the clocks' rounding may put events of two processes into the wrong order, and
 # a tolerance for sums of CPUs.
-ORDER_S = 0.01
-EPSILON = 1e-6
+CLOCK_TOLERANCE_S = 0.01
+CPU_TOLERANCE = 1e-6
 
 
 class Event(NamedTuple):
@@ -24,7 +24,7 @@
     at: float
     verb: str
     name: str
-    rest: tuple
+    fields: tuple
 
 
 class Breach(NamedTuple):
@@ -35,7 +35,7 @@
     text: str
 
 
-class Placed(NamedTuple):
+class Placement(NamedTuple):
     """A task on a machine."""
 
     attempt: int
@@ -48,10 +48,10 @@
     with path.open(encoding="utf-8") as lines:
         for line in lines:
             try:
-                at, verb, name, *rest = json.loads(line)
+                at, verb, name, *fields = json.loads(line)
             except ValueError:
                 return
-            yield Event(at, verb, name, tuple(rest))
+            yield Event(at, verb, name, tuple(fields))
 
 
 def all_events(folder: Path) -> Iterator[Event]:
@@ -64,32 +64,32 @@
 
     def __init__(self, config: RunConfig) -> None:
         self.config = config
-        self.limits = team_limits(config)
-        self.placed: dict[str, Placed] = {}
+        self.cpu_limits = team_limits(config)
+        self.placements: dict[str, Placement] = {}
         self.by_job: dict[str, set[str]] = {}
-        self.used = [0.0] * config.sizes.teams
-        self.cancelled: dict[str, float] = {}
+        self.cpus_used = [0.0] * config.sizes.teams
+        self.cancelled_at: dict[str, float] = {}
         # Cancelled jobs whose time is over, to be looked at: (when, job).
-        self.due_ms: list[tuple[float, str]] = []
+        self.cancel_deadlines: list[tuple[float, str]] = []
         self.done_tasks: dict[str, set[str]] = {}
-        self.asked: dict[str, float] = {}
-        self.begun: dict[str, list[float]] = {}
-        self.told: dict[str, str] = {}
+        self.submitted_at: dict[str, float] = {}
+        self.start_times: dict[str, list[float]] = {}
+        self.reported_status: dict[str, str] = {}
         self.breaches: list[Breach] = []
         self.counts: Counter[str] = Counter()
-        self.most_placed = 0
+        self.max_placed = 0
 
-    def take(self, events: Iterable[Event]) -> None:
+    def apply_events(self, events: Iterable[Event]) -> None:
         """Take all events, in their order."""
         for event in events:
-            self._look_at_cancelled(event.at)
+            self._check_cancelled(event.at)
             getattr(self, f"_{event.verb}")(event)
 
     def close(self, at: float) -> None:
         """The run is over at a time: look at what is still on machines."""
-        self._look_at_cancelled(at)
+        self._check_cancelled(at)
 
-    def _breach(self, rule: str, event_at: float, text: str) -> None:
+    def _record_breach(self, rule: str, event_at: float, text: str) -> None:
         self.counts[rule] += 1
         if self.counts[rule] <= EXAMPLES:
             self.breaches.append(Breach(rule, event_at, text))
@@ -97,61 +97,63 @@
     # --- tasks ---
 
     def _on(self, event: Event) -> None:
-        attempt, machine, zone, _ = event.rest
+        attempt, machine, zone, _ = event.fields
         job = parse_job(event.name.partition("/")[0])
-        other = self.placed.get(event.name)
+        other = self.placements.get(event.name)
         if other is not None:
-            self._breach(
+            self._record_breach(
                 "ran_twice", event.at, f"{event.name} on {machine}, still on {other.machine}"
             )
             return
         self._check_zone(event, job, zone)
-        cancelled_at = self.cancelled.get(job.id)
+        cancelled_at = self.cancelled_at.get(job.id)
         if cancelled_at is not None and (event.at - cancelled_at > self.config.times.cancel_s):
-            self._breach(
+            self._record_breach(
                 "ran_cancelled",
                 event.at,
                 f"{event.name} starts on {machine}, {event.at - cancelled_at:.1f} s after",
             )
-        self.placed[event.name] = Placed(attempt, machine, zone)
+        self.placements[event.name] = Placement(attempt, machine, zone)
         self.by_job.setdefault(job.id, set()).add(event.name)
-        self.most_placed = max(self.most_placed, len(self.placed))
+        self.max_placed = max(self.max_placed, len(self.placements))
         self.counts["starts"] += 1
-        self.begun.setdefault(job.id, []).append(event.at)
-        self.used[job.team] += task_cpus(self.config, job)
-        if self.used[job.team] > self.limits[job.team] + EPSILON:
-            self._breach(
+        self.start_times.setdefault(job.id, []).append(event.at)
+        self.cpus_used[job.team] += task_cpus(self.config, job)
+        if self.cpus_used[job.team] > self.cpu_limits[job.team] + CPU_TOLERANCE:
+            self._record_breach(
                 "quota",
                 event.at,
-                f"team {job.team} uses {self.used[job.team]:g} of "
-                f"{self.limits[job.team]:g} with {event.name}",
+                f"team {job.team} uses {self.cpus_used[job.team]:g} of "
+                f"{self.cpu_limits[job.team]:g} with {event.name}",
             )
 
     def _check_zone(self, event: Event, job: Job, zone: str) -> None:
-        only = pinned_zone(self.config, job)
-        if only is not None and zone != only:
-            self._breach("wrong_place", event.at, f"{event.name} in {zone}, allowed is {only}")
+        required_zone = pinned_zone(self.config, job)
+        if required_zone is not None and zone != required_zone:
+            self._record_breach(
+                "wrong_place", event.at, f"{event.name} in {zone}, allowed is {required_zone}"
+            )
         if job.kind == Kind.GANG:
             for name in self.by_job.get(job.id, ()):
-                if self.placed[name].zone != zone:
-                    self._breach(
+                if self.placements[name].zone != zone:
+                    self._record_breach(
                         "wrong_place",
                         event.at,
-                        f"{event.name} in {zone}, {name} in {self.placed[name].zone}",
+                        f"{event.name} in {zone}, {name} in {self.placements[name].zone}",
                     )
                     return
 
     def _off(self, event: Event) -> None:
-        attempt, machine, _, cause = event.rest
+        attempt, machine, _, cause = event.fields
         job = parse_job(event.name.partition("/")[0])
         if cause == "done":
             self.done_tasks.setdefault(job.id, set()).add(event.name)
-        known = self.placed.get(event.name)
-        if known is None or (known.attempt, known.machine) != (attempt, machine):
+        placement = self.placements.get(event.name)
+        if placement is None or (placement.attempt, placement.machine) != (attempt, machine):
             return
-        del self.placed[event.name]
+        del self.placements[event.name]
         self.by_job[job.id].discard(event.name)
-        self.used[job.team] -= task_cpus(self.config, job)
+        self.cpus_used[job.team] -= task_cpus(self.config, job)
         self.counts[f"ended: {cause}"] += 1
 
     def _run(self, event: Event) -> None:
@@ -160,68 +162,70 @@
     # --- users ---
 
     def _asked(self, event: Event) -> None:
-        self.asked[event.name] = event.at
+        self.submitted_at[event.name] = event.at
 
     def _accepted(self, event: Event) -> None:
-        self.told[event.name] = "accepted"
+        self.reported_status[event.name] = "accepted"
 
     def _cancelling(self, event: Event) -> None:
         self.counts["cancellations asked"] += 1
 
     def _cancelled(self, event: Event) -> None:
-        self.told[event.name] = "cancelled"
-        self.cancelled[event.name] = event.at
-        heapq.heappush(self.due_ms, (event.at + self.config.times.cancel_s, event.name))
+        self.reported_status[event.name] = "cancelled"
+        self.cancelled_at[event.name] = event.at
+        heapq.heappush(self.cancel_deadlines, (event.at + self.config.times.cancel_s, event.name))
 
     def _done(self, event: Event) -> None:
-        self.told[event.name] = "done"
+        self.reported_status[event.name] = "done"
         job = parse_job(event.name)
         ended = len(self.done_tasks.get(event.name, ()))
         # The tasks of a gang complete together: if one is done, all are (PROTOCOL, Gangs).
         if ended < (1 if job.kind == Kind.GANG else job.tasks):
-            self._breach(
+            self._record_breach(
                 "not_done",
                 event.at,
                 f"{event.name} is called done with {ended} of {job.tasks} tasks",
             )
 
     def _forgotten(self, event: Event) -> None:
-        self._breach("forgotten", event.at, event.name)
+        self._record_breach("forgotten", event.at, event.name)
 
-    def _look_at_cancelled(self, now: float) -> None:
+    def _check_cancelled(self, now: float) -> None:
         """Look at what is on machines of jobs whose time after the cancellation is over."""
-        while self.due_ms and self.due_ms[0][0] + ORDER_S < now:
-            at, job_id = heapq.heappop(self.due_ms)
+        while self.cancel_deadlines and self.cancel_deadlines[0][0] + CLOCK_TOLERANCE_S < now:
+            at, job_id = heapq.heappop(self.cancel_deadlines)
             for name in sorted(self.by_job.get(job_id, ())):
-                self._breach("ran_cancelled", at, f"{name} is on {self.placed[name].machine}")
+                self._record_breach(
+                    "ran_cancelled", at, f"{name} is on {self.placements[name].machine}"
+                )
 
     # --- times ---
 
-    def waits(self, kind: Kind, whole: bool) -> list[float]:
+    def wait_times(self, kind: Kind, all_tasks: bool) -> list[float]:
         """Return how long the jobs of a kind waited for their first task, or for all of them, in
         seconds from when users first asked.
         """
-        found = []
-        for job_id, times in self.begun.items():
+        wait_times_s = []
+        for job_id, times in self.start_times.items():
             job = parse_job(job_id)
-            if job.kind != kind or job_id not in self.asked:
+            if job.kind != kind or job_id not in self.submitted_at:
                 continue
-            if not whole:
-                found.append(times[0] - self.asked[job_id])
+            if not all_tasks:
+                wait_times_s.append(times[0] - self.submitted_at[job_id])
             elif len(times) >= job.tasks:
-                found.append(sorted(times)[job.tasks - 1] - self.asked[job_id])
-        return found
+                wait_times_s.append(sorted(times)[job.tasks - 1] - self.submitted_at[job_id])
+        return wait_times_s
 
-    def waits_of(self, job_id: str) -> list[float]:
+    def start_delays(self, job_id: str) -> list[float]:
         """Return how long each start of one job came after its users first asked."""
-        return [at - self.asked[job_id] for at in self.begun.get(job_id, ())]
+        return [at - self.submitted_at[job_id] for at in self.start_times.get(job_id, ())]
 
-    def busiest(self, seconds: float) -> float:
+    def peak_start_rate(self, seconds: float) -> float:
         """Return the most starts a second over any span of so many seconds."""
-        times = sorted(at for row in self.begun.values() for at in row)
-        most, first = 0, 0
+        times = sorted(at for row in self.start_times.values() for at in row)
+        max_starts, first = 0, 0
         for last, at in enumerate(times):
             while times[first] < at - seconds:
                 first += 1
-            most = max(most, last - first + 1)
-        return most / seconds
+            max_starts = max(max_starts, last - first + 1)
+        return max_starts / seconds
--- a/tools/scale/plan.py
+++ b/tools/scale/plan.py
@@ -94,18 +94,18 @@
     return msgspec.json.decode(Path(path).read_bytes(), type=Plan)
 
 
-def settings_text(plan: Plan, mine: Controller) -> str:
+def settings_text(plan: Plan, own: Controller) -> str:
     """Return a controller's settings as the platform hands them over."""
     config = plan.config
     zones = ", ".join(f'"{zone_name(number)}"' for number in range(config.sizes.zones))
     lines = [
-        f'label = "{mine.label}"',
-        f'area = "{mine.zone}"',
-        f'public_addr = "{mine.public}"',
-        f'internal_addr = "{mine.internal}"',
+        f'label = "{own.label}"',
+        f'area = "{own.zone}"',
+        f'public_addr = "{own.public}"',
+        f'internal_addr = "{own.internal}"',
     ]
     for other in plan.controllers:
-        if other is not mine:
+        if other is not own:
             lines += [
                 "[[members]]",
                 f'label = "{other.label}"',
@@ -115,7 +115,7 @@
     lines += [
         "[external]",
         f'cloud = "{plan.cloud}"',
-        f'state = "{mine.state}"',
+        f'state = "{own.state}"',
         "[facts]",
         f"size = {config.sizes.controllers}",
         f"zones = [{zones}]",
--- a/tools/scale/processes.py
+++ b/tools/scale/processes.py
@@ -15,9 +15,9 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 # prctl's PR_SET_PDEATHSIG: the kernel ends a child whose parent is gone, however it went.
-PDEATHSIG = 1
-TICKS = os.sysconf("SC_CLK_TCK")
-PAGE = os.sysconf("SC_PAGE_SIZE")
+PR_SET_PDEATHSIG = 1
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 LIBC = ctypes.CDLL(None, use_errno=True)
 
 
@@ -33,7 +33,7 @@
     """Run in the child before it becomes the program: it ends when the run does, also if that
     ended before the kernel was asked to see to it.
     """
-    LIBC.prctl(PDEATHSIG, signal.SIGKILL)
+    LIBC.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
     if os.getppid() != parent:
         os._exit(1)
 
@@ -61,17 +61,17 @@
         self.role = role
         self.name = name
         self.command = command
-        self.errors = folder / f"{name}.log"
-        self.before_s = 0.0
-        self.last = Usage(0.0, 0.0, 0)
+        self.log_path = folder / f"{name}.log"
+        self.earlier_cpu_s = 0.0
+        self.last_usage = Usage(0.0, 0.0, 0)
         self.process: subprocess.Popen | None = None
 
     def start(self) -> None:
         """Start the process."""
-        self.before_s += self.last.cpu_s
-        self.last = Usage(0.0, 0.0, 0)
+        self.earlier_cpu_s += self.last_usage.cpu_s
+        self.last_usage = Usage(0.0, 0.0, 0)
         errors: IO[bytes]
-        with self.errors.open("ab") as errors:
+        with self.log_path.open("ab") as errors:
             self.process = subprocess.Popen(
                 self.command,
                 cwd=ROOT,
@@ -98,19 +98,19 @@
         if self.process is not None and self.running:
             self.process.terminate()
 
-    def look(self) -> Usage:
+    def sample_usage(self) -> Usage:
         """Read what the process uses now; what it used last, once it has ended."""
         if self.process is not None and self.running:
             try:
-                self.last = read_usage(self.process.pid)
+                self.last_usage = read_usage(self.process.pid)
             except (OSError, ValueError, IndexError):
                 pass  # it ended just now
-        return self.last._replace(cpu_s=self.before_s + self.last.cpu_s)
+        return self.last_usage._replace(cpu_s=self.earlier_cpu_s + self.last_usage.cpu_s)
 
-    def last_words(self) -> str:
+    def last_log_line(self) -> str:
         """Return the last line that the process wrote."""
         try:
-            lines = self.errors.read_text(errors="replace").strip().splitlines()
+            lines = self.log_path.read_text(errors="replace").strip().splitlines()
         except OSError:
             return ""
         return lines[-1] if lines else ""
@@ -120,7 +120,7 @@
         try:
             return sum(
                 1
-                for line in self.errors.read_text(errors="replace").splitlines()
+                for line in self.log_path.read_text(errors="replace").splitlines()
                 if line.startswith("ERROR")
             )
         except OSError:
@@ -132,7 +132,9 @@
     stat = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
     sockets = sum(1 for entry in os.scandir(f"/proc/{pid}/fd"))
-    return Usage((int(stat[11]) + int(stat[12])) / TICKS, pages * PAGE / 1e6, sockets)
+    return Usage(
+        (int(stat[11]) + int(stat[12])) / CLOCK_TICKS_PER_S, pages * PAGE_BYTES / 1e6, sockets
+    )
 
 
 def loopback_bytes() -> int:
@@ -144,16 +146,21 @@
     return 0
 
 
-def stand_in(role: str, name: str, plan: Plan, *more: str) -> Child:
+def stand_in_child(role: str, name: str, plan: Plan, *args: str) -> Child:
     """Return a stand-in's process."""
     return Child(
         role,
         name,
-        [sys.executable, "-m", "tools.scale.child", role, str(plan.path), *more],
+        [sys.executable, "-m", "tools.scale.child", role, str(plan.path), *args],
         Path(plan.folder),
     )
 
 
-def controller(row: Controller, plan: Plan) -> Child:
+def controller_child(controller: Controller, plan: Plan) -> Child:
     """Return a controller's process."""
-    return Child("controller", row.label, [*controller_command(), row.settings], Path(plan.folder))
+    return Child(
+        "controller",
+        controller.label,
+        [*controller_command(), controller.settings],
+        Path(plan.folder),
+    )
--- a/tools/scale/report.py
+++ b/tools/scale/report.py
@@ -5,13 +5,13 @@
 
 import msgspec
 
-from tools.scale.histograms import merged, of_seconds, percentiles
+from tools.scale.histograms import from_seconds, merged, percentiles
 from tools.scale.jobs import Kind
 from tools.scale.ledger import Breach, Ledger, all_events
 from tools.scale.runner import Run, Sample, read_summary
 
 # Seconds over which the busiest span of starts is looked for.
-BUSY_S = 10.0
+BUSY_SPAN_S = 10.0
 
 
 class Role(msgspec.Struct, frozen=True):
@@ -67,11 +67,11 @@
     samples = run.samples
     if len(samples) < 2:
         return Role(len(names), 0.0, 0.0, 0.0, 0)
-    span = samples[-1].at - samples[0].at
-    spent = sum(samples[-1].usage[name][0] - samples[0].usage[name][0] for name in names)
+    elapsed_s = samples[-1].at - samples[0].at
+    cpu_s = sum(samples[-1].usage[name][0] - samples[0].usage[name][0] for name in names)
     return Role(
         len(names),
-        spent / span / len(names),
+        cpu_s / elapsed_s / len(names),
         max(peak_cores(samples, name) for name in names),
         max(sample.usage[name][1] for sample in samples for name in names),
         max(sample.usage[name][2] for sample in samples for name in names),
@@ -81,16 +81,16 @@
 def peak_cores(samples: list[Sample], name: str) -> float:
     """Return the cores of a process in its busiest second."""
     return max(
-        (later.usage[name][0] - sooner.usage[name][0]) / (later.at - sooner.at)
-        for sooner, later in zip(samples, samples[1:], strict=False)
+        (later.usage[name][0] - earlier.usage[name][0]) / (later.at - earlier.at)
+        for earlier, later in zip(samples, samples[1:], strict=False)
     )
 
 
 def make_report(run: Run, complete: bool) -> Report:
     """Check the ledger and put together what was measured."""
     ledger = Ledger(run.config)
-    ledger.take(all_events(run.folder))
-    ledger.close(run.ended)
+    ledger.apply_events(all_events(run.folder))
+    ledger.close(run.ended_at)
     state = read_summary(run.folder, "state")
     users = read_summary(run.folder, "users")
     hollow = [read_summary(run.folder, child.name) for child in run.hollow]
@@ -105,7 +105,7 @@
         workers=max((sample.workers for sample in run.samples), default=0),
         most_running=max((sample.running for sample in run.samples), default=0),
         starts=starts,
-        starts_busiest=ledger.busiest(BUSY_S),
+        starts_busiest=ledger.peak_start_rate(BUSY_SPAN_S),
         accepted=users.get("counts", {}).get("accepted", 0),
         changes=store.get("changes", 0),
         changes_a_start=store.get("changes", 0) / max(1, starts),
@@ -130,12 +130,13 @@
             for role in ("controller", "hollow", "state", "cloud", "users")
         },
         bytes_a_worker=worker_bytes(hollow) / max(1.0, seconds) / max(1, mean_workers(run)),
-        loopback_bytes=carried(run),
+        loopback_bytes=loopback_rate(run),
         peers_bytes=max(
-            0.0, carried(run) - (state_bytes(state) + worker_bytes(hollow)) / max(1.0, seconds)
+            0.0,
+            loopback_rate(run) - (state_bytes(state) + worker_bytes(hollow)) / max(1.0, seconds),
         ),
-        times=times(ledger, users, hollow),
-        large_gang_s=large_gang(run, ledger),
+        times=time_percentiles(ledger, users, hollow),
+        large_gang_s=large_gang_wait(run, ledger),
         answers=users.get("counts", {}),
         unfinished=users.get("unfinished", 0),
         ends={
@@ -146,8 +147,8 @@
         rules={rule: ledger.counts[rule] for rule in RULES},
         breaches=ledger.breaches,
         controller_errors=sum(child.error_lines() for child in run.controllers),
-        most_processes=run.most_processes,
-        most_memory_mb=run.most_memory_mb,
+        most_processes=run.max_processes,
+        most_memory_mb=run.max_memory_mb,
     )
 
 
@@ -174,7 +175,7 @@
     )
 
 
-def carried(run: Run) -> float:
+def loopback_rate(run: Run) -> float:
     """Return the bytes a second that the loopback interface carried."""
     samples = run.samples
     if len(samples) < 2:
@@ -184,16 +185,16 @@
     )
 
 
-def times(
+def time_percentiles(
     ledger: Ledger, users: dict[str, Any], hollow: list[dict[str, Any]]
 ) -> dict[str, dict[str, float]]:
     """Return the percentiles of all times, in seconds."""
-    found = {
+    percentiles_by_name = {
         name: percentiles(merged([users[f"{name}_times"]]))
         for name in ("submission", "cancellation", "query")
         if f"{name}_times" in users
     }
-    found["report"] = percentiles(
+    percentiles_by_name["report"] = percentiles(
         merged(row["report_times"] for row in hollow if "report_times" in row)
     )
     for name, kind, whole in (
@@ -202,16 +203,16 @@
         ("array's first start", Kind.ARRAY, False),
         ("service start", Kind.SERVICE, True),
     ):
-        found[name] = percentiles(of_seconds(ledger.waits(kind, whole)))
-    return found
+        percentiles_by_name[name] = percentiles(from_seconds(ledger.wait_times(kind, whole)))
+    return percentiles_by_name
 
 
-def large_gang(run: Run, ledger: Ledger) -> float | None:
+def large_gang_wait(run: Run, ledger: Ledger) -> float | None:
     """Return how long the largest gang waited for its last task (s); None if it never began."""
     tasks = run.config.traffic.large_gang_tasks
-    for job_id, begun in ledger.begun.items():
-        if job_id.endswith("999999") and len(begun) >= tasks > 0:
-            return sorted(begun)[tasks - 1] - ledger.asked[job_id]
+    for job_id, start_times in ledger.start_times.items():
+        if job_id.endswith("999999") and len(start_times) >= tasks > 0:
+            return sorted(start_times)[tasks - 1] - ledger.submitted_at[job_id]
     return None
 
 
@@ -221,13 +222,13 @@
     path.write_bytes(msgspec.json.format(msgspec.json.encode(report), indent=1) + b"\n")
 
 
-def lines(report: Report) -> list[str]:
+def report_lines(report: Report) -> list[str]:
     """Return a report for a person."""
     rows = [
         f"fraction {report.fraction:g}, {report.controllers} controllers, {report.seconds:.0f} s"
         f"{'' if report.complete else ' (not complete)'}: {report.workers} workers, "
         f"{report.most_running} tasks at most, {report.starts} starts, "
-        f"{report.starts_busiest:.0f}/s in the busiest {BUSY_S:g} s",
+        f"{report.starts_busiest:.0f}/s in the busiest {BUSY_SPAN_S:g} s",
         f"changes {report.changes}, {report.changes_a_start:.2f} a start: "
         f"{report.changes_by_kind}",
         f"state service: {report.state}",
@@ -241,8 +242,8 @@
         f"a worker: {report.bytes_a_worker:.0f} bytes/s; peers "
         f"{report.peers_bytes / 1e6:.2f} MB/s of {report.loopback_bytes / 1e6:.2f}"
     )
-    for name, found in report.times.items():
-        parts = " ".join(f"{key} {value:.3g}" for key, value in found.items())
+    for name, values in report.times.items():
+        parts = " ".join(f"{key} {value:.3g}" for key, value in values.items())
         rows.append(f"{name}: {parts}")
     if report.large_gang_s is not None:
         rows.append(f"the largest gang began after {report.large_gang_s:.1f} s")
--- a/tools/scale/runner.py
+++ b/tools/scale/runner.py
@@ -17,26 +17,26 @@
 from tools.scale.processes import (
     Child,
     Usage,
-    controller,
+    controller_child,
     loopback_bytes,
-    stand_in,
+    stand_in_child,
 )
 
 # Seconds for all controllers to be healthy, between two samples, for a stand-in to end.
-HEALTHY_S = 60.0
-SAMPLE_S = 1.0
-END_S = 5.0
-LOOK_S = 0.2
-CONTROL_S = 15.0
+HEALTH_TIMEOUT_S = 60.0
+SAMPLE_INTERVAL_S = 1.0
+STOP_TIMEOUT_S = 5.0
+POLL_INTERVAL_S = 0.2
+CONTROL_TIMEOUT_S = 15.0
 # Machines that vanish at a time when many are replaced one by one.
-RESTART_STEP_S = 1.0
+RESTART_INTERVAL_S = 1.0
 
 
 class CannotStart(Exception):
     """The run can't start; the text says why in one line."""
 
 
-class OutOfBounds(Exception):
+class LimitExceeded(Exception):
     """The run took more of the machine than it may; the text says of what."""
 
 
@@ -55,20 +55,20 @@
 class Run:
     """One run; `go` plays it and leaves what was measured in `samples` and the folder."""
 
-    def __init__(self, config: RunConfig, folder: Path, say: Callable[[str], None]) -> None:
+    def __init__(self, config: RunConfig, folder: Path, print_line: Callable[[str], None]) -> None:
         self.config = config
         self.folder = folder
-        self.say = say
+        self.print_line = print_line
         self.plan: Plan = make_plan(config, folder)
         plan = self.plan
-        self.controllers = [controller(row, plan) for row in plan.controllers]
+        self.controllers = [controller_child(controller, plan) for controller in plan.controllers]
         self.hollow = [
-            stand_in("hollow", f"hollow-{number}", plan, str(number))
+            stand_in_child("hollow", f"hollow-{number}", plan, str(number))
             for number in range(len(plan.hollow))
         ]
-        self.state = stand_in("state", "state", plan)
-        self.cloud = stand_in("cloud", "cloud", plan)
-        self.users = stand_in("users", "users", plan)
+        self.state = stand_in_child("state", "state", plan)
+        self.cloud = stand_in_child("cloud", "cloud", plan)
+        self.users = stand_in_child("users", "users", plan)
         self.children: list[Child] = [
             *self.controllers,
             *self.hollow,
@@ -77,46 +77,51 @@
             self.users,
         ]
         self.samples: list[Sample] = []
-        self.begun = 0.0
-        self.ended = 0.0
-        self.most_processes = 0
-        self.most_memory_mb = 0.0
+        self.started_at = 0.0
+        self.ended_at = 0.0
+        self.max_processes = 0
+        self.max_memory_mb = 0.0
         self.client = Client(8)
 
-    async def go(self) -> None:
+    async def execute(self) -> None:
         """Play the run; whatever ends it, no child outlives this."""
         troubles: list[asyncio.Task] = []
         try:
             await self._start()
-            self.begun = time.monotonic()
+            self.started_at = time.monotonic()
             self.users.start()
-            troubles = [asyncio.create_task(self._trouble(row)) for row in self.config.troubles]
+            troubles = [
+                asyncio.create_task(self._inject_trouble(trouble))
+                for trouble in self.config.troubles
+            ]
             total = self.config.traffic.seconds + self.config.traffic.drain_s
-            while time.monotonic() - self.begun < total:
-                await asyncio.sleep(SAMPLE_S)
+            while time.monotonic() - self.started_at < total:
+                await asyncio.sleep(SAMPLE_INTERVAL_S)
                 self._sample()
         finally:
             for task in troubles:
                 task.cancel()
-            self.ended = time.monotonic()
+            self.ended_at = time.monotonic()
             await self._stop()
 
     async def _start(self) -> None:
         for child in (self.state, self.cloud, *self.hollow):
             child.start()
-        await asyncio.sleep(LOOK_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
         for child in self.controllers:
             child.start()
-        until = time.monotonic() + HEALTHY_S
-        waiting = {row.label: row.public for row in self.plan.controllers}
+        deadline = time.monotonic() + HEALTH_TIMEOUT_S
+        waiting = {controller.label: controller.public for controller in self.plan.controllers}
         while waiting:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             self._check_alive()
             for label, address in list(waiting.items()):
                 if await self._healthy(address):
                     del waiting[label]
-            if time.monotonic() > until:
-                raise CannotStart(f"{', '.join(waiting)} not healthy within {HEALTHY_S:g} s")
+            if time.monotonic() > deadline:
+                raise CannotStart(
+                    f"{', '.join(waiting)} not healthy within {HEALTH_TIMEOUT_S:g} s"
+                )
 
     async def _healthy(self, address: str) -> bool:
         try:
@@ -129,7 +134,7 @@
         """Raise CannotStart if a stand-in or a controller ended by itself."""
         for child in self.children:
             if child.process is not None and not child.running:
-                raise CannotStart(f"{child.name} ended: {child.last_words() or 'no word'}")
+                raise CannotStart(f"{child.name} ended: {child.last_log_line() or 'no word'}")
 
     async def _stop(self) -> None:
         for child in self.controllers:
@@ -137,20 +142,20 @@
         stand_ins = [self.users, *self.hollow, self.cloud, self.state]
         for child in stand_ins:
             child.terminate()
-        until = time.monotonic() + END_S
-        while any(child.running for child in stand_ins) and time.monotonic() < until:
-            await asyncio.sleep(LOOK_S)
+        deadline = time.monotonic() + STOP_TIMEOUT_S
+        while any(child.running for child in stand_ins) and time.monotonic() < deadline:
+            await asyncio.sleep(POLL_INTERVAL_S)
         for child in stand_ins:
             child.kill()
 
     # --- measuring ---
 
     def _sample(self) -> None:
-        usage = {child.name: child.look() for child in self.children}
+        usage = {child.name: child.sample_usage() for child in self.children}
         hollow = [self._summary(child.name) for child in self.hollow]
         users = self._summary("users")
         sample = Sample(
-            round(time.monotonic() - self.begun, 2),
+            round(time.monotonic() - self.started_at, 2),
             {name: (row.cpu_s, row.memory_mb, row.sockets) for name, row in usage.items()},
             loopback_bytes(),
             sum(row.get("workers", 0) for row in hollow),
@@ -166,37 +171,37 @@
         return read_summary(self.folder, name)
 
     def _progress(self, sample: Sample) -> None:
-        before = self.samples[-1] if self.samples else None
+        previous = self.samples[-1] if self.samples else None
         rate = 0.0
-        if before is not None and sample.at > before.at:
-            rate = (sample.starts - before.starts) / (sample.at - before.at)
-        up = sum(child.running for child in self.controllers)
+        if previous is not None and sample.at > previous.at:
+            rate = (sample.starts - previous.starts) / (sample.at - previous.at)
+        running = sum(child.running for child in self.controllers)
         memory = sum(row[1] for row in sample.usage.values())
-        self.say(
+        self.print_line(
             f"{sample.at:6.1f} s  workers {sample.workers}  running {sample.running}  "
-            f"starts/s {rate:.0f}  unfinished {sample.unfinished}  controllers {up}  "
+            f"starts/s {rate:.0f}  unfinished {sample.unfinished}  controllers {running}  "
             f"{memory:.0f} MB"
         )
 
     def _check_bounds(self, usage: dict[str, Usage]) -> None:
         processes = 1 + sum(child.running for child in self.children)
         memory = sum(row.memory_mb for row in usage.values())
-        self.most_processes = max(self.most_processes, processes)
-        self.most_memory_mb = max(self.most_memory_mb, memory)
+        self.max_processes = max(self.max_processes, processes)
+        self.max_memory_mb = max(self.max_memory_mb, memory)
         bounds = self.config.bounds
         if processes > bounds.processes:
-            raise OutOfBounds(f"{processes} processes, {bounds.processes} allowed")
+            raise LimitExceeded(f"{processes} processes, {bounds.processes} allowed")
         if memory > bounds.memory_mb:
-            raise OutOfBounds(f"{memory:.0f} MB, {bounds.memory_mb:.0f} allowed")
+            raise LimitExceeded(f"{memory:.0f} MB, {bounds.memory_mb:.0f} allowed")
         for child in (self.state, self.cloud, *self.hollow, self.users):
             if not child.running:
-                raise OutOfBounds(f"{child.name} ended: {child.last_words() or 'no word'}")
+                raise LimitExceeded(f"{child.name} ended: {child.last_log_line() or 'no word'}")
 
     # --- troubles ---
 
-    async def _trouble(self, trouble: Trouble) -> None:
-        await asyncio.sleep(max(0.0, self.begun + trouble.at_s - time.monotonic()))
-        self.say(
+    async def _inject_trouble(self, trouble: Trouble) -> None:
+        await asyncio.sleep(max(0.0, self.started_at + trouble.at_s - time.monotonic()))
+        self.print_line(
             f"trouble: {trouble.kind} index={trouble.index} count={trouble.count} "
             f"for_s={trouble.for_s:g}"
         )
@@ -208,29 +213,29 @@
         elif trouble.kind == "restarts":
             await self._restart_workers(trouble)
         elif trouble.kind in ("rack", "zone"):
-            await self._control(self.plan.cloud, "/control", trouble)
+            await self._send_control(self.plan.cloud, "/control", trouble)
         else:
-            await self._control(self.plan.state_control, "/", trouble)
+            await self._send_control(self.plan.state_control, "/", trouble)
 
     async def _restart_workers(self, trouble: Trouble) -> None:
         """Take workers away one after the other, spread over the trouble's time."""
-        steps = max(1, round(trouble.for_s / RESTART_STEP_S))
-        left = trouble.count
+        steps = max(1, round(trouble.for_s / RESTART_INTERVAL_S))
+        remaining = trouble.count
         for step in range(steps):
-            count = left // (steps - step)
-            left -= count
+            count = remaining // (steps - step)
+            remaining -= count
             if count:
-                await self._control(
+                await self._send_control(
                     self.plan.cloud, "/control", msgspec.structs.replace(trouble, count=count)
                 )
-            await asyncio.sleep(RESTART_STEP_S)
+            await asyncio.sleep(RESTART_INTERVAL_S)
 
-    async def _control(self, address: str, path: str, trouble: Trouble) -> None:
+    async def _send_control(self, address: str, path: str, trouble: Trouble) -> None:
         body = encode(msgspec.to_builtins(trouble))
         try:
-            await self.client.request(address, "POST", path, body, CONTROL_S)
+            await self.client.request(address, "POST", path, body, CONTROL_TIMEOUT_S)
         except (RequestNotSentError, NoResponseError) as error:
-            self.say(f"trouble {trouble.kind} not brought about: {error}")
+            self.print_line(f"trouble {trouble.kind} not brought about: {error}")
 
 
 def read_summary(folder: Path, name: str) -> dict[str, Any]:
--- a/tools/scale/serving.py
+++ b/tools/scale/serving.py
@@ -16,8 +16,8 @@
 from oakmux.transport.http_server import Request, ServerProtocol
 
 # Bytes of a body that a stand-in takes; connections that one listener takes.
-MOST_BYTES = 4 * 1024 * 1024
-MOST_CONNECTIONS = 16_000
+MAX_BODY_BYTES = 4 * 1024 * 1024
+MAX_CONNECTIONS = 16_000
 
 log = logging.getLogger("scale")
 
@@ -28,7 +28,7 @@
     """A connection whose requests and bytes are counted."""
 
     def __init__(self, handler: Handler, live: set[ServerProtocol], counts: Counter[str]) -> None:
-        super().__init__(handler, live, MOST_CONNECTIONS, MOST_BYTES)
+        super().__init__(handler, live, MAX_CONNECTIONS, MAX_BODY_BYTES)
         self.counts = counts
 
     def data_received(self, data: bytes) -> None:
@@ -54,7 +54,7 @@
     )
 
 
-def answer(request: Request, status: int, value: Any) -> None:
+def send_response(request: Request, status: int, value: Any) -> None:
     """Answer with a CBOR body."""
     request.respond(status, encode(value))
 
@@ -73,9 +73,9 @@
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # the run's own process ends its children
 
     async def run() -> None:
-        ended = asyncio.Event()
-        asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, ended.set)
-        await main(ended)
+        stop_requested = asyncio.Event()
+        asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop_requested.set)
+        await main(stop_requested)
 
     asyncio.run(run())
 
--- a/tools/scale/state_service.py
+++ b/tools/scale/state_service.py
@@ -9,23 +9,25 @@
 from oakmux.codec.store import PATH_ITEMS, PATH_LEASES, PATH_TRANSACTIONS, PATH_WATCH
 from oakmux.transport.http_server import Request
 from tools.scale.plan import Plan
-from tools.scale.serving import answer, listen, write_summary
+from tools.scale.serving import listen, send_response, write_summary
 from tools.scale.store import Refused, Store, watch_body
 
 # Seconds between two looks for leases that are over (PROTOCOL: up to 100 ms late).
-LOOK_S = 0.05
+EXPIRY_INTERVAL_S = 0.05
 
 
 class Watch:
     """A watch that waits for a change."""
 
-    __slots__ = ("request", "prefix", "since", "until")
+    __slots__ = ("request", "prefix", "after_revision", "deadline")
 
-    def __init__(self, request: Request, prefix: str, since: int, until: float) -> None:
+    def __init__(
+        self, request: Request, prefix: str, after_revision: int, deadline: float
+    ) -> None:
         self.request = request
         self.prefix = prefix
-        self.since = since
-        self.until = until
+        self.after_revision = after_revision
+        self.deadline = deadline
 
 
 class StateService:
@@ -37,12 +39,12 @@
         self.store = Store(plan.config.service)
         self.counts = {controller.label: Counter[str]() for controller in plan.controllers}
         self.watches: dict[str, list[Watch]] = {label: [] for label in self.counts}
-        self.out_until = 0.0
+        self.outage_until = 0.0
         self.refused_until: dict[str, float] = {}
         self.slow_until = 0.0
-        self.slow_s = 0.0
+        self.delay_s = 0.0
 
-    async def run(self, ended: asyncio.Event) -> None:
+    async def run(self, stop_requested: asyncio.Event) -> None:
         """Serve until told to end."""
         for controller in self.plan.controllers:
             await listen(
@@ -51,16 +53,16 @@
                 self.counts[controller.label],
             )
         await listen(self.plan.state_control, self.control, Counter())
-        while not ended.is_set():
-            await asyncio.sleep(LOOK_S)
-            self.look()
+        while not stop_requested.is_set():
+            await asyncio.sleep(EXPIRY_INTERVAL_S)
+            self.expire_and_notify()
         write_summary(
             self.plan.folder,
             "state",
             {
                 "store": dict(self.store.counts),
                 "largest_value": self.store.largest_value,
-                "keys": len(self.store.rows),
+                "keys": len(self.store.records),
                 "controllers": {k: dict(v) for k, v in self.counts.items()},
             },
         )
@@ -70,45 +72,47 @@
         order = decode(request.body)
         now = self.loop.time()
         if order["kind"] == "state_out":
-            self.out_until = now + order["for_s"]
+            self.outage_until = now + order["for_s"]
         elif order["kind"] == "state_refuse":
             self.refused_until[self.plan.controllers[order["index"]].label] = now + order["for_s"]
         elif order["kind"] == "state_slow":
-            self.slow_s, self.slow_until = order["delay_s"], now + order["for_s"]
-        answer(request, 200, {})
+            self.delay_s, self.slow_until = order["delay_s"], now + order["for_s"]
+        send_response(request, 200, {})
 
-    def look(self) -> None:
+    def expire_and_notify(self) -> None:
         """End leases and an outage, answer watches."""
         now = self.loop.time()
-        if self.out_until:
-            if now < self.out_until:
+        if self.outage_until:
+            if now < self.outage_until:
                 return
-            self.out_until = 0.0
+            self.outage_until = 0.0
             self.store.restore_leases(now)
         self.store.expire(now)
-        self.tell(now)
+        self.notify_watches(now)
 
     def unreachable(self, label: str, now: float) -> bool:
         """Whether a controller is answered 503 now."""
-        return now < self.out_until or now < self.refused_until.get(label, 0.0)
+        return now < self.outage_until or now < self.refused_until.get(label, 0.0)
 
-    def tell(self, now: float) -> None:
+    def notify_watches(self, now: float) -> None:
         """Answer watches that have something to say or whose time is over."""
         for label, watches in self.watches.items():
             if not watches or self.unreachable(label, now):
                 continue
-            self.watches[label] = [watch for watch in watches if not self._told(watch, now)]
+            self.watches[label] = [
+                watch for watch in watches if not self._answer_watch(watch, now)
+            ]
 
-    def _told(self, watch: Watch, now: float) -> bool:
-        if watch.since == self.store.revision and now < watch.until:
+    def _answer_watch(self, watch: Watch, now: float) -> bool:
+        if watch.after_revision == self.store.revision and now < watch.deadline:
             return False
-        events = self.store.events_since(watch.prefix, watch.since)
+        events = self.store.events_since(watch.prefix, watch.after_revision)
         if events is None:
-            answer(watch.request, 410, {})
-        elif events or now >= watch.until:
+            send_response(watch.request, 410, {})
+        elif events or now >= watch.deadline:
             watch.request.respond(200, watch_body(self.store.revision, events))
         else:
-            watch.since = self.store.revision
+            watch.after_revision = self.store.revision
             return False
         return True
 
@@ -116,22 +120,22 @@
         """Serve one request of a controller, late if the service is slow."""
         now = self.loop.time()
         if now < self.slow_until:
-            self.loop.call_later(self.slow_s, self._serve, label, request)
+            self.loop.call_later(self.delay_s, self._serve, label, request)
         else:
             self._serve(label, request)
 
     def _serve(self, label: str, request: Request) -> None:
         now = self.loop.time()
         if self.unreachable(label, now):
-            answer(request, 503, {"error": "trouble"})
+            send_response(request, 503, {"error": "trouble"})
             return
         try:
             self.store.admit(now)
             self._route(label, request, now)
         except Refused as refusal:
-            answer(request, refusal.status, refusal.body)
+            send_response(request, refusal.status, refusal.body)
         except (KeyError, TypeError, ValueError, MalformedError) as error:
-            answer(request, 400, {"error": repr(error)})
+            send_response(request, 400, {"error": repr(error)})
 
     def _route(self, label: str, request: Request, now: float) -> None:
         parts = urlsplit(request.path)
@@ -140,16 +144,16 @@
         if path == PATH_TRANSACTIONS and method == "POST":
             body = decode(request.body)
             revision = self.store.transact(now, body.get("guards") or [], body.get("writes") or [])
-            answer(request, 200, {"epoch": revision})
+            send_response(request, 200, {"epoch": revision})
             if body.get("writes"):
-                self.tell(now)
+                self.notify_watches(now)
         elif path == PATH_WATCH and method == "GET":
-            until = now + min(60.0, int(query.get("block_ms", 0)) / 1000)
-            watch = Watch(request, query["prefix"], int(query["since"]), until)
-            if not self._told(watch, now):
+            deadline = now + min(60.0, int(query.get("block_ms", 0)) / 1000)
+            watch = Watch(request, query["prefix"], int(query["since"]), deadline)
+            if not self._answer_watch(watch, now):
                 self.watches[label].append(watch)
         elif path == PATH_ITEMS and method == "GET":
-            answer(
+            send_response(
                 request,
                 200,
                 self.store.page(
@@ -157,27 +161,27 @@
                 ),
             )
         elif path.startswith(PATH_ITEMS + "/") and method == "GET":
-            answer(request, 200, self.store.get(unquote(path[len(PATH_ITEMS) + 1 :])))
+            send_response(request, 200, self.store.get(unquote(path[len(PATH_ITEMS) + 1 :])))
         elif path.startswith(PATH_LEASES):
             self._lease(request, path, method, now)
         else:
             raise Refused(400, {"error": "path"})
 
     def _lease(self, request: Request, path: str, method: str, now: float) -> None:
-        rest = path[len(PATH_LEASES) :].strip("/")
-        if not rest:
+        suffix = path[len(PATH_LEASES) :].strip("/")
+        if not suffix:
             lease = self.store.grant(now, int(decode(request.body)["life_ms"]))
-            answer(request, 200, {"permit": lease})
-        elif rest.endswith("/renew"):
-            self.store.renew(now, int(rest.removesuffix("/renew")))
-            answer(request, 200, {})
+            send_response(request, 200, {"permit": lease})
+        elif suffix.endswith("/renew"):
+            self.store.renew(now, int(suffix.removesuffix("/renew")))
+            send_response(request, 200, {})
         elif method == "DELETE":
-            self.store.drop_lease(int(rest))
-            answer(request, 200, {})
+            self.store.drop_lease(int(suffix))
+            send_response(request, 200, {})
         else:
             raise Refused(400, {"error": "path"})
 
 
-async def main(plan: Plan, ended: asyncio.Event) -> None:
+async def main(plan: Plan, stop_requested: asyncio.Event) -> None:
     """Run the state service."""
-    await StateService(plan).run(ended)
+    await StateService(plan).run(stop_requested)
--- a/tools/scale/store.py
+++ b/tools/scale/store.py
@@ -12,7 +12,7 @@
 from tools.scale.config import Service
 
 # Changes that a watch can go back (PROTOCOL: the service keeps the last 10,000).
-LOG_CHANGES = 10_000
+MAX_LOG_CHANGES = 10_000
 # Limits of one page of a list.
 PAGE_ITEMS = 1000
 PAGE_BYTES = 512 * 1024
@@ -32,15 +32,15 @@
 class Lease:
     """A lease: its length and when it ends, in seconds."""
 
-    __slots__ = ("life_s", "ends", "keys")
+    __slots__ = ("duration_s", "ends_at", "keys")
 
-    def __init__(self, life_s: float, now: float) -> None:
-        self.life_s = life_s
-        self.ends = now + life_s
+    def __init__(self, duration_s: float, now: float) -> None:
+        self.duration_s = duration_s
+        self.ends_at = now + duration_s
         self.keys: set[str] = set()
 
 
-class Row:
+class Record:
     """A key's value, the revision of its last change, its lease."""
 
     __slots__ = ("value", "mod_revision", "lease")
@@ -57,26 +57,26 @@
     def __init__(self, limits: Service) -> None:
         self.limits = limits
         self.revision = 0
-        self.rows: SortedDict = SortedDict()
+        self.records: SortedDict = SortedDict()
         self.leases: dict[int, Lease] = {}
         self.next_lease = 0
         # (revision, key, encoded event), the oldest first.
         self.log: deque[tuple[int, str, bytes]] = deque()
-        self.requests = TokenBucket(limits.rps)
-        self.changes = TokenBucket(limits.write_rps)
+        self.request_limit = TokenBucket(limits.rps)
+        self.change_limit = TokenBucket(limits.write_rps)
         self.counts: Counter[str] = Counter()
         self.largest_value = 0
 
     def admit(self, now: float) -> None:
         """Take one request off the limit; raises Refused."""
-        if self.requests.wait(now, 1) > 0:
+        if self.request_limit.wait(now, 1) > 0:
             raise Refused(429, {"error": "requests"})
-        self.requests.consume(1)
+        self.request_limit.consume(1)
 
     def expire(self, now: float) -> bool:
         """End leases whose time is over; return whether keys went with one."""
         removed = False
-        for number in [n for n, lease in self.leases.items() if lease.ends <= now]:
+        for number in [n for n, lease in self.leases.items() if lease.ends_at <= now]:
             removed = self.drop_lease(number) or removed
         return removed
 
@@ -93,7 +93,7 @@
     def restore_leases(self, now: float) -> None:
         """After an outage, all leases have their full time again."""
         for lease in self.leases.values():
-            lease.ends = now + lease.life_s
+            lease.ends_at = now + lease.duration_s
 
     def grant(self, now: float, life_ms: int) -> int:
         """Grant a lease."""
@@ -108,43 +108,47 @@
         lease = self.leases.get(number)
         if lease is None:
             raise Refused(404, {"error": "no such lease"})
-        lease.ends = now + lease.life_s
+        lease.ends_at = now + lease.duration_s
 
     def get(self, key: str) -> dict[str, Any]:
         """Return a key's item; raises Refused."""
-        row = self.rows.get(key)
-        if row is None:
+        record = self.records.get(key)
+        if record is None:
             raise Refused(404, {"epoch": self.revision})
-        return item(key, row)
+        return item(key, record)
 
-    def page(self, prefix: str, since: str, most: int) -> dict[str, Any]:
+    def page(self, prefix: str, since: str, limit: int) -> dict[str, Any]:
         """Return one page of a list."""
-        most = min(most, PAGE_ITEMS)
-        found: list[dict[str, Any]] = []
-        size, more = 0, False
-        for key in self.rows.irange(max(prefix, since), None, (not since, True)):
+        limit = min(limit, PAGE_ITEMS)
+        items: list[dict[str, Any]] = []
+        size, has_next = 0, False
+        for key in self.records.irange(max(prefix, since), None, (not since, True)):
             if not key.startswith(prefix):
                 break
-            row = item(key, self.rows[key])
-            size += len(msgspec.json.encode(row))
-            if len(found) >= most or (found and size > PAGE_BYTES):
-                more = True
+            entry = item(key, self.records[key])
+            size += len(msgspec.json.encode(entry))
+            if len(items) >= limit or (items and size > PAGE_BYTES):
+                has_next = True
                 break
-            found.append(row)
-        return {"rows": found, "has_next": more, "epoch": self.revision}
+            items.append(entry)
+        return {"rows": items, "has_next": has_next, "epoch": self.revision}
 
     def transact(self, now: float, guards: list[dict], writes: list[dict]) -> int:
         """Carry out a transaction; return the revision; raises Refused."""
         limits = self.limits
         self._check_size(guards, writes)
-        if writes and self.changes.wait(now, len(writes)) > 0:
+        if writes and self.change_limit.wait(now, len(writes)) > 0:
             self.counts["refused_changes"] += 1
             raise Refused(429, {"error": "changes"})
-        self.changes.consume(len(writes))
+        self.change_limit.consume(len(writes))
         for write in writes:
             if "write" in write and write.get("permit") not in (None, *self.leases):
                 raise Refused(400, {"error": "no such lease"})
-        failed = [row["path"] for row in guards if self._stamp(row["path"]) != row["stamp"]]
+        failed = [
+            guard["path"]
+            for guard in guards
+            if self._mod_revision(guard["path"]) != guard["stamp"]
+        ]
         if failed:
             self.counts["failed_changes"] += len(writes)
             raise Refused(409, {"failed": failed, "epoch": self.revision})
@@ -173,52 +177,52 @@
         if total > TRANSACTION_BYTES:
             raise Refused(400, {"error": "transaction too large"})
 
-    def _stamp(self, key: str) -> int:
-        row = self.rows.get(key)
-        return 0 if row is None else row.mod_revision
+    def _mod_revision(self, key: str) -> int:
+        record = self.records.get(key)
+        return 0 if record is None else record.mod_revision
 
     def _put(self, key: str, value: Any, lease: int | None) -> None:
-        old = self.rows.get(key)
+        old = self.records.get(key)
         if old is not None and old.lease in self.leases:
             self.leases[old.lease].keys.discard(key)
         if lease is not None:
             self.leases[lease].keys.add(key)
-        self.rows[key] = Row(value, self.revision, lease)
-        self._note(key, {"write": key, "v": value, "stamp": self.revision}, "")
+        self.records[key] = Record(value, self.revision, lease)
+        self._log_change(key, {"write": key, "v": value, "stamp": self.revision}, "")
 
     def _delete(self, key: str) -> None:
-        row = self.rows.pop(key, None)
-        if row is None:
+        record = self.records.pop(key, None)
+        if record is None:
             return
-        if row.lease in self.leases:
-            self.leases[row.lease].keys.discard(key)
-        self._note(key, {"delete": key, "stamp": self.revision}, "-")
+        if record.lease in self.leases:
+            self.leases[record.lease].keys.discard(key)
+        self._log_change(key, {"delete": key, "stamp": self.revision}, "-")
 
-    def _note(self, key: str, event: dict[str, Any], sign: str) -> None:
-        self.counts[f"changes {sign}{'/'.join(key.split('/')[:2])}"] += 1
+    def _log_change(self, key: str, event: dict[str, Any], prefix: str) -> None:
+        self.counts[f"changes {prefix}{'/'.join(key.split('/')[:2])}"] += 1
         self.counts["changes"] += 1
         self.log.append((self.revision, key, cbor2.dumps(event)))
-        if len(self.log) > LOG_CHANGES:
+        if len(self.log) > MAX_LOG_CHANGES:
             self.log.popleft()
 
     def events_since(self, prefix: str, since: int) -> list[bytes] | None:
         """Return the encoded changes of a prefix after a revision; None if that is too old."""
-        if self.log and len(self.log) == LOG_CHANGES and self.log[0][0] > since + 1:
+        if self.log and len(self.log) == MAX_LOG_CHANGES and self.log[0][0] > since + 1:
             return None
-        found: list[bytes] = []
+        events: list[bytes] = []
         for revision, key, event in reversed(self.log):
             if revision <= since:
                 break
             if key.startswith(prefix):
-                found.append(event)
-        found.reverse()
-        return found
+                events.append(event)
+        events.reverse()
+        return events
 
 
-def item(key: str, row: Row) -> dict[str, Any]:
+def item(key: str, record: Record) -> dict[str, Any]:
     """Return a key as the protocol shows it."""
-    found = {"path": key, "v": row.value, "stamp": row.mod_revision}
-    return found if row.lease is None else {**found, "permit": row.lease}
+    fields = {"path": key, "v": record.value, "stamp": record.mod_revision}
+    return fields if record.lease is None else {**fields, "permit": record.lease}
 
 
 def watch_body(revision: int, events: Iterable[bytes]) -> bytes:
--- a/tools/scale/users.py
+++ b/tools/scale/users.py
@@ -16,19 +16,19 @@
 from tools.scale.serving import EventLog, write_summary
 
 # Seconds for an answer to a submission and to a question, before a try again, and in all.
-SUBMIT_S = 5.0
-QUERY_S = 2.0
-RETRY_S = 1.0
-TRIES_S = 60.0
+SUBMIT_TIMEOUT_S = 5.0
+QUERY_TIMEOUT_S = 2.0
+RETRY_DELAY_S = 1.0
+RETRY_LIMIT_S = 60.0
 # Seconds between two looks at the health of all controllers.
-PROBE_S = 1.0
+PROBE_INTERVAL_S = 1.0
 # Connections to the controllers in all (count).
-CONNECTIONS = 400
-SUMMARY_S = 1.0
+MAX_CONNECTIONS = 400
+SUMMARY_INTERVAL_S = 1.0
 # Seconds over which a run's services are submitted, and a cancelled job's least age.
-SERVICES_S = 5.0
-CANCEL_AFTER_S = 1.0
-ACCEPTED = (200, 201)
+SERVICES_SPAN_S = 5.0
+MIN_CANCEL_AGE_S = 1.0
+ACCEPTED_STATUSES = (200, 201)
 
 
 class Arrival(NamedTuple):
@@ -38,7 +38,7 @@
     job: Job
 
 
-def team_of(config: RunConfig, rng: random.Random) -> int:
+def draw_team(config: RunConfig, rng: random.Random) -> int:
     """Draw a job's team: the first one is hot."""
     if rng.random() < config.traffic.hot_team_share:
         return 0
@@ -55,8 +55,8 @@
 def _services(config: RunConfig, rng: random.Random) -> Iterator[Arrival]:
     for number in range(config.traffic.services):
         yield Arrival(
-            rng.uniform(0, SERVICES_S),
-            Job(Kind.SERVICE, team_of(config, rng), config.traffic.service_tasks, 0.0, number),
+            rng.uniform(0, SERVICES_SPAN_S),
+            Job(Kind.SERVICE, draw_team(config, rng), config.traffic.service_tasks, 0.0, number),
         )
 
 
@@ -64,21 +64,21 @@
     traffic = config.traffic
     serial = 100_000
     at = 0.0
-    single = traffic.starts * traffic.single_share
-    large = traffic.starts * (1 - traffic.single_share) / traffic.array_tasks
-    while single + large > 0:
-        at += rng.expovariate(single + large)
+    single_rate = traffic.starts * traffic.single_share
+    array_rate = traffic.starts * (1 - traffic.single_share) / traffic.array_tasks
+    while single_rate + array_rate > 0:
+        at += rng.expovariate(single_rate + array_rate)
         if at >= traffic.seconds:
             return
         serial += 1
         run_s = traffic.run_s * rng.uniform(0.5, 1.5)
-        if rng.random() < single / (single + large):
+        if rng.random() < single_rate / (single_rate + array_rate):
             kind = Kind.URGENT if rng.random() < traffic.urgent_share else Kind.ARRAY
             tasks = 1
         else:
             kind = Kind.PINNED if rng.random() < traffic.pinned_share else Kind.ARRAY
             tasks = traffic.array_tasks
-        yield Arrival(at, Job(kind, team_of(config, rng), tasks, run_s, serial))
+        yield Arrival(at, Job(kind, draw_team(config, rng), tasks, run_s, serial))
 
 
 def _gangs(config: RunConfig, rng: random.Random) -> Iterator[Arrival]:
@@ -88,7 +88,7 @@
     while traffic.gang_every_s > 0 and at < traffic.seconds:
         serial += 1
         yield Arrival(
-            at, Job(Kind.GANG, team_of(config, rng), traffic.gang_tasks, traffic.run_s, serial)
+            at, Job(Kind.GANG, draw_team(config, rng), traffic.gang_tasks, traffic.run_s, serial)
         )
         at += traffic.gang_every_s
     if traffic.large_gang_tasks:
@@ -101,30 +101,34 @@
 class Balancer:
     """Chooses among the controllers that are healthy by their own word."""
 
-    def __init__(self, nodes: list[str], rng: random.Random) -> None:
-        self.nodes = nodes
+    def __init__(self, controllers: list[str], rng: random.Random) -> None:
+        self.controllers = controllers
         self.rng = rng
-        self.healthy = list(nodes)
-        self.failed: dict[str, int] = {}
-        self.client = Client(2 * len(nodes))
+        self.healthy = list(controllers)
+        self.failures: dict[str, int] = {}
+        self.client = Client(2 * len(controllers))
 
     def choose(self) -> str:
         """Return a controller's address."""
-        return self.rng.choice(self.healthy or self.nodes)
+        return self.rng.choice(self.healthy or self.controllers)
 
     async def probe(self) -> None:
         """Look at all controllers for ever; two failures in a row take one out."""
         while True:
-            await asyncio.gather(*(self._probe(node) for node in self.nodes))
-            self.healthy = [node for node in self.nodes if self.failed.get(node, 0) < 2]
-            await asyncio.sleep(PROBE_S)
-
-    async def _probe(self, node: str) -> None:
+            await asyncio.gather(*(self._probe(controller) for controller in self.controllers))
+            self.healthy = [
+                controller
+                for controller in self.controllers
+                if self.failures.get(controller, 0) < 2
+            ]
+            await asyncio.sleep(PROBE_INTERVAL_S)
+
+    async def _probe(self, controller: str) -> None:
         try:
-            status, _ = await self.client.request(node, "GET", PATH_HEALTH, b"", 1.0)
+            status, _ = await self.client.request(controller, "GET", PATH_HEALTH, b"", 1.0)
         except (RequestNotSentError, NoResponseError):
             status = 0
-        self.failed[node] = 0 if status == 200 else self.failed.get(node, 0) + 1
+        self.failures[controller] = 0 if status == 200 else self.failures.get(controller, 0) + 1
 
 
 class Users:
@@ -135,24 +139,24 @@
         self.config = plan.config
         self.loop = asyncio.get_running_loop()
         self.rng = random.Random(plan.config.seed + 7)
-        self.balancer = Balancer([row.public for row in plan.controllers], self.rng)
-        self.client = Client(CONNECTIONS)
+        self.balancer = Balancer([controller.public for controller in plan.controllers], self.rng)
+        self.client = Client(MAX_CONNECTIONS)
         self.events = EventLog(plan.folder, "users")
         self.counts: Counter[str] = Counter()
         self.times = {name: new_histogram() for name in ("submission", "cancellation", "query")}
         self.unfinished = 0
         self.tasks: set[asyncio.Task] = set()
 
-    async def run(self, ended: asyncio.Event) -> None:
+    async def run(self, stop_requested: asyncio.Event) -> None:
         """Submit until told to end."""
         rows = arrivals(self.config, self.rng)
         tasks = [
             self.loop.create_task(self.balancer.probe()),
             self.loop.create_task(self._submit_all(rows)),
         ]
-        while not ended.is_set():
+        while not stop_requested.is_set():
             self.summarize()
-            await asyncio.sleep(SUMMARY_S)
+            await asyncio.sleep(SUMMARY_INTERVAL_S)
         for task in [*tasks, *self.tasks]:
             task.cancel()
         self.summarize()
@@ -166,15 +170,18 @@
             {
                 "counts": self.counts,
                 "unfinished": self.unfinished,
-                **{f"{name}_times": found.encode().decode() for name, found in self.times.items()},
+                **{
+                    f"{name}_times": histogram.encode().decode()
+                    for name, histogram in self.times.items()
+                },
             },
         )
 
     async def _submit_all(self, rows: list[Arrival]) -> None:
-        begun = self.loop.time()
-        for row in rows:
-            await asyncio.sleep(max(0.0, begun + row.at - self.loop.time()))
-            task = self.loop.create_task(self._user(row.job))
+        started = self.loop.time()
+        for arrival in rows:
+            await asyncio.sleep(max(0.0, started + arrival.at - self.loop.time()))
+            task = self.loop.create_task(self._user(arrival.job))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
@@ -182,8 +189,10 @@
         """Submit a job and ask for it until it is over."""
         self.events.add("asked", job.id)
         body = encode(submission(self.config, job))
-        status, _ = await self._insist("submission", "POST", PATH_JOBS, body, (200, 201, 400, 422))
-        if status not in ACCEPTED:
+        status, _ = await self._request_until_final(
+            "submission", "POST", PATH_JOBS, body, (200, 201, 400, 422)
+        )
+        if status not in ACCEPTED_STATUSES:
             self.counts[f"not accepted: {status}"] += 1
             return
         self.events.add("accepted", job.id)
@@ -198,7 +207,7 @@
         traffic = self.config.traffic
         cancel_at = float("inf")
         if job.kind != Kind.SERVICE and self.rng.random() < traffic.cancel_share:
-            cancel_at = self.loop.time() + CANCEL_AFTER_S + self.rng.uniform(0, traffic.run_s)
+            cancel_at = self.loop.time() + MIN_CANCEL_AGE_S + self.rng.uniform(0, traffic.run_s)
         while True:
             wait = traffic.poll_s * self.rng.uniform(0.9, 1.1)
             await asyncio.sleep(max(0.0, min(wait, cancel_at - self.loop.time())))
@@ -212,51 +221,55 @@
     async def _cancel(self, job: Job) -> bool:
         """Cancel a job; return whether it is over."""
         self.events.add("cancelling", job.id)
-        status, value = await self._insist(
+        status, value = await self._request_until_final(
             "cancellation", "POST", f"{PATH_JOBS}/{job.id}{CANCEL_SUFFIX}", b"", (200,)
         )
         if status != 200:
             return False
-        self._final(job, value)
+        self._record_final(job, value)
         return True
 
     async def _query(self, job: Job) -> bool:
         """Ask for a job; return whether it is over."""
-        status, value = await self._once("query", "GET", f"{PATH_JOBS}/{job.id}", b"", QUERY_S)
+        status, value = await self._request(
+            "query", "GET", f"{PATH_JOBS}/{job.id}", b"", QUERY_TIMEOUT_S
+        )
         if status == 404:
             self.events.add("forgotten", job.id)
-        return status == 200 and self._final(job, value)
+        return status == 200 and self._record_final(job, value)
 
-    def _final(self, job: Job, value: dict[str, Any]) -> bool:
-        told = {"done": "done", "aborted": "cancelled"}.get(value.get("status", ""))
-        if told is None:
+    def _record_final(self, job: Job, value: dict[str, Any]) -> bool:
+        outcome = {"done": "done", "aborted": "cancelled"}.get(value.get("status", ""))
+        if outcome is None:
             return False
-        self.events.add(told, job.id)
-        self.counts[told] += 1
+        self.events.add(outcome, job.id)
+        self.counts[outcome] += 1
         return True
 
-    async def _insist(
-        self, name: str, method: str, path: str, body: bytes, final: tuple[int, ...]
+    async def _request_until_final(
+        self, name: str, method: str, path: str, body: bytes, final_statuses: tuple[int, ...]
     ) -> tuple[int, Any]:
         """Repeat a request until it has a final answer, for a minute at most."""
-        begun = self.loop.time()
+        started = self.loop.time()
         while True:
-            status, value = await self._once(name, method, path, body, SUBMIT_S, begun, final)
-            if status in final or self.loop.time() - begun > TRIES_S:
+            status, value = await self._request(
+                name, method, path, body, SUBMIT_TIMEOUT_S, started, final_statuses
+            )
+            if status in final_statuses or self.loop.time() - started > RETRY_LIMIT_S:
                 return status, value
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_DELAY_S)
 
-    async def _once(
+    async def _request(
         self,
         name: str,
         method: str,
         path: str,
         body: bytes,
         timeout: float,
-        begun: float | None = None,
-        final: tuple[int, ...] = (200,),
+        started: float | None = None,
+        final_statuses: tuple[int, ...] = (200,),
     ) -> tuple[int, Any]:
-        sent = self.loop.time()
+        sent_at = self.loop.time()
         try:
             status, data = await self.client.request(
                 self.balancer.choose(), method, path, body, timeout
@@ -265,11 +278,13 @@
         except (RequestNotSentError, NoResponseError, MalformedError):
             status, value = 0, {}
         self.counts[f"{name} {status}"] += 1
-        if status in final:
-            record_s(self.times[name], self.loop.time() - (sent if begun is None else begun))
+        if status in final_statuses:
+            record_s(
+                self.times[name], self.loop.time() - (sent_at if started is None else started)
+            )
         return status, value
 
 
-async def main(plan: Plan, ended: asyncio.Event) -> None:
+async def main(plan: Plan, stop_requested: asyncio.Event) -> None:
     """Run the load."""
-    await Users(plan).run(ended)
+    await Users(plan).run(stop_requested)
--- a/tools/scale/worker.py
+++ b/tools/scale/worker.py
@@ -8,9 +8,9 @@
 from tools.scale.jobs import Job, Kind, parse_job, task_cpus
 
 # States in which a task takes room on its machine.
-LIVE = ("pulling", "waiting", "running")
+ACTIVE_STATES = ("pulling", "waiting", "running")
 # States in which a task is on its machine: from when it has its image until it exits.
-PLACED = ("waiting", "running")
+PLACED_STATES = ("waiting", "running")
 
 
 class TaskKey(NamedTuple):
@@ -55,7 +55,7 @@
         self.agent_epoch = 1
         self.sequence = 0
         self.fencing_token = 0
-        self.lease_from = now
+        self.lease_renewed_at = now
         self.tasks: dict[TaskKey, Task] = {}
         self.images: set[str] = set()
         self.dirty = False
@@ -64,11 +64,11 @@
 
     def advance(self, now: float) -> None:
         """Bring the lease and all tasks up to date."""
-        if now - self.lease_from > self.config.times.lease_s:
+        if now - self.lease_renewed_at > self.config.times.lease_s:
             self.end_session(now)
         for key, task in list(self.tasks.items()):
             if task.state == "pulling" and task.until <= now:
-                self._image_is_there(key, task, now)
+                self._image_fetched(key, task, now)
             if task.state == "waiting" and task.until <= now:
                 self.exit(key, "incomplete")
             elif task.state == "running" and task.until <= now and task.job.kind != Kind.GANG:
@@ -78,27 +78,27 @@
         """The lease is over: all tasks are killed and forgotten."""
         self.clear("lease")
         self.agent_epoch += 1
-        self.lease_from = now
+        self.lease_renewed_at = now
         self.dirty = True
 
     def clear(self, cause: str) -> None:
         """Drop all tasks."""
         for key, task in list(self.tasks.items()):
-            if task.state in PLACED:
+            if task.state in PLACED_STATES:
                 self.observe("off", key, self, cause)
         self.tasks.clear()
 
-    def _image_is_there(self, key: TaskKey, task: Task, now: float) -> None:
+    def _image_fetched(self, key: TaskKey, task: Task, now: float) -> None:
         self.images.add(f"image-{task.job.team % 8}")
         self.dirty = True
-        if task.job.joint:
+        if task.job.coscheduled:
             task.state, task.until = "waiting", now + self.config.times.gang_wait_s
         else:
-            lasts_s = math.inf if task.job.kind == Kind.SERVICE else task.job.run_s
-            task.state, task.until = "running", now + lasts_s
+            run_s = math.inf if task.job.kind == Kind.SERVICE else task.job.run_s
+            task.state, task.until = "running", now + run_s
         self.observe("on", key, self, "")
 
-    def begin_gang(self, key: TaskKey) -> None:
+    def start_gang_task(self, key: TaskKey) -> None:
         """All tasks of the gang are there."""
         task = self.tasks.get(key)
         if task is not None and task.state == "waiting":
@@ -109,9 +109,9 @@
     def exit(self, key: TaskKey, cause: str) -> None:
         """A task ends."""
         task = self.tasks.get(key)
-        if task is None or task.state not in LIVE:
+        if task is None or task.state not in ACTIVE_STATES:
             return
-        placed = task.state in PLACED
+        placed = task.state in PLACED_STATES
         task.state, task.cause = "ended", cause
         self.dirty = True
         if placed:
@@ -142,7 +142,9 @@
             "pieces": pieces,
         }
 
-    def answered(self, sent: float, agent_epoch: int, body: dict[str, Any], now: float) -> None:
+    def apply_answer(
+        self, sent_at: float, agent_epoch: int, body: dict[str, Any], now: float
+    ) -> None:
         """Take a 200 to the report that was sent at a time; a lower token drops it."""
         fencing_token = body.get("baton")
         if (
@@ -151,19 +153,19 @@
             or fencing_token < self.fencing_token
         ):
             return
-        self.lease_from = max(self.lease_from, sent)
-        self.obey(fencing_token, body.get("orders") or [], now)
+        self.lease_renewed_at = max(self.lease_renewed_at, sent_at)
+        self.apply_orders(fencing_token, body.get("orders") or [], now)
 
-    def direct(self, body: dict[str, Any], now: float) -> int:
+    def apply_direct_orders(self, body: dict[str, Any], now: float) -> int:
         """Take direct orders; return the status to answer with."""
         if not isinstance(body.get("baton"), int) or not isinstance(body.get("tenure"), int):
             return 400
         if body["baton"] < self.fencing_token or body["tenure"] != self.agent_epoch:
             return 409
-        self.obey(body["baton"], body.get("orders") or [], now)
+        self.apply_orders(body["baton"], body.get("orders") or [], now)
         return 200
 
-    def obey(self, fencing_token: int, orders: list[dict[str, Any]], now: float) -> None:
+    def apply_orders(self, fencing_token: int, orders: list[dict[str, Any]], now: float) -> None:
         """Execute commands in order."""
         if fencing_token > self.fencing_token:
             self.fencing_token = fencing_token
@@ -175,8 +177,8 @@
             elif order["verb"] == "halt":
                 self.exit(key, "halted")
             elif order["verb"] == "forget":
-                known = self.tasks.get(key)
-                if known is not None and known.state == "ended":
+                task = self.tasks.get(key)
+                if task is not None and task.state == "ended":
                     del self.tasks[key]
 
     def _launch(self, key: TaskKey, now: float) -> None:
@@ -184,20 +186,22 @@
             return
         job = parse_job(key.job_id)
         self.dirty = True
-        fetch = 0.0 if f"image-{job.team % 8}" in self.images else self.config.traffic.slow_fetch_s
-        task = self.tasks[key] = Task(job, "pulling", now + fetch)
+        fetch_s = (
+            0.0 if f"image-{job.team % 8}" in self.images else self.config.traffic.slow_fetch_s
+        )
+        task = self.tasks[key] = Task(job, "pulling", now + fetch_s)
         refusal = self._refusal(key, job)
         if refusal is not None:
             task.state, task.cause = "ended", refusal
 
     def _refusal(self, key: TaskKey, job: Job) -> str | None:
         """Return why a start is refused, if it is."""
-        used = 0.0
+        used_cpus = 0.0
         for other, task in self.tasks.items():
-            if other != key and task.state in LIVE:
+            if other != key and task.state in ACTIVE_STATES:
                 if other.task == key.task:
                     return "in_use"
-                used += task_cpus(self.config, task.job)
-        if used + task_cpus(self.config, job) > self.config.machines.cpus + 1e-6:
+                used_cpus += task_cpus(self.config, task.job)
+        if used_cpus + task_cpus(self.config, job) > self.config.machines.cpus + 1e-6:
             return "no_room"
         return None
