--- a/tools/scale/__init__.py
+++ b/tools/scale/__init__.py
@@ -1,6 +1,7 @@
-"""A scale run: real controllers beside hollow workers, a state service, a cloud and users.
+"""A scale run: real controllers with simulated workers, state service, cloud and users.
 
-All processes run on this machine and speak PROTOCOL over loopback. Hollow workers report, keep
-leases and run tasks that do nothing; thousands of them share a process. The ledger that they and
-the users keep is checked against the rules afterwards, without any word of the controllers.
+All processes run on this machine and use the real wire protocol over loopback. Simulated
+("hollow") workers send heartbeats, keep leases and run tasks that do nothing; thousands of them
+share a process. Afterwards the events that workers and users logged are checked against the
+rules; nothing that controllers report is used for this.
 """
--- a/tools/scale/__main__.py
+++ b/tools/scale/__main__.py
@@ -1,7 +1,7 @@
 """Command line of the scale run.
 
-Exit codes: 0 no rule was broken, 1 one was, or a bound was passed, 2 it could not start, 130
-interrupted (what was measured is kept).
+Exit codes: 0 no rule was broken; 1 a rule was broken, a bound was exceeded or a stand-in ended
+early; 2 the run could not start; 130 interrupted (the report covers what was measured so far).
 """
 
 import asyncio
@@ -21,17 +21,17 @@
 @click.command(help=__doc__)
 @click.argument("config", type=click.Path(dir_okay=False, path_type=Path))
 @click.option("--fraction", default=1.0, show_default=True, help="Multiplies workers and traffic.")
-@click.option("--controllers", type=int, help="In place of the configuration's.")
+@click.option("--controllers", type=int, help="Overrides sizes.controllers.")
 @click.option(
     "--out",
     type=click.Path(dir_okay=False, path_type=Path),
-    help="Write the report there as JSON.",
+    help="Writes the report to this file as JSON.",
 )
-@click.option("--quiet", is_flag=True, help="No line a second.")
+@click.option("--quiet", is_flag=True, help="Prints no progress line each second.")
 def main(
     config: Path, fraction: float, controllers: int | None, out: Path | None, quiet: bool
 ) -> None:
-    """Play a run."""
+    """Load the configuration, run it and exit with the run's exit code."""
     try:
         loaded = load_config(config, fraction, controllers)
     except ConfigError as error:
@@ -41,7 +41,7 @@
 
 
 def run_and_report(config: RunConfig, out: Path | None, quiet: bool) -> int:
-    """Play a run and report it; return the exit code."""
+    """Execute a run, print and write its report; return the exit code."""
     with tempfile.TemporaryDirectory(prefix="oakmux-scale-") as folder:
         run = Run(config, Path(folder), (lambda _: None) if quiet else click.echo)
         code = 0
@@ -51,7 +51,7 @@
             click.echo(f"scale: can't start: {error}", err=True)
             return 2
         except LimitExceeded as error:
-            click.echo(f"scale: ended: {error}", err=True)
+            click.echo(f"scale: stopped early: {error}", err=True)
             code = 1
         except KeyboardInterrupt:
             code = INTERRUPTED
--- a/tools/scale/child.py
+++ b/tools/scale/child.py
@@ -1,4 +1,4 @@
-"""Entry of a stand-in's process: ROLE PLAN [INDEX]."""
+"""Entry point of a stand-in process; arguments: ROLE PLAN [INDEX]."""
 
 import asyncio
 import sys
@@ -11,7 +11,7 @@
 
 
 def main(role: str, plan_path: str, index: str = "0") -> None:
-    """Run one stand-in."""
+    """Run the stand-in of a role; `index` selects the process of hollow workers."""
     plan = read_plan(plan_path)
 
     def run(stop_requested: asyncio.Event) -> Coroutine[Any, Any, None]:
--- a/tools/scale/cloud.py
+++ b/tools/scale/cloud.py
@@ -1,5 +1,6 @@
-"""The cloud as a process: rents hollow machines, lists them late, lets racks and zones fail; also
-the hub where gangs' tasks find each other.
+"""The simulated cloud: rents hollow machines, lists them late and makes racks and zones fail.
+
+The process also hosts the hub through which the tasks of a gang start and end together.
 """
 
 import asyncio
@@ -20,18 +21,19 @@
 from tools.scale.plan import WORKER_NET, Plan
 from tools.scale.serving import listen, send_response, write_summary
 
-# Seconds for which a machine that died is listed as running (PROTOCOL: about 30 s).
+# Seconds for which a dead machine is still listed as running, as in the real cloud (about 30 s).
 FAILURE_LISTING_DELAY_S = 30.0
-# Seconds to wait for a process of hollow workers.
+# Seconds to wait for an answer of a process of hollow workers.
 HOLLOW_TIMEOUT_S = 10.0
+# Machines per rent request and per page of a list.
 MAX_RENTED = 50
 MAX_LISTED = 500
-# Seconds of requests that may come at once.
+# Burst of the request limit, in seconds of its rate.
 BURST_S = 2.0
 
 
 class Machine:
-    """A machine: where it is, and when it was rented, up, dead and gone (s)."""
+    """A machine: its location, and when it was rented, came up, died and was returned (s)."""
 
     __slots__ = (
         "name",
@@ -55,7 +57,7 @@
         self.returned_at: float | None = None
 
     def status(self, at: float) -> str | None:
-        """Return how the machine is listed as of a time; None if it is not."""
+        """Return the status that a list as of a time shows; None if it omits the machine."""
         if self.rented_at > at or (self.returned_at is not None and self.returned_at <= at):
             return None
         if self.dead_at is not None and self.dead_at + FAILURE_LISTING_DELAY_S <= at:
@@ -64,7 +66,7 @@
 
 
 class CloudService:
-    """All machines."""
+    """The cloud's machines and its HTTP endpoints."""
 
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
@@ -81,7 +83,7 @@
         self.tasks: set[asyncio.Task] = set()
 
     async def run(self, stop_requested: asyncio.Event) -> None:
-        """Serve until told to end."""
+        """Serve until the stop is requested, then write the summary."""
         await listen(self.plan.cloud, self.serve, self.counts)
         await stop_requested.wait()
         write_summary(
@@ -89,7 +91,7 @@
         )
 
     def alive(self) -> list[Machine]:
-        """Return the machines that are neither dead nor gone."""
+        """Return the machines that are neither dead nor returned."""
         return [
             machine
             for machine in self.machines.values()
@@ -97,7 +99,7 @@
         ]
 
     def serve(self, request: Request) -> None:
-        """Serve one request."""
+        """Serve one request; `/gangs` and `/control` don't count against the request limit."""
         parts = urlsplit(request.path)
         if parts.path == "/gangs":
             self._gangs(request)
@@ -123,7 +125,7 @@
             send_response(request, 400, {"error": "path"})
 
     def spawn(self, work: Any) -> None:
-        """Run something in the background."""
+        """Run a coroutine in the background."""
         task = self.loop.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -176,7 +178,7 @@
             await self._send_order(
                 machine.process, {"add": [[machine.name, machine.address, machine.zone]]}
             )
-            if machine.returned_at is not None:  # returned while it came up
+            if machine.returned_at is not None:  # returned during the boot
                 await self._send_order(machine.process, {"remove": [machine.name]})
 
     async def _send_order(self, process: int, order: dict[str, Any]) -> None:
@@ -188,7 +190,7 @@
             self.counts[f"hollow process {process}: {error}"] += 1
 
     async def _remove(self, machines: list[Machine]) -> None:
-        """Take machines away."""
+        """Remove machines from their processes of hollow workers."""
         by_process: dict[int, list[str]] = {}
         for machine in machines:
             by_process.setdefault(machine.process, []).append(machine.name)
@@ -212,7 +214,7 @@
         at = self.loop.time() - self.config.service.list_lag_s
         rows: list[dict[str, Any]] = []
         has_next = False
-        for name, machine in self.machines.items():  # in the order of their names
+        for name, machine in self.machines.items():  # insertion order is name order
             status = machine.status(at) if name > since else None
             if status is None:
                 continue
@@ -239,7 +241,7 @@
         send_response(request, 200, {"orders": [list(row) for row in orders]})
 
     async def _control(self, request: Request) -> None:
-        """Let machines die: some of one zone, all of one, or some anywhere."""
+        """Kill machines: all of a zone (`zone`), `count` of a zone (`rack`) or of any zone."""
         order = decode(request.body)
         machines = self.alive()
         if order["kind"] in ("rack", "zone"):
@@ -257,5 +259,5 @@
 
 
 async def main(plan: Plan, stop_requested: asyncio.Event) -> None:
-    """Run the cloud."""
+    """Run the simulated cloud."""
     await CloudService(plan).run(stop_requested)
--- a/tools/scale/config.py
+++ b/tools/scale/config.py
@@ -1,4 +1,4 @@
-"""The configuration of a run: sizes, traffic, limits, troubles."""
+"""The configuration of a run: sizes, traffic, limits and injected faults (`troubles`)."""
 
 import tomllib
 from pathlib import Path
@@ -8,11 +8,11 @@
 
 
 class ConfigError(Exception):
-    """The configuration can't be used; the text says which field and why."""
+    """The configuration is invalid; the text names the field and the reason."""
 
 
 class Sizes(msgspec.Struct, frozen=True):
-    """How many of each there are; `--fraction` scales workers and traffic, not the others."""
+    """Counts of each component; `--fraction` scales `workers` and the traffic only."""
 
     controllers: int
     workers: int
@@ -22,7 +22,10 @@
 
 
 class Traffic(msgspec.Struct, frozen=True):
-    """What users submit: task starts a second, and jobs by kind."""
+    """What users submit: task starts per second (`starts`), and jobs by kind.
+
+    Shares are fractions from 0 to 1; fields that end in `_s` are seconds.
+    """
 
     seconds: float
     starts: float
@@ -45,7 +48,7 @@
 
 
 class Machines(msgspec.Struct, frozen=True):
-    """What a worker has and what tasks take (CPUs), and how long a machine boots (s)."""
+    """CPUs of a worker and of each task, and the boot time of a machine (s)."""
 
     cpus: float = 10.0
     task_cpus: float = 3.0
@@ -54,7 +57,7 @@
 
 
 class Times(msgspec.Struct, frozen=True):
-    """Times of the workers in seconds, as controllers' settings have them."""
+    """Times of the workers in seconds; the controllers' settings get the same values."""
 
     report_s: float = 2.5
     lease_s: float = 15.0
@@ -64,7 +67,7 @@
 
 
 class Service(msgspec.Struct, frozen=True):
-    """Limits of the state service and of the cloud."""
+    """Limits of the state service and of the cloud; the list lag is in seconds."""
 
     rps: float
     write_rps: float
@@ -75,7 +78,11 @@
 
 
 class Bounds(msgspec.Struct, frozen=True):
-    """What a run may take of the machine: processes, MB, seconds. Asserted while it runs."""
+    """Limits of a run on this machine: processes, MB, seconds.
+
+    `processes` and `seconds` are checked before the start, `processes` and `memory_mb` during
+    the run.
+    """
 
     processes: int = 200
     memory_mb: float = 12_000.0
@@ -83,11 +90,15 @@
 
 
 class Trouble(msgspec.Struct, frozen=True):
-    """Something that fails at a time (s after the load begins).
-
-    `kill`: controller `index` ends and is back after `for_s`; `rack`: `count` workers of a zone
-    vanish; `zone`: all workers of zone `index` vanish; `restarts`: `count` workers vanish, spread
-    over `for_s`; `state_out`, `state_refuse` (of controller `index`), `state_slow` (by `delay_s`).
+    """A fault that is injected `at_s` seconds after the load starts.
+
+    - `kill`: controller `index` is killed and restarted after `for_s`.
+    - `rack`: `count` workers of zone `index` disappear.
+    - `zone`: all workers of zone `index` disappear.
+    - `restarts`: `count` workers disappear, spread over `for_s`.
+    - `state_out`: the state service is down for `for_s`.
+    - `state_refuse`: the state service refuses controller `index` for `for_s`.
+    - `state_slow`: the state service answers `delay_s` late for `for_s`.
     """
 
     at_s: float
@@ -99,7 +110,7 @@
 
 
 class RunConfig(msgspec.Struct, frozen=True):
-    """All of a run."""
+    """The whole configuration of a run."""
 
     sizes: Sizes
     traffic: Traffic
@@ -112,7 +123,7 @@
     fraction: float = 1.0
 
     def scaled(self, fraction: float) -> "RunConfig":
-        """Return this run with workers and traffic multiplied; one rack stays one rack."""
+        """Return this run with workers and traffic multiplied; `troubles` keep their counts."""
         sizes, traffic = self.sizes, self.traffic
         return msgspec.structs.replace(
             self,
@@ -128,7 +139,7 @@
 
 
 def check(config: RunConfig) -> RunConfig:
-    """Refuse what can't be run."""
+    """Return the configuration; raise ConfigError if the run is impossible or exceeds `bounds`."""
     sizes = config.sizes
     for name in ("controllers", "workers", "hollow_processes", "teams", "zones"):
         if getattr(sizes, name) < 1:
@@ -136,23 +147,24 @@
     processes = sizes.controllers + sizes.hollow_processes + 3
     if processes > config.bounds.processes:
         raise ConfigError(
-            f"bounds.processes: {processes} are needed, {config.bounds.processes} allowed"
+            f"bounds.processes: the run needs {processes}, {config.bounds.processes} are allowed"
         )
     total = config.traffic.seconds + config.traffic.drain_s
     if not 0 < total <= config.bounds.seconds:
         raise ConfigError(
-            f"traffic.seconds: {total:g} s with the drain, {config.bounds.seconds:g} allowed"
+            f"traffic.seconds: {total:g} s together with drain_s; must be above 0 and at most "
+            f"{config.bounds.seconds:g} s (bounds.seconds)"
         )
     for trouble in config.troubles:
         if trouble.kind in ("kill", "state_refuse") and trouble.index >= sizes.controllers:
-            raise ConfigError(f"troubles: no controller {trouble.index}")
+            raise ConfigError(f"troubles.index: there is no controller {trouble.index}")
         if trouble.kind == "zone" and trouble.index >= sizes.zones:
-            raise ConfigError(f"troubles: no zone {trouble.index}")
+            raise ConfigError(f"troubles.index: there is no zone {trouble.index}")
     return config
 
 
 def load_config(path: Path, fraction: float = 1.0, controllers: int | None = None) -> RunConfig:
-    """Read, scale and check a run's configuration; raises ConfigError with one line."""
+    """Read, scale and check a run's configuration; raise ConfigError with a one-line text."""
     try:
         config = msgspec.convert(tomllib.loads(path.read_text()), RunConfig)
     except OSError as error:
@@ -160,7 +172,7 @@
     except (tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
         raise ConfigError(f"{path}: {error}") from None
     if not 0 < fraction <= 4:
-        raise ConfigError(f"fraction: must be above 0 and at most 4, not {fraction:g}")
+        raise ConfigError(f"--fraction: must be above 0 and at most 4, not {fraction:g}")
     scaled = config.scaled(fraction)
     if controllers is not None:
         scaled = msgspec.structs.replace(
--- a/tools/scale/gangs.py
+++ b/tools/scale/gangs.py
@@ -1,4 +1,4 @@
-"""Where the tasks of gangs find each other: hollow processes tell the hub, the hub tells them."""
+"""Coordinates the tasks of gangs that run in several processes of hollow workers."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class GangEvent(NamedTuple):
-    """What a hollow process says of a gang's task: it is `ready`, or has `left`."""
+    """A change of a gang's task that a hollow process sends: the task is `ready` or has `left`."""
 
     verb: str
     job_id: str
@@ -16,7 +16,7 @@
 
 
 class GangOrder(NamedTuple):
-    """What the hub says of an attempt: `go`, `finish` (done) or `peers` (a task was lost)."""
+    """An order of the hub to an attempt: `go`, `finish` (done) or `peers` (a task was lost)."""
 
     verb: str
     job_id: str
@@ -24,7 +24,7 @@
 
 
 class Gang:
-    """An attempt: which tasks are ready, which processes have some, when it ends (s)."""
+    """An attempt: its ready tasks, the processes that run them, and when it ends (s)."""
 
     def __init__(self, tasks: int, run_s: float) -> None:
         self.tasks = tasks
@@ -35,14 +35,14 @@
 
 
 class GangHub:
-    """All attempts that have tasks somewhere."""
+    """All attempts with a ready task, and the orders that wait for each process."""
 
     def __init__(self, processes: int) -> None:
         self.gangs: dict[tuple[str, int], Gang] = {}
         self.outboxes: list[list[GangOrder]] = [[] for _ in range(processes)]
 
     def exchange(self, process: int, events: Iterable[GangEvent], now: float) -> list[GangOrder]:
-        """Take a process's events; return what it has to do."""
+        """Apply a process's events; return the orders for this process."""
         for event in events:
             if event.verb == "ready":
                 self._task_ready(process, event, now)
--- a/tools/scale/histograms.py
+++ b/tools/scale/histograms.py
@@ -1,4 +1,4 @@
-"""Histograms of times, in microseconds up to two minutes, to three digits."""
+"""Histograms of times: microseconds up to two minutes, to three significant digits."""
 
 from collections.abc import Iterable
 
@@ -15,12 +15,12 @@
 
 
 def record_s(histogram: HdrHistogram, seconds: float) -> None:
-    """Record a time in seconds; what is beyond the ends counts as the end."""
+    """Record a time in seconds; values outside the range are clamped to it."""
     histogram.record_value(min(MAX_US, max(1, int(seconds * 1e6))))
 
 
 def from_seconds(values: Iterable[float]) -> HdrHistogram:
-    """Return a histogram of times in seconds."""
+    """Return a histogram of times given in seconds."""
     histogram = new_histogram()
     for value in values:
         record_s(histogram, value)
--- a/tools/scale/hollow.py
+++ b/tools/scale/hollow.py
@@ -1,4 +1,4 @@
-"""A process of hollow workers: each has its own address, connection, lease and timers."""
+"""A process of hollow workers; each worker has its own address, connection, lease and timers."""
 
 import asyncio
 import random
@@ -18,20 +18,19 @@
 from tools.scale.serving import EventLog, listen, send_response, write_summary
 from tools.scale.worker import HollowWorker, TaskKey
 
-# Seconds between two looks at leases and tasks, and between two exchanges with the gangs' hub.
+# Seconds between two updates of leases and tasks, and between two exchanges with the gang hub.
 ADVANCE_INTERVAL_S = 0.1
 GANG_EXCHANGE_INTERVAL_S = 0.1
-# Seconds for an answer to a report, between two reports that changes cause, and before the next
-# node is tried (PROTOCOL).
+# Seconds to wait for an answer, between two heartbeats that changes cause, and before the next
+# controller is tried; the worker protocol prescribes these values.
 REQUEST_TIMEOUT_S = 4.0
 MIN_REPORT_INTERVAL_S = 0.5
 NEXT_CONTROLLER_DELAY_S = 1.0
-# Seconds between two summaries.
 SUMMARY_INTERVAL_S = 1.0
 
 
 class Reporter:
-    """Sends a worker's reports to one controller at a time."""
+    """Sends a worker's heartbeats to one controller at a time."""
 
     def __init__(self, process: "HollowProcess", worker: HollowWorker) -> None:
         self.process = process
@@ -46,14 +45,14 @@
         self.token_reported_at = -1e9
 
     def report_soon(self) -> None:
-        """Report sooner: something changed."""
+        """Bring the next heartbeat forward because the worker's state changed."""
         self.next_report_at = min(
             self.next_report_at, max(self.loop.time(), self.last_report_at + MIN_REPORT_INTERVAL_S)
         )
         self.wake.set()
 
     async def run(self) -> None:
-        """Report until the machine is gone."""
+        """Send heartbeats until the machine is removed."""
         while not self.gone:
             wait = self.next_report_at - self.loop.time()
             if wait <= 0:
@@ -67,7 +66,7 @@
                 pass
 
     async def report(self) -> None:
-        """Send one report and do what its answer says."""
+        """Send one heartbeat and apply the answer; change the controller if it is not accepted."""
         process, worker = self.process, self.worker
         worker.advance(self.loop.time())
         sent, agent_epoch = self.loop.time(), worker.agent_epoch
@@ -117,7 +116,7 @@
 
 
 class HollowProcess:
-    """Many workers; the cloud adds and removes machines over the control address."""
+    """Many hollow workers; the cloud adds and removes machines over the control address."""
 
     def __init__(self, plan: Plan, index: int) -> None:
         self.plan = plan
@@ -139,7 +138,7 @@
         self.loop = asyncio.get_running_loop()
 
     async def run(self, stop_requested: asyncio.Event) -> None:
-        """Serve until told to end."""
+        """Serve until the stop is requested."""
         await listen(self.plan.hollow[self.index], self.control, Counter())
         gangs = self.loop.create_task(self.exchange_gangs())
         next_summary = 0.0
@@ -153,7 +152,7 @@
         self.summarize()
 
     def summarize(self) -> None:
-        """Write what was measured so far."""
+        """Write the events and the summary of the measurements so far."""
         self.events.flush()
         states: Counter[str] = Counter(
             task.state
@@ -172,7 +171,7 @@
         )
 
     def advance_workers(self) -> None:
-        """Bring all workers up to date."""
+        """Update the leases and tasks of all workers."""
         now = self.loop.time()
         for reporter in self.reporters.values():
             reporter.worker.advance(now)
@@ -182,13 +181,13 @@
     # --- machines ---
 
     def control(self, request: Request) -> None:
-        """Take an order of the cloud."""
+        """Apply an order of the cloud in the background."""
         task = self.loop.create_task(self.change_machines(request))
         self.control_tasks.add(task)
         task.add_done_callback(self.control_tasks.discard)
 
     async def change_machines(self, request: Request) -> None:
-        """Add and remove machines; what is removed is gone before the answer."""
+        """Add and remove machines; removed machines are gone before the answer is sent."""
         order = decode(request.body)
         for name in order.get("remove", ()):
             self.remove_machine(name)
@@ -197,7 +196,7 @@
         send_response(request, 200, {})
 
     async def add_machine(self, name: str, address: str, zone: str) -> None:
-        """A machine is up."""
+        """Start the worker of a machine that has booted."""
         worker = HollowWorker(
             self.plan.config, name, address, zone, self.loop.time(), self.observe
         )
@@ -209,7 +208,7 @@
         self.report_loops[name] = self.loop.create_task(reporter.run())
 
     def remove_machine(self, name: str) -> None:
-        """A machine and all on it is gone."""
+        """Remove a machine with its worker and tasks."""
         reporter = self.reporters.pop(name, None)
         if reporter is None:
             return
@@ -221,10 +220,10 @@
         task.cancel()
 
     def serve(self, reporter: Reporter, request: Request) -> None:
-        """Serve a worker's own address."""
+        """Serve a request to a worker's own address."""
         worker, now = reporter.worker, self.loop.time()
         if reporter.gone:
-            return  # silent, like a machine without power
+            return  # no answer, as from a machine without power
         worker.advance(now)
         if request.path == PATH_COMMANDS and request.method == "POST":
             status = worker.apply_direct_orders(decode(request.body), now)
@@ -239,10 +238,10 @@
         else:
             send_response(request, 404, {})
 
-    # --- what happens to tasks ---
+    # --- tasks ---
 
     def observe(self, verb: str, key: TaskKey, worker: HollowWorker, cause: str) -> None:
-        """Note it in the ledger, and tell the hub of gangs' tasks."""
+        """Log a task's event; queue the events of gangs' tasks for the hub."""
         self.events.add(verb, key.task, key.attempt, worker.name, worker.zone, cause)
         if verb == "on":
             self.counts["starts"] += 1
@@ -256,7 +255,7 @@
             self.gang_events.append(GangEvent("left", key.job_id, key.attempt, index))
 
     async def exchange_gangs(self) -> None:
-        """Tell the hub what became of gangs' tasks, and do what it says."""
+        """Send the events of gangs' tasks to the hub and apply its orders, until cancelled."""
         while True:
             await asyncio.sleep(GANG_EXCHANGE_INTERVAL_S)
             events, self.gang_events = self.gang_events, []
@@ -272,7 +271,7 @@
                 self.apply_gang_order(GangOrder(*row))
 
     def apply_gang_order(self, order: GangOrder) -> None:
-        """Do what the hub says of an attempt, on all workers here."""
+        """Apply the hub's order for an attempt to all workers of this process."""
         for reporter in self.reporters.values():
             worker = reporter.worker
             for key in [
@@ -289,7 +288,7 @@
 
 
 def worker_address(net: int, port: int, number: int) -> str:
-    """Return the address of a process's worker: each has a loopback address of its own."""
+    """Return the address of a worker; each worker has its own loopback address."""
     address = f"127.{net}.{number // 250}.{number % 250 + 1}:{port}"
     settings.split_addr(address)
     return address
--- a/tools/scale/ledger.py
+++ b/tools/scale/ledger.py
@@ -1,4 +1,4 @@
-"""The rules, checked on what hollow workers and users noted; the controllers have no say."""
+"""Checks the rules on the events of hollow workers and users, independently of controllers."""
 
 import heapq
 import json
@@ -10,16 +10,16 @@
 from tools.scale.config import RunConfig
 from tools.scale.jobs import Job, Kind, parse_job, pinned_zone, task_cpus, team_limits
 
-# Examples that are kept of each broken rule.
+# Breaches of each rule that are kept as examples.
 EXAMPLES = 3
-# Seconds by which the clocks' rounding may put events of two processes into the wrong order, and
-# a tolerance for sums of CPUs.
+# Rounded times may put events of two processes into the wrong order by up to this (s).
 CLOCK_TOLERANCE_S = 0.01
+# Tolerance for sums of CPUs.
 CPU_TOLERANCE = 1e-6
 
 
 class Event(NamedTuple):
-    """One line of a log: when (s), what, of which job or task, and the rest."""
+    """One line of a log: time (s), verb, name of the job or task, and the other fields."""
 
     at: float
     verb: str
@@ -28,7 +28,7 @@
 
 
 class Breach(NamedTuple):
-    """A rule that was broken, and the event that showed it."""
+    """A broken rule, and the time and description of the event that broke it."""
 
     rule: str
     at: float
@@ -36,7 +36,7 @@
 
 
 class Placement(NamedTuple):
-    """A task on a machine."""
+    """The attempt, machine and zone of a task that is on a machine."""
 
     attempt: int
     machine: str
@@ -44,7 +44,7 @@
 
 
 def read_events(path: Path) -> Iterator[Event]:
-    """Read a log; a line that was cut short ends it."""
+    """Read a log up to its end or the first truncated line."""
     with path.open(encoding="utf-8") as lines:
         for line in lines:
             try:
@@ -55,12 +55,12 @@
 
 
 def all_events(folder: Path) -> Iterator[Event]:
-    """Return the events of all processes in the order of their times."""
+    """Return the events of all processes in order of time."""
     return heapq.merge(*(read_events(path) for path in sorted(folder.glob("*.events"))))
 
 
 class Ledger:
-    """What is on which machine, and what users were told, event by event."""
+    """Tasks on machines and answers to users, updated by one event at a time."""
 
     def __init__(self, config: RunConfig) -> None:
         self.config = config
@@ -69,7 +69,7 @@
         self.by_job: dict[str, set[str]] = {}
         self.cpus_used = [0.0] * config.sizes.teams
         self.cancelled_at: dict[str, float] = {}
-        # Cancelled jobs whose time is over, to be looked at: (when, job).
+        # Heap of (time, job): at this time no task of the cancelled job may be on a machine (s).
         self.cancel_deadlines: list[tuple[float, str]] = []
         self.done_tasks: dict[str, set[str]] = {}
         self.submitted_at: dict[str, float] = {}
@@ -80,13 +80,13 @@
         self.max_placed = 0
 
     def apply_events(self, events: Iterable[Event]) -> None:
-        """Take all events, in their order."""
+        """Apply events in order of time; an event's verb selects the method `_<verb>`."""
         for event in events:
             self._check_cancelled(event.at)
             getattr(self, f"_{event.verb}")(event)
 
     def close(self, at: float) -> None:
-        """The run is over at a time: look at what is still on machines."""
+        """End the run at a time: check the tasks that are still on machines."""
         self._check_cancelled(at)
 
     def _record_breach(self, rule: str, event_at: float, text: str) -> None:
@@ -179,7 +179,7 @@
         self.reported_status[event.name] = "done"
         job = parse_job(event.name)
         ended = len(self.done_tasks.get(event.name, ()))
-        # The tasks of a gang complete together: if one is done, all are (PROTOCOL, Gangs).
+        # The tasks of a gang complete together: if one is done, all are.
         if ended < (1 if job.kind == Kind.GANG else job.tasks):
             self._record_breach(
                 "not_done",
@@ -191,7 +191,7 @@
         self._record_breach("forgotten", event.at, event.name)
 
     def _check_cancelled(self, now: float) -> None:
-        """Look at what is on machines of jobs whose time after the cancellation is over."""
+        """Record a breach for each task on a machine `cancel_s` after its job was cancelled."""
         while self.cancel_deadlines and self.cancel_deadlines[0][0] + CLOCK_TOLERANCE_S < now:
             at, job_id = heapq.heappop(self.cancel_deadlines)
             for name in sorted(self.by_job.get(job_id, ())):
@@ -202,8 +202,9 @@
     # --- times ---
 
     def wait_times(self, kind: Kind, all_tasks: bool) -> list[float]:
-        """Return how long the jobs of a kind waited for their first task, or for all of them, in
-        seconds from when users first asked.
+        """Return how long each job of a kind waited for its first or for all tasks to start.
+
+        Times are in seconds since the user's first submission.
         """
         wait_times_s = []
         for job_id, times in self.start_times.items():
@@ -217,11 +218,11 @@
         return wait_times_s
 
     def start_delays(self, job_id: str) -> list[float]:
-        """Return how long each start of one job came after its users first asked."""
+        """Return the seconds from a job's first submission to the start of each of its tasks."""
         return [at - self.submitted_at[job_id] for at in self.start_times.get(job_id, ())]
 
     def peak_start_rate(self, seconds: float) -> float:
-        """Return the most starts a second over any span of so many seconds."""
+        """Return the highest mean of starts per second over any span of `seconds`."""
         times = sorted(at for row in self.start_times.values() for at in row)
         max_starts, first = 0, 0
         for last, at in enumerate(times):
--- a/tools/scale/plan.py
+++ b/tools/scale/plan.py
@@ -1,4 +1,4 @@
-"""What the children of a run are told: addresses, configuration, where to write."""
+"""The plan that all child processes read: addresses, configuration and output folder."""
 
 import socket
 from pathlib import Path
@@ -9,13 +9,13 @@
 from tools.scale.jobs import team_limits, team_name, zone_name
 
 HOST = "127.0.0.1"
-# Workers listen at addresses of their own in 127.0.0.0/8: the second number is that of their
-# process, above this.
+# Each worker has its own address in 127.0.0.0/8. The second number of the address is this plus
+# the index of the worker's process.
 WORKER_NET = 64
 
 
 class Controller(msgspec.Struct, frozen=True):
-    """One controller's addresses; the state service tells controllers apart by `state`."""
+    """One controller's addresses; the state service tells controllers apart by address `state`."""
 
     label: str
     zone: str
@@ -26,7 +26,7 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """All that a child needs."""
+    """The input of every child process, stored as JSON."""
 
     config: RunConfig
     folder: str
@@ -38,12 +38,12 @@
 
     @property
     def path(self) -> Path:
-        """The file that children read this from."""
+        """The file from which children read the plan."""
         return Path(self.folder) / "plan.json"
 
 
 def free_ports(count: int) -> list[int]:
-    """Return so many ports of the loopback address on which nobody listens."""
+    """Return `count` free ports of the loopback address."""
     sockets = []
     for _ in range(count):
         sock = socket.socket()
@@ -95,7 +95,7 @@
 
 
 def settings_text(plan: Plan, own: Controller) -> str:
-    """Return a controller's settings as the platform hands them over."""
+    """Return the text of a controller's settings file, as the platform provides it."""
     config = plan.config
     zones = ", ".join(f'"{zone_name(number)}"' for number in range(config.sizes.zones))
     lines = [
--- a/tools/scale/processes.py
+++ b/tools/scale/processes.py
@@ -1,4 +1,4 @@
-"""Children of a run, and what /proc says of them."""
+"""Child processes of a run and their resource usage from /proc."""
 
 import ctypes
 import os
@@ -14,7 +14,7 @@
 from tools.scale.plan import Controller, Plan
 
 ROOT = Path(__file__).resolve().parents[2]
-# prctl's PR_SET_PDEATHSIG: the kernel ends a child whose parent is gone, however it went.
+# Option of prctl: the kernel signals a child whose parent ends for any reason.
 PR_SET_PDEATHSIG = 1
 CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
@@ -22,7 +22,7 @@
 
 
 class Usage(NamedTuple):
-    """What a process has used: processor seconds, resident MB, sockets."""
+    """Usage of a process: processor seconds, resident MB, open file descriptors (`sockets`)."""
 
     cpu_s: float
     memory_mb: float
@@ -30,8 +30,9 @@
 
 
 def end_with_parent(parent: int) -> None:
-    """Run in the child before it becomes the program: it ends when the run does, also if that
-    ended before the kernel was asked to see to it.
+    """Make the kernel kill this process when its parent ends.
+
+    Runs in the child before exec. A parent that ended before the call to prctl is detected too.
     """
     LIBC.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
     if os.getppid() != parent:
@@ -39,7 +40,7 @@
 
 
 def environment() -> dict[str, str]:
-    """Return the children's environment: this interpreter first, our packages importable."""
+    """Return the children's environment: this interpreter first in PATH, this repo importable."""
     return {
         **os.environ,
         "PATH": f"{Path(sys.executable).parent}:{os.environ.get('PATH', '')}",
@@ -55,7 +56,7 @@
 
 
 class Child:
-    """A child process; one that was started anew goes on counting."""
+    """A child process; its processor seconds add up over restarts."""
 
     def __init__(self, role: str, name: str, command: list[str], folder: Path) -> None:
         self.role = role
@@ -84,31 +85,31 @@
 
     @property
     def running(self) -> bool:
-        """Whether the process runs."""
+        """Whether the process is running."""
         return self.process is not None and self.process.poll() is None
 
     def kill(self) -> None:
-        """End the process without notice."""
+        """Kill the process (SIGKILL) and wait for its end."""
         if self.process is not None and self.running:
             self.process.kill()
             self.process.wait()
 
     def terminate(self) -> None:
-        """Ask the process to end."""
+        """Send SIGTERM to the process."""
         if self.process is not None and self.running:
             self.process.terminate()
 
     def sample_usage(self) -> Usage:
-        """Read what the process uses now; what it used last, once it has ended."""
+        """Return the process's current usage, or the last known usage once it has ended."""
         if self.process is not None and self.running:
             try:
                 self.last_usage = read_usage(self.process.pid)
             except (OSError, ValueError, IndexError):
-                pass  # it ended just now
+                pass  # the process ended in the meantime
         return self.last_usage._replace(cpu_s=self.earlier_cpu_s + self.last_usage.cpu_s)
 
     def last_log_line(self) -> str:
-        """Return the last line that the process wrote."""
+        """Return the last line of the process's output; empty if there is none."""
         try:
             lines = self.log_path.read_text(errors="replace").strip().splitlines()
         except OSError:
@@ -116,7 +117,7 @@
         return lines[-1] if lines else ""
 
     def error_lines(self) -> int:
-        """Count the lines at error level that the process wrote."""
+        """Return the number of lines at error level in the process's output."""
         try:
             return sum(
                 1
@@ -128,7 +129,7 @@
 
 
 def read_usage(pid: int) -> Usage:
-    """Read a process's usage; raises OSError when it is gone."""
+    """Read a process's usage; raise OSError if the process has ended."""
     stat = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
     sockets = sum(1 for entry in os.scandir(f"/proc/{pid}/fd"))
@@ -147,7 +148,7 @@
 
 
 def stand_in_child(role: str, name: str, plan: Plan, *args: str) -> Child:
-    """Return a stand-in's process."""
+    """Return the child process of a stand-in; `args` follow the role and the plan."""
     return Child(
         role,
         name,
@@ -157,7 +158,7 @@
 
 
 def controller_child(controller: Controller, plan: Plan) -> Child:
-    """Return a controller's process."""
+    """Return the child process of a controller."""
     return Child(
         "controller",
         controller.label,
--- a/tools/scale/report.py
+++ b/tools/scale/report.py
@@ -1,4 +1,4 @@
-"""What a run measured, for a person and as JSON."""
+"""The report of a run, as text and as JSON."""
 
 from pathlib import Path
 from typing import Any
@@ -10,13 +10,15 @@
 from tools.scale.ledger import Breach, Ledger, all_events
 from tools.scale.runner import Run, Sample, read_summary
 
-# Seconds over which the busiest span of starts is looked for.
+# Length in seconds of the span for the highest rate of starts.
 BUSY_SPAN_S = 10.0
 
 
 class Role(msgspec.Struct, frozen=True):
-    """What the processes of a role used while the load lasted: cores (mean of all, busiest second
-    of one), MB and sockets (most of one), how many processes.
+    """Usage of the processes of a role during the load.
+
+    `cores` is the mean of a process; `cores_peak`, `memory_mb` and `sockets` are the maximum of
+    any process, `cores_peak` between two samples (one second).
     """
 
     processes: int
@@ -27,7 +29,7 @@
 
 
 class Report(msgspec.Struct, frozen=True):
-    """All that a run measured."""
+    """All measurements of a run."""
 
     fraction: float
     controllers: int
@@ -62,7 +64,7 @@
 
 
 def role_usage(run: Run, role: str) -> Role:
-    """Return what the processes of a role used."""
+    """Return the usage of the processes of a role; zeros with fewer than two samples."""
     names = [child.name for child in run.children if child.role == role]
     samples = run.samples
     if len(samples) < 2:
@@ -79,7 +81,7 @@
 
 
 def peak_cores(samples: list[Sample], name: str) -> float:
-    """Return the cores of a process in its busiest second."""
+    """Return the highest usage of a process between two samples, in cores."""
     return max(
         (later.usage[name][0] - earlier.usage[name][0]) / (later.at - earlier.at)
         for earlier, later in zip(samples, samples[1:], strict=False)
@@ -87,7 +89,7 @@
 
 
 def make_report(run: Run, complete: bool) -> Report:
-    """Check the ledger and put together what was measured."""
+    """Check the events against the rules and build the report."""
     ledger = Ledger(run.config)
     ledger.apply_events(all_events(run.folder))
     ledger.close(run.ended_at)
@@ -153,12 +155,12 @@
 
 
 def mean_workers(run: Run) -> float:
-    """Return how many workers there were on average."""
+    """Return the mean number of workers."""
     return sum(sample.workers for sample in run.samples) / max(1, len(run.samples))
 
 
 def worker_bytes(hollow: list[dict[str, Any]]) -> int:
-    """Return the bytes of bodies of all reports, answers and direct orders."""
+    """Return the bytes of the bodies of all heartbeats, their answers and direct orders."""
     counts = [row.get("counts", {}) for row in hollow]
     return sum(
         row.get(name, 0)
@@ -168,7 +170,7 @@
 
 
 def state_bytes(state: dict[str, Any]) -> int:
-    """Return the bytes that the state service took and gave."""
+    """Return the bytes that the state service received and sent."""
     return sum(
         row.get("bytes_in", 0) + row.get("bytes_out", 0)
         for row in state.get("controllers", {}).values()
@@ -176,7 +178,7 @@
 
 
 def loopback_rate(run: Run) -> float:
-    """Return the bytes a second that the loopback interface carried."""
+    """Return the mean bytes per second on the loopback interface."""
     samples = run.samples
     if len(samples) < 2:
         return 0.0
@@ -188,7 +190,7 @@
 def time_percentiles(
     ledger: Ledger, users: dict[str, Any], hollow: list[dict[str, Any]]
 ) -> dict[str, dict[str, float]]:
-    """Return the percentiles of all times, in seconds."""
+    """Return the percentiles of each kind of time, in seconds."""
     percentiles_by_name = {
         name: percentiles(merged([users[f"{name}_times"]]))
         for name in ("submission", "cancellation", "query")
@@ -208,7 +210,7 @@
 
 
 def large_gang_wait(run: Run, ledger: Ledger) -> float | None:
-    """Return how long the largest gang waited for its last task (s); None if it never began."""
+    """Return the wait of the large gang until its last task started (s); None if it never did."""
     tasks = run.config.traffic.large_gang_tasks
     for job_id, start_times in ledger.start_times.items():
         if job_id.endswith("999999") and len(start_times) >= tasks > 0:
@@ -223,33 +225,35 @@
 
 
 def report_lines(report: Report) -> list[str]:
-    """Return a report for a person."""
+    """Return a report as lines of text."""
     rows = [
         f"fraction {report.fraction:g}, {report.controllers} controllers, {report.seconds:.0f} s"
-        f"{'' if report.complete else ' (not complete)'}: {report.workers} workers, "
-        f"{report.most_running} tasks at most, {report.starts} starts, "
+        f"{'' if report.complete else ' (incomplete)'}: {report.workers} workers, "
+        f"at most {report.most_running} running tasks, {report.starts} starts, "
         f"{report.starts_busiest:.0f}/s in the busiest {BUSY_SPAN_S:g} s",
-        f"changes {report.changes}, {report.changes_a_start:.2f} a start: "
+        f"changes {report.changes}, {report.changes_a_start:.2f} per start: "
         f"{report.changes_by_kind}",
         f"state service: {report.state}",
     ]
     for role, used in report.roles.items():
         rows.append(
-            f"{role} ×{used.processes}: {used.cores:.2f} cores each, busiest "
+            f"{role} ×{used.processes}: {used.cores:.2f} cores each, peak "
             f"{used.cores_peak:.2f}; {used.memory_mb:.0f} MB; {used.sockets} sockets"
         )
     rows.append(
-        f"a worker: {report.bytes_a_worker:.0f} bytes/s; peers "
-        f"{report.peers_bytes / 1e6:.2f} MB/s of {report.loopback_bytes / 1e6:.2f}"
+        f"per worker: {report.bytes_a_worker:.0f} bytes/s; peers' share of loopback MB/s: "
+        f"{report.peers_bytes / 1e6:.2f} of {report.loopback_bytes / 1e6:.2f}"
     )
     for name, values in report.times.items():
         parts = " ".join(f"{key} {value:.3g}" for key, value in values.items())
         rows.append(f"{name}: {parts}")
     if report.large_gang_s is not None:
-        rows.append(f"the largest gang began after {report.large_gang_s:.1f} s")
-    rows.append(f"answers: {report.answers}; unfinished {report.unfinished}")
+        rows.append(f"the large gang started after {report.large_gang_s:.1f} s")
+    rows.append(f"answers to users: {report.answers}; unfinished jobs: {report.unfinished}")
     rows.append(f"tasks ended: {report.ends}")
-    rows.append(f"rules: {report.rules}; controllers' error lines {report.controller_errors}")
+    rows.append(
+        f"breaches by rule: {report.rules}; error lines of controllers: {report.controller_errors}"
+    )
     rows += [
         f"BROKEN {breach.rule} at {breach.at:.2f}: {breach.text}" for breach in report.breaches
     ]
--- a/tools/scale/runner.py
+++ b/tools/scale/runner.py
@@ -1,4 +1,4 @@
-"""The run itself: starts the children, brings the troubles about, watches the bounds."""
+"""Executes a run: starts the child processes, injects the faults and enforces the bounds."""
 
 import asyncio
 import json
@@ -22,26 +22,27 @@
     stand_in_child,
 )
 
-# Seconds for all controllers to be healthy, between two samples, for a stand-in to end.
+# Seconds until all controllers must be healthy, between two samples, until a stand-in must end,
+# between two checks while waiting, and to wait for the answer to a fault's order.
 HEALTH_TIMEOUT_S = 60.0
 SAMPLE_INTERVAL_S = 1.0
 STOP_TIMEOUT_S = 5.0
 POLL_INTERVAL_S = 0.2
 CONTROL_TIMEOUT_S = 15.0
-# Machines that vanish at a time when many are replaced one by one.
+# Seconds between two steps of `restarts`.
 RESTART_INTERVAL_S = 1.0
 
 
 class CannotStart(Exception):
-    """The run can't start; the text says why in one line."""
+    """The run can't start; the text gives the reason in one line."""
 
 
 class LimitExceeded(Exception):
-    """The run took more of the machine than it may; the text says of what."""
+    """The run exceeded a bound, or a stand-in ended early; the text says which."""
 
 
 class Sample(msgspec.Struct, frozen=True):
-    """What all children used at a moment of the load (s after it began)."""
+    """Usage of all children at `at` seconds after the start of the load."""
 
     at: float
     usage: dict[str, tuple[float, float, int]]
@@ -53,7 +54,7 @@
 
 
 class Run:
-    """One run; `go` plays it and leaves what was measured in `samples` and the folder."""
+    """One run; `execute` leaves the measurements in `samples` and in the folder."""
 
     def __init__(self, config: RunConfig, folder: Path, print_line: Callable[[str], None]) -> None:
         self.config = config
@@ -84,7 +85,7 @@
         self.client = Client(8)
 
     async def execute(self) -> None:
-        """Play the run; whatever ends it, no child outlives this."""
+        """Execute the run; no child outlives this call, however the run ends."""
         troubles: list[asyncio.Task] = []
         try:
             await self._start()
@@ -131,10 +132,10 @@
         return status == 200
 
     def _check_alive(self) -> None:
-        """Raise CannotStart if a stand-in or a controller ended by itself."""
+        """Raise CannotStart if a started child has ended."""
         for child in self.children:
             if child.process is not None and not child.running:
-                raise CannotStart(f"{child.name} ended: {child.last_log_line() or 'no word'}")
+                raise CannotStart(f"{child.name} ended: {child.last_log_line() or 'no output'}")
 
     async def _stop(self) -> None:
         for child in self.controllers:
@@ -148,7 +149,7 @@
         for child in stand_ins:
             child.kill()
 
-    # --- measuring ---
+    # --- measurements ---
 
     def _sample(self) -> None:
         usage = {child.name: child.sample_usage() for child in self.children}
@@ -190,14 +191,18 @@
         self.max_memory_mb = max(self.max_memory_mb, memory)
         bounds = self.config.bounds
         if processes > bounds.processes:
-            raise LimitExceeded(f"{processes} processes, {bounds.processes} allowed")
+            raise LimitExceeded(
+                f"{processes} processes, {bounds.processes} allowed (bounds.processes)"
+            )
         if memory > bounds.memory_mb:
-            raise LimitExceeded(f"{memory:.0f} MB, {bounds.memory_mb:.0f} allowed")
+            raise LimitExceeded(
+                f"{memory:.0f} MB, {bounds.memory_mb:.0f} allowed (bounds.memory_mb)"
+            )
         for child in (self.state, self.cloud, *self.hollow, self.users):
             if not child.running:
-                raise LimitExceeded(f"{child.name} ended: {child.last_log_line() or 'no word'}")
+                raise LimitExceeded(f"{child.name} ended: {child.last_log_line() or 'no output'}")
 
-    # --- troubles ---
+    # --- injected faults ---
 
     async def _inject_trouble(self, trouble: Trouble) -> None:
         await asyncio.sleep(max(0.0, self.started_at + trouble.at_s - time.monotonic()))
@@ -218,7 +223,7 @@
             await self._send_control(self.plan.state_control, "/", trouble)
 
     async def _restart_workers(self, trouble: Trouble) -> None:
-        """Take workers away one after the other, spread over the trouble's time."""
+        """Remove workers in small steps, spread evenly over the fault's duration."""
         steps = max(1, round(trouble.for_s / RESTART_INTERVAL_S))
         remaining = trouble.count
         for step in range(steps):
@@ -235,11 +240,11 @@
         try:
             await self.client.request(address, "POST", path, body, CONTROL_TIMEOUT_S)
         except (RequestNotSentError, NoResponseError) as error:
-            self.print_line(f"trouble {trouble.kind} not brought about: {error}")
+            self.print_line(f"trouble {trouble.kind} could not be injected: {error}")
 
 
 def read_summary(folder: Path, name: str) -> dict[str, Any]:
-    """Return what a stand-in measured so far; nothing if it has not said it yet."""
+    """Return a stand-in's latest summary; empty if there is none or it is partly written."""
     try:
         return json.loads((folder / f"{name}.summary.json").read_text())
     except (OSError, ValueError):
--- a/tools/scale/serving.py
+++ b/tools/scale/serving.py
@@ -1,4 +1,4 @@
-"""Listening, counting and logging of the stand-ins."""
+"""HTTP servers, counters, summaries and event logs of the stand-ins."""
 
 import asyncio
 import json
@@ -15,7 +15,7 @@
 from oakmux.codec.cbor import encode
 from oakmux.transport.http_server import Request, ServerProtocol
 
-# Bytes of a body that a stand-in takes; connections that one listener takes.
+# Limits of a request body (bytes) and of the connections of one listener.
 MAX_BODY_BYTES = 4 * 1024 * 1024
 MAX_CONNECTIONS = 16_000
 
@@ -25,26 +25,26 @@
 
 
 class CountingProtocol(ServerProtocol):
-    """A connection whose requests and bytes are counted."""
+    """A connection that counts its requests and bytes."""
 
     def __init__(self, handler: Handler, live: set[ServerProtocol], counts: Counter[str]) -> None:
         super().__init__(handler, live, MAX_CONNECTIONS, MAX_BODY_BYTES)
         self.counts = counts
 
     def data_received(self, data: bytes) -> None:
-        """Count what came in."""
+        """Count the received bytes, headers included."""
         self.counts["bytes_in"] += len(data)
         super().data_received(data)
 
     def send(self, request: Request, status: int, body: bytes, retry_after: int | None) -> None:
-        """Count what goes out, without the head."""
+        """Count the request and the bytes of the answer's body, without headers."""
         self.counts["requests"] += 1
         self.counts["bytes_out"] += len(body)
         super().send(request, status, body, retry_after)
 
 
 async def listen(address: str, handler: Handler, counts: Counter[str]) -> asyncio.Server:
-    """Serve a loopback address."""
+    """Serve a loopback address; raise ValueError for any other address."""
     host, port = settings.split_addr(address)
     if not host.startswith("127."):
         raise ValueError(f"not a loopback address: {address}")
@@ -55,22 +55,22 @@
 
 
 def send_response(request: Request, status: int, value: Any) -> None:
-    """Answer with a CBOR body."""
+    """Answer a request with a CBOR body."""
     request.respond(status, encode(value))
 
 
 def write_summary(folder: str, name: str, summary: dict[str, Any]) -> None:
-    """Write what a stand-in measured, for the run's report."""
+    """Write a stand-in's measurements for the run's report."""
     (Path(folder) / f"{name}.summary.json").write_text(json.dumps(summary))
 
 
 def run_child(main: Callable[[asyncio.Event], Coroutine[Any, Any, None]]) -> None:
-    """Run a stand-in until it is told to end (SIGTERM), or its bound of time is over."""
+    """Run a stand-in until it receives SIGTERM."""
     logging.basicConfig(
         stream=sys.stderr, level=logging.WARNING, format="%(levelname)s %(name)s %(message)s"
     )
     logging.getLogger("asyncio").setLevel(logging.ERROR)
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the run's own process ends its children
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the parent process stops its children
 
     async def run() -> None:
         stop_requested = asyncio.Event()
@@ -81,18 +81,18 @@
 
 
 class EventLog:
-    """Appends events as lines of JSON; the clock is the machine's steady one, alike for all."""
+    """Writes events as lines of JSON; all processes use the machine's monotonic clock."""
 
     def __init__(self, folder: str, name: str) -> None:
         self.file = (Path(folder) / f"{name}.events").open("w", encoding="utf-8")
         self.lines: list[str] = []
 
     def add(self, *event: Any) -> None:
-        """Note an event at the present time."""
+        """Buffer an event with the current time."""
         self.lines.append(json.dumps((round(time.monotonic(), 4), *event)))
 
     def flush(self) -> None:
-        """Write what was noted."""
+        """Write the buffered events."""
         if self.lines:
             self.file.write("\n".join(self.lines) + "\n")
             self.file.flush()
--- a/tools/scale/state_service.py
+++ b/tools/scale/state_service.py
@@ -1,4 +1,4 @@
-"""The state service as a process: PROTOCOL over HTTP, an address for each controller."""
+"""The simulated state service: the store over HTTP, with one address for each controller."""
 
 import asyncio
 from collections import Counter
@@ -12,12 +12,12 @@
 from tools.scale.serving import listen, send_response, write_summary
 from tools.scale.store import Refused, Store, watch_body
 
-# Seconds between two looks for leases that are over (PROTOCOL: up to 100 ms late).
+# Seconds between two checks for expired leases; the real service expires them up to 100 ms late.
 EXPIRY_INTERVAL_S = 0.05
 
 
 class Watch:
-    """A watch that waits for a change."""
+    """A long poll for changes under a prefix after a revision."""
 
     __slots__ = ("request", "prefix", "after_revision", "deadline")
 
@@ -31,7 +31,7 @@
 
 
 class StateService:
-    """Serves the store; troubles come over the control address."""
+    """Serves the store; faults are injected over the control address."""
 
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
@@ -45,7 +45,7 @@
         self.delay_s = 0.0
 
     async def run(self, stop_requested: asyncio.Event) -> None:
-        """Serve until told to end."""
+        """Serve until the stop is requested, then write the summary."""
         for controller in self.plan.controllers:
             await listen(
                 controller.state,
@@ -68,7 +68,7 @@
         )
 
     def control(self, request: Request) -> None:
-        """Begin a trouble."""
+        """Start an injected fault."""
         order = decode(request.body)
         now = self.loop.time()
         if order["kind"] == "state_out":
@@ -80,7 +80,7 @@
         send_response(request, 200, {})
 
     def expire_and_notify(self) -> None:
-        """End leases and an outage, answer watches."""
+        """End an outage that is over, expire leases and answer watches."""
         now = self.loop.time()
         if self.outage_until:
             if now < self.outage_until:
@@ -91,11 +91,11 @@
         self.notify_watches(now)
 
     def unreachable(self, label: str, now: float) -> bool:
-        """Whether a controller is answered 503 now."""
+        """Whether requests of a controller get status 503 now."""
         return now < self.outage_until or now < self.refused_until.get(label, 0.0)
 
     def notify_watches(self, now: float) -> None:
-        """Answer watches that have something to say or whose time is over."""
+        """Answer the watches that have changes or whose deadline has passed."""
         for label, watches in self.watches.items():
             if not watches or self.unreachable(label, now):
                 continue
@@ -117,7 +117,7 @@
         return True
 
     def serve(self, label: str, request: Request) -> None:
-        """Serve one request of a controller, late if the service is slow."""
+        """Serve a controller's request; delay it while the service is slow."""
         now = self.loop.time()
         if now < self.slow_until:
             self.loop.call_later(self.delay_s, self._serve, label, request)
@@ -183,5 +183,5 @@
 
 
 async def main(plan: Plan, stop_requested: asyncio.Event) -> None:
-    """Run the state service."""
+    """Run the simulated state service."""
     await StateService(plan).run(stop_requested)
--- a/tools/scale/store.py
+++ b/tools/scale/store.py
@@ -1,4 +1,4 @@
-"""The state service's store, without I/O: guards, leases, limits, a log of changes."""
+"""The state service's store, without I/O: guards, leases, limits and a log of changes."""
 
 from collections import Counter, deque
 from collections.abc import Iterable
@@ -11,17 +11,17 @@
 from oakmux.transport.rate_limit import TokenBucket
 from tools.scale.config import Service
 
-# Changes that a watch can go back (PROTOCOL: the service keeps the last 10,000).
+# Changes kept for watches; the real service keeps the last 10,000 too.
 MAX_LOG_CHANGES = 10_000
 # Limits of one page of a list.
 PAGE_ITEMS = 1000
 PAGE_BYTES = 512 * 1024
-# Bytes of a transaction at most.
+# Limit of the values of a transaction (bytes).
 TRANSACTION_BYTES = 64 * 1024
 
 
 class Refused(Exception):
-    """A request that is answered with an error."""
+    """A request is refused with this status and body."""
 
     def __init__(self, status: int, body: dict[str, Any]) -> None:
         super().__init__(f"{status}")
@@ -30,7 +30,7 @@
 
 
 class Lease:
-    """A lease: its length and when it ends, in seconds."""
+    """A lease: its duration, its end (both in seconds) and its keys."""
 
     __slots__ = ("duration_s", "ends_at", "keys")
 
@@ -41,7 +41,7 @@
 
 
 class Record:
-    """A key's value, the revision of its last change, its lease."""
+    """A key's value, the revision of its last change and its lease."""
 
     __slots__ = ("value", "mod_revision", "lease")
 
@@ -52,7 +52,7 @@
 
 
 class Store:
-    """All keys; times are handed in, in seconds of a steady clock."""
+    """All keys and leases; callers pass the time, in seconds of a monotonic clock."""
 
     def __init__(self, limits: Service) -> None:
         self.limits = limits
@@ -68,20 +68,20 @@
         self.largest_value = 0
 
     def admit(self, now: float) -> None:
-        """Take one request off the limit; raises Refused."""
+        """Count one request against the rate limit; raise Refused above it."""
         if self.request_limit.wait(now, 1) > 0:
             raise Refused(429, {"error": "requests"})
         self.request_limit.consume(1)
 
     def expire(self, now: float) -> bool:
-        """End leases whose time is over; return whether keys went with one."""
+        """End the expired leases; return whether any key was deleted."""
         removed = False
         for number in [n for n, lease in self.leases.items() if lease.ends_at <= now]:
             removed = self.drop_lease(number) or removed
         return removed
 
     def drop_lease(self, number: int) -> bool:
-        """End a lease; return whether keys went with it."""
+        """End a lease and delete its keys; return whether it had any."""
         lease = self.leases.pop(number, None)
         if lease is None or not lease.keys:
             return False
@@ -91,12 +91,12 @@
         return True
 
     def restore_leases(self, now: float) -> None:
-        """After an outage, all leases have their full time again."""
+        """Restart the full duration of all leases, as after an outage."""
         for lease in self.leases.values():
             lease.ends_at = now + lease.duration_s
 
     def grant(self, now: float, life_ms: int) -> int:
-        """Grant a lease."""
+        """Grant a lease and return its number; raise Refused if `life_ms` is out of range."""
         if not 100 <= life_ms <= 600_000:
             raise Refused(400, {"error": "life_ms"})
         self.next_lease += 1
@@ -104,21 +104,21 @@
         return self.next_lease
 
     def renew(self, now: float, number: int) -> None:
-        """Renew a lease; raises Refused if it is over."""
+        """Renew a lease; raise Refused if it does not exist or has expired."""
         lease = self.leases.get(number)
         if lease is None:
             raise Refused(404, {"error": "no such lease"})
         lease.ends_at = now + lease.duration_s
 
     def get(self, key: str) -> dict[str, Any]:
-        """Return a key's item; raises Refused."""
+        """Return a key's item; raise Refused if there is no such key."""
         record = self.records.get(key)
         if record is None:
             raise Refused(404, {"epoch": self.revision})
         return item(key, record)
 
     def page(self, prefix: str, since: str, limit: int) -> dict[str, Any]:
-        """Return one page of a list."""
+        """Return one page of the keys with a prefix, after the key `since` if it is not empty."""
         limit = min(limit, PAGE_ITEMS)
         items: list[dict[str, Any]] = []
         size, has_next = 0, False
@@ -134,7 +134,7 @@
         return {"rows": items, "has_next": has_next, "epoch": self.revision}
 
     def transact(self, now: float, guards: list[dict], writes: list[dict]) -> int:
-        """Carry out a transaction; return the revision; raises Refused."""
+        """Execute a transaction and return the revision; raise Refused if it is not executed."""
         limits = self.limits
         self._check_size(guards, writes)
         if writes and self.change_limit.wait(now, len(writes)) > 0:
@@ -206,7 +206,7 @@
             self.log.popleft()
 
     def events_since(self, prefix: str, since: int) -> list[bytes] | None:
-        """Return the encoded changes of a prefix after a revision; None if that is too old."""
+        """Return the encoded changes of a prefix after a revision; None if it is too old."""
         if self.log and len(self.log) == MAX_LOG_CHANGES and self.log[0][0] > since + 1:
             return None
         events: list[bytes] = []
@@ -220,16 +220,16 @@
 
 
 def item(key: str, record: Record) -> dict[str, Any]:
-    """Return a key as the protocol shows it."""
+    """Return a key's item as sent over the wire."""
     fields = {"path": key, "v": record.value, "stamp": record.mod_revision}
     return fields if record.lease is None else {**fields, "permit": record.lease}
 
 
 def watch_body(revision: int, events: Iterable[bytes]) -> bytes:
-    """Return a watch's answer from events that are encoded already."""
+    """Return the body of a watch's answer from encoded events."""
     rows = list(events)
     head = cbor2.dumps(len(rows))
-    # The head of a CBOR array is that of an integer with another major type in its first byte.
+    # The head of a CBOR array is the head of its length, with another major type in byte 0.
     array = bytes([head[0] | 0x80]) + head[1:]
     return (
         b"\xa2"
--- a/tools/scale/users.py
+++ b/tools/scale/users.py
@@ -1,4 +1,4 @@
-"""Users: submit jobs at a rate, poll and cancel them, through a balancer of connections."""
+"""Simulated users: submit jobs at a rate, poll and cancel them, through a load balancer."""
 
 import asyncio
 import random
@@ -15,38 +15,40 @@
 from tools.scale.plan import Plan
 from tools.scale.serving import EventLog, write_summary
 
-# Seconds for an answer to a submission and to a question, before a try again, and in all.
+# Seconds to wait for the answer to a submission or cancellation and to a query, between two
+# attempts, and for all attempts together.
 SUBMIT_TIMEOUT_S = 5.0
 QUERY_TIMEOUT_S = 2.0
 RETRY_DELAY_S = 1.0
 RETRY_LIMIT_S = 60.0
-# Seconds between two looks at the health of all controllers.
+# Seconds between two health checks of all controllers.
 PROBE_INTERVAL_S = 1.0
-# Connections to the controllers in all (count).
+# Connections to all controllers together.
 MAX_CONNECTIONS = 400
 SUMMARY_INTERVAL_S = 1.0
-# Seconds over which a run's services are submitted, and a cancelled job's least age.
+# Seconds over which a run's services are submitted, and the minimum age of a job at its
+# cancellation.
 SERVICES_SPAN_S = 5.0
 MIN_CANCEL_AGE_S = 1.0
 ACCEPTED_STATUSES = (200, 201)
 
 
 class Arrival(NamedTuple):
-    """A job and when it comes, in seconds after the load begins."""
+    """A job and its submission time, in seconds after the start of the load."""
 
     at: float
     job: Job
 
 
 def draw_team(config: RunConfig, rng: random.Random) -> int:
-    """Draw a job's team: the first one is hot."""
+    """Draw a job's team; team 0 gets an additional share of `hot_team_share`."""
     if rng.random() < config.traffic.hot_team_share:
         return 0
     return rng.randrange(config.sizes.teams)
 
 
 def arrivals(config: RunConfig, rng: random.Random) -> list[Arrival]:
-    """Return all jobs of a run, in their order."""
+    """Return all jobs of a run in order of submission."""
     rows = [*_services(config, rng), *_arrays(config, rng), *_gangs(config, rng)]
     rows.sort()
     return rows
@@ -99,7 +101,7 @@
 
 
 class Balancer:
-    """Chooses among the controllers that are healthy by their own word."""
+    """Chooses among the controllers whose health check succeeds."""
 
     def __init__(self, controllers: list[str], rng: random.Random) -> None:
         self.controllers = controllers
@@ -109,11 +111,11 @@
         self.client = Client(2 * len(controllers))
 
     def choose(self) -> str:
-        """Return a controller's address."""
+        """Return the address of a random healthy controller, or of any if none is healthy."""
         return self.rng.choice(self.healthy or self.controllers)
 
     async def probe(self) -> None:
-        """Look at all controllers for ever; two failures in a row take one out."""
+        """Check all controllers until cancelled; two consecutive failures exclude a controller."""
         while True:
             await asyncio.gather(*(self._probe(controller) for controller in self.controllers))
             self.healthy = [
@@ -132,7 +134,7 @@
 
 
 class Users:
-    """The load of a run."""
+    """All users of a run."""
 
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
@@ -148,7 +150,7 @@
         self.tasks: set[asyncio.Task] = set()
 
     async def run(self, stop_requested: asyncio.Event) -> None:
-        """Submit until told to end."""
+        """Submit and poll jobs until the stop is requested."""
         rows = arrivals(self.config, self.rng)
         tasks = [
             self.loop.create_task(self.balancer.probe()),
@@ -162,7 +164,7 @@
         self.summarize()
 
     def summarize(self) -> None:
-        """Write what was measured so far."""
+        """Write the events and the summary of the measurements so far."""
         self.events.flush()
         write_summary(
             self.plan.folder,
@@ -186,7 +188,7 @@
             task.add_done_callback(self.tasks.discard)
 
     async def _user(self, job: Job) -> None:
-        """Submit a job and ask for it until it is over."""
+        """Submit a job and poll its status until it is final."""
         self.events.add("asked", job.id)
         body = encode(submission(self.config, job))
         status, _ = await self._request_until_final(
@@ -219,7 +221,7 @@
                 return
 
     async def _cancel(self, job: Job) -> bool:
-        """Cancel a job; return whether it is over."""
+        """Cancel a job; return whether the cancellation was answered with status 200."""
         self.events.add("cancelling", job.id)
         status, value = await self._request_until_final(
             "cancellation", "POST", f"{PATH_JOBS}/{job.id}{CANCEL_SUFFIX}", b"", (200,)
@@ -230,7 +232,7 @@
         return True
 
     async def _query(self, job: Job) -> bool:
-        """Ask for a job; return whether it is over."""
+        """Query a job; return whether its status is final."""
         status, value = await self._request(
             "query", "GET", f"{PATH_JOBS}/{job.id}", b"", QUERY_TIMEOUT_S
         )
@@ -249,7 +251,7 @@
     async def _request_until_final(
         self, name: str, method: str, path: str, body: bytes, final_statuses: tuple[int, ...]
     ) -> tuple[int, Any]:
-        """Repeat a request until it has a final answer, for a minute at most."""
+        """Repeat a request until it has a final status, for at most RETRY_LIMIT_S."""
         started = self.loop.time()
         while True:
             status, value = await self._request(
@@ -286,5 +288,5 @@
 
 
 async def main(plan: Plan, stop_requested: asyncio.Event) -> None:
-    """Run the load."""
+    """Run the simulated users."""
     await Users(plan).run(stop_requested)
--- a/tools/scale/worker.py
+++ b/tools/scale/worker.py
@@ -1,4 +1,4 @@
-"""One hollow worker by PROTOCOL, without I/O: lease, sessions, token, orders and tasks."""
+"""One hollow worker without I/O: lease, agent epoch, fencing token, orders and tasks."""
 
 import math
 from collections.abc import Callable
@@ -7,26 +7,26 @@
 from tools.scale.config import RunConfig
 from tools.scale.jobs import Job, Kind, parse_job, task_cpus
 
-# States in which a task takes room on its machine.
+# States in which a task uses CPUs of its machine.
 ACTIVE_STATES = ("pulling", "waiting", "running")
-# States in which a task is on its machine: from when it has its image until it exits.
+# States in which a task counts as on its machine: from the end of the image fetch to its exit.
 PLACED_STATES = ("waiting", "running")
 
 
 class TaskKey(NamedTuple):
-    """A task and an attempt at it."""
+    """The id of a task and the number of its attempt."""
 
     task: str
     attempt: int
 
     @property
     def job_id(self) -> str:
-        """The id of its job."""
+        """The id of the task's job."""
         return self.task.partition("/")[0]
 
 
 class Task:
-    """A task on a worker: its state, and when that ends (s)."""
+    """A task on a worker: its state, the cause of its exit, and when the state ends (s)."""
 
     __slots__ = ("job", "state", "cause", "until")
 
@@ -37,12 +37,13 @@
         self.until = until
 
 
-# Called with what happened ("on", "run", "off"), the task, the worker and a cause.
+# Called with the event, the task, the worker and a cause. Events: "on" (image fetched), "run"
+# (gang started), "off" (task left the machine).
 Observer = Callable[[str, TaskKey, "HollowWorker", str], None]
 
 
 class HollowWorker:
-    """A machine's worker; whoever drives it calls `advance` before anything else."""
+    """A machine's worker; the caller must call `advance` before any other method."""
 
     def __init__(
         self, config: RunConfig, name: str, address: str, zone: str, now: float, observe: Observer
@@ -63,7 +64,7 @@
     # --- time ---
 
     def advance(self, now: float) -> None:
-        """Bring the lease and all tasks up to date."""
+        """Update the lease and all tasks to the current time."""
         if now - self.lease_renewed_at > self.config.times.lease_s:
             self.end_session(now)
         for key, task in list(self.tasks.items()):
@@ -75,14 +76,14 @@
                 self.exit(key, "done")
 
     def end_session(self, now: float) -> None:
-        """The lease is over: all tasks are killed and forgotten."""
+        """End the session of an expired lease: kill all tasks, begin a new agent epoch."""
         self.clear("lease")
         self.agent_epoch += 1
         self.lease_renewed_at = now
         self.dirty = True
 
     def clear(self, cause: str) -> None:
-        """Drop all tasks."""
+        """Drop all tasks; those on the machine are observed as "off" with the cause."""
         for key, task in list(self.tasks.items()):
             if task.state in PLACED_STATES:
                 self.observe("off", key, self, cause)
@@ -99,7 +100,7 @@
         self.observe("on", key, self, "")
 
     def start_gang_task(self, key: TaskKey) -> None:
-        """All tasks of the gang are there."""
+        """Run a gang's task, since all tasks of the gang are ready."""
         task = self.tasks.get(key)
         if task is not None and task.state == "waiting":
             task.state = "running"
@@ -107,7 +108,7 @@
             self.observe("run", key, self, "")
 
     def exit(self, key: TaskKey, cause: str) -> None:
-        """A task ends."""
+        """End a task with a cause, if it has not ended."""
         task = self.tasks.get(key)
         if task is None or task.state not in ACTIVE_STATES:
             return
@@ -120,7 +121,7 @@
     # --- messages ---
 
     def report(self) -> dict[str, Any]:
-        """Return the next report."""
+        """Return the body of the next heartbeat."""
         self.sequence += 1
         self.dirty = False
         pieces = []
@@ -145,7 +146,10 @@
     def apply_answer(
         self, sent_at: float, agent_epoch: int, body: dict[str, Any], now: float
     ) -> None:
-        """Take a 200 to the report that was sent at a time; a lower token drops it."""
+        """Apply a 200 answer to the heartbeat sent at `sent_at`.
+
+        An answer with a lower token or of another agent epoch is dropped.
+        """
         fencing_token = body.get("baton")
         if (
             agent_epoch != self.agent_epoch
@@ -157,7 +161,7 @@
         self.apply_orders(fencing_token, body.get("orders") or [], now)
 
     def apply_direct_orders(self, body: dict[str, Any], now: float) -> int:
-        """Take direct orders; return the status to answer with."""
+        """Apply direct orders; return the HTTP status: 200, 400 (malformed) or 409 (stale)."""
         if not isinstance(body.get("baton"), int) or not isinstance(body.get("tenure"), int):
             return 400
         if body["baton"] < self.fencing_token or body["tenure"] != self.agent_epoch:
@@ -166,7 +170,7 @@
         return 200
 
     def apply_orders(self, fencing_token: int, orders: list[dict[str, Any]], now: float) -> None:
-        """Execute commands in order."""
+        """Adopt a higher fencing token and execute the orders in sequence."""
         if fencing_token > self.fencing_token:
             self.fencing_token = fencing_token
             self.dirty = True
@@ -195,7 +199,7 @@
             task.state, task.cause = "ended", refusal
 
     def _refusal(self, key: TaskKey, job: Job) -> str | None:
-        """Return why a start is refused, if it is."""
+        """Return the reason to refuse a launch; None to accept it."""
         used_cpus = 0.0
         for other, task in self.tasks.items():
             if other != key and task.state in ACTIVE_STATES:
