--- a/tests/test_scale_bench.py
+++ b/tests/test_scale_bench.py
@@ -1,4 +1,4 @@
-"""The scale run: its ledger, its store, its workers, and a small run with real controllers."""
+"""Tests of the scale run: ledger, store, workers, and a small run with real controllers."""
 
 import json
 import os
@@ -38,25 +38,25 @@
 
 
 def placed_event(at: float, job: Job, number: int, machine: str, zone: int = 0) -> Event:
-    """Return that a task has its image."""
+    """Return the event of a task that starts on a machine."""
     return Event(at, "on", f"{job.id}/{number}", (1, machine, zone_name(zone), ""))
 
 
 def ended_event(at: float, job: Job, number: int, machine: str, cause: str = "done") -> Event:
-    """Return that a task is over."""
+    """Return the event of a task that ends on a machine."""
     return Event(at, "off", f"{job.id}/{number}", (1, machine, zone_name(0), cause))
 
 
 def user_event(at: float, verb: str, job: Job) -> Event:
-    """Return what a user was told."""
+    """Return an event of a user's job."""
     return Event(at, verb, job.id, ())
 
 
 ARRAY, GANG = make_job(Kind.ARRAY), make_job(Kind.GANG, serial=2)
 PINNED = make_job(Kind.PINNED, team=1, serial=3)
 
-# The ledger is the run's only judge: each rule has a course of events that must break it, and one
-# next to it that must not.
+# Only the ledger decides whether a run broke a rule. Each list must break just its own rule; the
+# similar events in CORRECT_EVENTS must break none.
 BREAKING_EVENTS = {
     "ran_twice": [placed_event(1, ARRAY, 0, "m1"), placed_event(2, ARRAY, 0, "m2")],
     "quota": [placed_event(1, make_job(Kind.ARRAY, serial=n), 0, f"m{n}") for n in range(40)],
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("rule", RULES)
-def test_the_ledger_reports_each_broken_rule_and_nothing_else(rule, config):
+def test_ledger_reports_only_the_broken_rule(rule, config):
     ledger = Ledger(config)
     ledger.apply_events(BREAKING_EVENTS[rule])
     ledger.close(40.0)
@@ -102,7 +102,7 @@
     assert ledger.breaches[0].rule == rule
 
 
-def test_the_ledger_reports_nothing_for_a_correct_run(config):
+def test_ledger_reports_no_breach_for_a_correct_run(config):
     ledger = Ledger(config)
     ledger.apply_events(CORRECT_EVENTS)
     ledger.close(60.0)
@@ -112,8 +112,8 @@
     assert {breach.rule for breach in ledger.breaches} == {"wrong_place", "ran_cancelled"}
 
 
-def test_two_workers_told_to_run_one_task_break_a_rule(config):
-    # A deliberate fault, brought about in the workers themselves.
+def test_task_launched_on_two_workers_breaks_a_rule(config):
+    # Injects the fault through the workers instead of listing the events.
     ledger, now = Ledger(config), 0.0
 
     def observe(verb: str, key: TaskKey, worker: HollowWorker, cause: str) -> None:
@@ -130,7 +130,7 @@
     assert ledger.counts["ran_twice"] == 1
 
 
-def test_a_worker_follows_the_rules_of_lease_agent_epoch_and_fencing_token(config):
+def test_worker_checks_lease_agent_epoch_and_fencing_token(config):
     worker = HollowWorker(config, "m1", "", zone_name(0), 0.0, lambda *_: None)
     launch = {"verb": "launch", "piece": f"{ARRAY.id}/0", "try": 1}
     worker.apply_answer(0.0, 1, {"baton": 5, "orders": [launch]}, 0.1)
@@ -139,9 +139,8 @@
     assert worker.apply_direct_orders({"baton": 4, "tenure": 1, "orders": []}, 0.2) == 409
     assert worker.apply_direct_orders({"tenure": 1, "orders": []}, 0.2) == 400
     second_launch = {**launch, "try": 2}
-    worker.apply_answer(
-        0.2, 1, {"baton": 4, "orders": [second_launch]}, 0.3
-    )  # dropped: a lower token
+    # Dropped: a lower token.
+    worker.apply_answer(0.2, 1, {"baton": 4, "orders": [second_launch]}, 0.3)
     assert worker.lease_renewed_at == 0.0
     assert len(worker.tasks) == 1
     worker.apply_answer(0.4, 1, {"baton": 5, "orders": [second_launch]}, 0.5)
@@ -149,11 +148,11 @@
     worker.advance(0.4 + config.times.lease_s + 0.1)
     assert worker.agent_epoch == 2
     assert not worker.tasks
-    worker.apply_answer(9.0, 1, {"baton": 5, "orders": [launch]}, 9.1)  # of an earlier session
+    worker.apply_answer(9.0, 1, {"baton": 5, "orders": [launch]}, 9.1)  # of an earlier epoch
     assert not worker.tasks
 
 
-def test_gangs_start_and_end_together_across_processes():
+def test_gang_starts_and_ends_together_across_processes():
     hub, job = GangHub(2), make_job(Kind.GANG)
     assert not hub.exchange(0, [GangEvent("ready", job.id, 1, 0)], 0.0)
     assert [row.verb for row in hub.exchange(1, [GangEvent("ready", job.id, 1, 1)], 1.0)] == ["go"]
@@ -164,7 +163,7 @@
     assert [row.verb for row in hub.exchange(0, [], 20.0)] == ["go", "peers"]
 
 
-def test_the_store_enforces_conditions_leases_and_limits_and_keeps_a_log():
+def test_store_enforces_guards_leases_and_limits_and_logs_changes():
     store = Store(Service(rps=100, write_rps=6, value_kb=1, txn_ops=2))
     lease = store.grant(0.0, 1000)
     put = {"write": "a/1", "v": [1], "permit": lease}
@@ -199,7 +198,7 @@
     assert refused.value.status == 429
 
 
-def test_ids_describe_their_jobs():
+def test_job_ids_decode_to_their_jobs():
     for kind in Kind:
         job = Job(kind, 40, 512, 16.3, 999_999)
         assert parse_job(job.id) == job
@@ -208,26 +207,26 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "why"),
+    ("text", "error"),
     [
         ("", "missing required field `sizes`"),
         ("[sizes", "Expected"),
         ("controllers = 300", "bounds.processes"),
     ],
 )
-def test_a_run_that_can_not_start_says_why_in_one_line(text, why, tmp_path):
+def test_invalid_configuration_gives_a_one_line_error(text, error, tmp_path):
     path = tmp_path / "run.toml"
     path.write_text(
         DATA.read_text().replace("controllers = 3", text) if "controllers" in text else text
     )
-    with pytest.raises(ConfigError, match=why):
+    with pytest.raises(ConfigError, match=error):
         load_config(path)
     result = CliRunner().invoke(scale.main, [str(path)])
     assert result.exit_code == 2
     assert len(result.output.strip().splitlines()) == 1
 
 
-def test_a_small_run_with_real_controllers_and_faults_breaks_no_rule(tmp_path):
+def test_small_run_with_real_controllers_and_faults_breaks_no_rule(tmp_path):
     out = tmp_path / "report.json"
     result = CliRunner().invoke(scale.main, [str(DATA), "--out", str(out)])
     assert result.exit_code == 0, result.output
@@ -241,10 +240,10 @@
     assert report["times"]["submission"]["count"] > 5
     assert 0 < report["most_processes"] <= 9
     assert report["most_memory_mb"] < 2000
-    assert "workers" in result.output  # a line a second
+    assert "workers" in result.output  # the progress line of each second
 
 
-def test_no_child_outlives_a_run_that_is_killed(tmp_path):
+def test_children_end_when_the_run_is_killed(tmp_path):
     environment = {**os.environ, "TMPDIR": str(tmp_path)}
     run = subprocess.Popen(
         [sys.executable, "-m", "tools.scale", str(DATA), "--quiet"], cwd=ROOT, env=environment
@@ -264,7 +263,7 @@
 
 
 def processes_of_run(folder: Path) -> list[str]:
-    """Return the processes that were told of a run's folder."""
+    """Return the command lines of Python processes that mention a run's folder."""
     found = []
     for path in Path("/proc").glob("[0-9]*/cmdline"):
         try:
@@ -276,7 +275,7 @@
     return found
 
 
-def test_a_truncated_line_ends_a_log(tmp_path, config):
+def test_truncated_line_ends_a_log(tmp_path, config):
     lines = [msgspec.json.encode([1.0, "asked", ARRAY.id]).decode(), '[2.0, "acc']
     (tmp_path / "users.events").write_text("\n".join(lines))
     (tmp_path / "hollow-0.events").write_text('[0.5, "asked", "x"]\n')
