--- a/tests/test_scale_bench.py
+++ b/tests/test_scale_bench.py
@@ -155,12 +155,14 @@
 def test_gang_starts_and_ends_together_across_processes():
     hub, job = GangHub(2), make_job(Kind.GANG)
     assert not hub.exchange(0, [GangEvent("ready", job.id, 1, 0)], 0.0)
-    assert [row.verb for row in hub.exchange(1, [GangEvent("ready", job.id, 1, 1)], 1.0)] == ["go"]
-    assert [row.verb for row in hub.exchange(0, [], 6.1)] == ["go", "finish"]
+    assert [order.verb for order in hub.exchange(1, [GangEvent("ready", job.id, 1, 1)], 1.0)] == [
+        "go"
+    ]
+    assert [order.verb for order in hub.exchange(0, [], 6.1)] == ["go", "finish"]
     hub.exchange(0, [GangEvent("ready", job.id, 2, 0)], 7.0)
     hub.exchange(1, [GangEvent("ready", job.id, 2, 1)], 7.0)
     hub.exchange(1, [GangEvent("left", job.id, 2, 1)], 8.0)
-    assert [row.verb for row in hub.exchange(0, [], 20.0)] == ["go", "peers"]
+    assert [order.verb for order in hub.exchange(0, [], 20.0)] == ["go", "peers"]
 
 
 def test_store_enforces_guards_leases_and_limits_and_logs_changes():
--- a/tools/scale/cloud.py
+++ b/tools/scale/cloud.py
@@ -119,7 +119,7 @@
         elif parts.path == PATH_INSTANCES and request.method == "POST":
             self._rent(request)
         elif parts.path == PATH_INSTANCES:
-            query = {name: row[0] for name, row in parse_qs(parts.query).items()}
+            query = {name: values[0] for name, values in parse_qs(parts.query).items()}
             self._list(request, query.get("since", ""), int(query.get("page", MAX_LISTED)))
         else:
             send_response(request, 400, {"error": "path"})
@@ -212,16 +212,16 @@
 
     def _list(self, request: Request, since: str, limit: int) -> None:
         at = self.loop.time() - self.config.service.list_lag_s
-        rows: list[dict[str, Any]] = []
+        entries: list[dict[str, Any]] = []
         has_next = False
         for name, machine in self.machines.items():  # insertion order is name order
             status = machine.status(at) if name > since else None
             if status is None:
                 continue
-            if len(rows) >= min(limit, MAX_LISTED):
+            if len(entries) >= min(limit, MAX_LISTED):
                 has_next = True
                 break
-            rows.append(
+            entries.append(
                 {
                     "id": name,
                     "addr": machine.address,
@@ -232,13 +232,13 @@
                     "held_s": at - machine.rented_at,
                 }
             )
-        send_response(request, 200, {"boxes": rows, "has_next": has_next})
+        send_response(request, 200, {"boxes": entries, "has_next": has_next})
 
     def _gangs(self, request: Request) -> None:
         order = decode(request.body)
-        events = [GangEvent(*row) for row in order["events"]]
+        events = [GangEvent(*fields) for fields in order["events"]]
         orders = self.hub.exchange(order["process"], events, self.loop.time())
-        send_response(request, 200, {"orders": [list(row) for row in orders]})
+        send_response(request, 200, {"orders": [list(gang_order) for gang_order in orders]})
 
     async def _control(self, request: Request) -> None:
         """Kill machines: all of a zone (`zone`), `count` of a zone (`rack`) or of any zone."""
--- a/tools/scale/hollow.py
+++ b/tools/scale/hollow.py
@@ -69,11 +69,11 @@
         """Send one heartbeat and apply the answer; change the controller if it is not accepted."""
         process, worker = self.process, self.worker
         worker.advance(self.loop.time())
-        sent, agent_epoch = self.loop.time(), worker.agent_epoch
-        self.last_report_at = sent
+        sent_at, agent_epoch = self.loop.time(), worker.agent_epoch
+        self.last_report_at = sent_at
         body = encode(worker.report())
         process.counts["report_bytes"] += len(body)
-        self.next_report_at = sent + process.plan.config.times.report_s * process.rng.uniform(
+        self.next_report_at = sent_at + process.plan.config.times.report_s * process.rng.uniform(
             0.75, 1.25
         )
         status = 0
@@ -93,12 +93,12 @@
         if self.gone:
             return
         now = self.loop.time()
-        record_s(process.report_times, now - sent)
+        record_s(process.report_times, now - sent_at)
         process.counts["reports"] += 1
         worker.advance(now)
         if status == 200:
             before = worker.fencing_token
-            worker.apply_answer(sent, agent_epoch, value, now)
+            worker.apply_answer(sent_at, agent_epoch, value, now)
             if worker.fencing_token > before and now - self.token_reported_at > (
                 process.plan.config.times.lease_s / 2
             ):
@@ -259,7 +259,7 @@
         while True:
             await asyncio.sleep(GANG_EXCHANGE_INTERVAL_S)
             events, self.gang_events = self.gang_events, []
-            body = encode({"process": self.index, "events": [list(row) for row in events]})
+            body = encode({"process": self.index, "events": [list(event) for event in events]})
             try:
                 _, data = await self.hub.request(
                     self.plan.cloud, "POST", "/gangs", body, REQUEST_TIMEOUT_S, 4 * 1024 * 1024
@@ -267,8 +267,8 @@
             except (RequestNotSentError, NoResponseError):
                 self.gang_events = events + self.gang_events
                 continue
-            for row in decode(data)["orders"]:
-                self.apply_gang_order(GangOrder(*row))
+            for fields in decode(data)["orders"]:
+                self.apply_gang_order(GangOrder(*fields))
 
     def apply_gang_order(self, order: GangOrder) -> None:
         """Apply the hub's order for an attempt to all workers of this process."""
--- a/tools/scale/ledger.py
+++ b/tools/scale/ledger.py
@@ -223,7 +223,7 @@
 
     def peak_start_rate(self, seconds: float) -> float:
         """Return the highest mean of starts per second over any span of `seconds`."""
-        times = sorted(at for row in self.start_times.values() for at in row)
+        times = sorted(at for job_times in self.start_times.values() for at in job_times)
         max_starts, first = 0, 0
         for last, at in enumerate(times):
             while times[first] < at - seconds:
--- a/tools/scale/report.py
+++ b/tools/scale/report.py
@@ -123,7 +123,7 @@
             "keys": state.get("keys", 0),
             "largest_value": state.get("largest_value", 0),
             "requests": sum(
-                row.get("requests", 0) for row in state.get("controllers", {}).values()
+                counts.get("requests", 0) for counts in state.get("controllers", {}).values()
             ),
             "bytes": state_bytes(state),
         },
@@ -161,10 +161,10 @@
 
 def worker_bytes(hollow: list[dict[str, Any]]) -> int:
     """Return the bytes of the bodies of all heartbeats, their answers and direct orders."""
-    counts = [row.get("counts", {}) for row in hollow]
+    counters = [summary.get("counts", {}) for summary in hollow]
     return sum(
-        row.get(name, 0)
-        for row in counts
+        counts.get(name, 0)
+        for counts in counters
         for name in ("report_bytes", "answer_bytes", "bytes_in", "bytes_out")
     )
 
@@ -172,8 +172,8 @@
 def state_bytes(state: dict[str, Any]) -> int:
     """Return the bytes that the state service received and sent."""
     return sum(
-        row.get("bytes_in", 0) + row.get("bytes_out", 0)
-        for row in state.get("controllers", {}).values()
+        counts.get("bytes_in", 0) + counts.get("bytes_out", 0)
+        for counts in state.get("controllers", {}).values()
     )
 
 
@@ -197,7 +197,7 @@
         if f"{name}_times" in users
     }
     percentiles_by_name["report"] = percentiles(
-        merged(row["report_times"] for row in hollow if "report_times" in row)
+        merged(summary["report_times"] for summary in hollow if "report_times" in summary)
     )
     for name, kind, whole in (
         ("urgent start", Kind.URGENT, True),
@@ -226,7 +226,7 @@
 
 def report_lines(report: Report) -> list[str]:
     """Return a report as lines of text."""
-    rows = [
+    output = [
         f"fraction {report.fraction:g}, {report.controllers} controllers, {report.seconds:.0f} s"
         f"{'' if report.complete else ' (incomplete)'}: {report.workers} workers, "
         f"at most {report.most_running} running tasks, {report.starts} starts, "
@@ -236,26 +236,26 @@
         f"state service: {report.state}",
     ]
     for role, used in report.roles.items():
-        rows.append(
+        output.append(
             f"{role} ×{used.processes}: {used.cores:.2f} cores each, peak "
             f"{used.cores_peak:.2f}; {used.memory_mb:.0f} MB; {used.sockets} sockets"
         )
-    rows.append(
+    output.append(
         f"per worker: {report.bytes_a_worker:.0f} bytes/s; peers' share of loopback MB/s: "
         f"{report.peers_bytes / 1e6:.2f} of {report.loopback_bytes / 1e6:.2f}"
     )
     for name, values in report.times.items():
         parts = " ".join(f"{key} {value:.3g}" for key, value in values.items())
-        rows.append(f"{name}: {parts}")
+        output.append(f"{name}: {parts}")
     if report.large_gang_s is not None:
-        rows.append(f"the large gang started after {report.large_gang_s:.1f} s")
-    rows.append(f"answers to users: {report.answers}; unfinished jobs: {report.unfinished}")
-    rows.append(f"tasks ended: {report.ends}")
-    rows.append(
+        output.append(f"the large gang started after {report.large_gang_s:.1f} s")
+    output.append(f"answers to users: {report.answers}; unfinished jobs: {report.unfinished}")
+    output.append(f"tasks ended: {report.ends}")
+    output.append(
         f"breaches by rule: {report.rules}; error lines of controllers: {report.controller_errors}"
     )
-    rows += [
+    output += [
         f"BROKEN {breach.rule} at {breach.at:.2f}: {breach.text}" for breach in report.breaches
     ]
-    rows.append(f"at most {report.most_processes} processes, {report.most_memory_mb:.0f} MB")
-    return rows
+    output.append(f"at most {report.most_processes} processes, {report.most_memory_mb:.0f} MB")
+    return output
--- a/tools/scale/runner.py
+++ b/tools/scale/runner.py
@@ -157,11 +157,11 @@
         users = self._summary("users")
         sample = Sample(
             round(time.monotonic() - self.started_at, 2),
-            {name: (row.cpu_s, row.memory_mb, row.sockets) for name, row in usage.items()},
+            {name: (used.cpu_s, used.memory_mb, used.sockets) for name, used in usage.items()},
             loopback_bytes(),
-            sum(row.get("workers", 0) for row in hollow),
-            sum(row.get("tasks", {}).get("running", 0) for row in hollow),
-            sum(row.get("counts", {}).get("starts", 0) for row in hollow),
+            sum(summary.get("workers", 0) for summary in hollow),
+            sum(summary.get("tasks", {}).get("running", 0) for summary in hollow),
+            sum(summary.get("counts", {}).get("starts", 0) for summary in hollow),
             users.get("unfinished", 0),
         )
         self._progress(sample)
@@ -177,7 +177,7 @@
         if previous is not None and sample.at > previous.at:
             rate = (sample.starts - previous.starts) / (sample.at - previous.at)
         running = sum(child.running for child in self.controllers)
-        memory = sum(row[1] for row in sample.usage.values())
+        memory = sum(used[1] for used in sample.usage.values())
         self.print_line(
             f"{sample.at:6.1f} s  workers {sample.workers}  running {sample.running}  "
             f"starts/s {rate:.0f}  unfinished {sample.unfinished}  controllers {running}  "
@@ -186,7 +186,7 @@
 
     def _check_bounds(self, usage: dict[str, Usage]) -> None:
         processes = 1 + sum(child.running for child in self.children)
-        memory = sum(row.memory_mb for row in usage.values())
+        memory = sum(used.memory_mb for used in usage.values())
         self.max_processes = max(self.max_processes, processes)
         self.max_memory_mb = max(self.max_memory_mb, memory)
         bounds = self.config.bounds
--- a/tools/scale/store.py
+++ b/tools/scale/store.py
@@ -227,8 +227,8 @@
 
 def watch_body(revision: int, events: Iterable[bytes]) -> bytes:
     """Return the body of a watch's answer from encoded events."""
-    rows = list(events)
-    head = cbor2.dumps(len(rows))
+    encoded = list(events)
+    head = cbor2.dumps(len(encoded))
     # The head of a CBOR array is the head of its length, with another major type in byte 0.
     array = bytes([head[0] | 0x80]) + head[1:]
     return (
@@ -237,5 +237,5 @@
         + cbor2.dumps(revision)
         + cbor2.dumps("events")
         + array
-        + b"".join(rows)
+        + b"".join(encoded)
     )
--- a/tools/scale/users.py
+++ b/tools/scale/users.py
@@ -49,9 +49,9 @@
 
 def arrivals(config: RunConfig, rng: random.Random) -> list[Arrival]:
     """Return all jobs of a run in order of submission."""
-    rows = [*_services(config, rng), *_arrays(config, rng), *_gangs(config, rng)]
-    rows.sort()
-    return rows
+    schedule = [*_services(config, rng), *_arrays(config, rng), *_gangs(config, rng)]
+    schedule.sort()
+    return schedule
 
 
 def _services(config: RunConfig, rng: random.Random) -> Iterator[Arrival]:
@@ -151,10 +151,10 @@
 
     async def run(self, stop_requested: asyncio.Event) -> None:
         """Submit and poll jobs until the stop is requested."""
-        rows = arrivals(self.config, self.rng)
+        schedule = arrivals(self.config, self.rng)
         tasks = [
             self.loop.create_task(self.balancer.probe()),
-            self.loop.create_task(self._submit_all(rows)),
+            self.loop.create_task(self._submit_all(schedule)),
         ]
         while not stop_requested.is_set():
             self.summarize()
@@ -179,9 +179,9 @@
             },
         )
 
-    async def _submit_all(self, rows: list[Arrival]) -> None:
+    async def _submit_all(self, schedule: list[Arrival]) -> None:
         started = self.loop.time()
-        for arrival in rows:
+        for arrival in schedule:
             await asyncio.sleep(max(0.0, started + arrival.at - self.loop.time()))
             task = self.loop.create_task(self._user(arrival.job))
             self.tasks.add(task)
