--- a/tests/test_scale_bench.py
+++ b/tests/test_scale_bench.py
@@ -38,12 +38,12 @@
 
 
 def placed_event(at: float, job: Job, number: int, machine: str, zone: int = 0) -> Event:
-    """Return the event of a task that starts on a machine."""
+    """Return the event of a task whose image a machine has fetched."""
     return Event(at, "on", f"{job.id}/{number}", (1, machine, zone_name(zone), ""))
 
 
 def ended_event(at: float, job: Job, number: int, machine: str, cause: str = "done") -> Event:
-    """Return the event of a task that ends on a machine."""
+    """Return the event of a task that left a machine."""
     return Event(at, "off", f"{job.id}/{number}", (1, machine, zone_name(0), cause))
 
 
