--- a/tools/scale/processes.py
+++ b/tools/scale/processes.py
@@ -1,4 +1,4 @@
-"""Children of a run, and what /proc says of them."""
+"""Child processes of a run and their resource usage from /proc."""
 
 import ctypes
 import os
@@ -14,15 +14,15 @@
 from tools.scale.plan import Controller, Plan
 
 ROOT = Path(__file__).resolve().parents[2]
-# prctl's PR_SET_PDEATHSIG: the kernel ends a child whose parent is gone, however it went.
-PDEATHSIG = 1
-TICKS = os.sysconf("SC_CLK_TCK")
-PAGE = os.sysconf("SC_PAGE_SIZE")
+# Option of prctl: the kernel signals a child whose parent ends for any reason.
+PR_SET_PDEATHSIG = 1
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 LIBC = ctypes.CDLL(None, use_errno=True)
 
 
 class Usage(NamedTuple):
-    """What a process has used: processor seconds, resident MB, sockets."""
+    """Usage of a process: processor seconds, resident MB, open file descriptors (`sockets`)."""
 
     cpu_s: float
     memory_mb: float
@@ -30,16 +30,17 @@
 
 
 def end_with_parent(parent: int) -> None:
-    """Run in the child before it becomes the program: it ends when the run does, also if that
-    ended before the kernel was asked to see to it.
+    """Make the kernel kill this process when its parent ends.
+
+    Runs in the child before exec. A parent that ended before the call to prctl is detected too.
     """
-    LIBC.prctl(PDEATHSIG, signal.SIGKILL)
+    LIBC.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
     if os.getppid() != parent:
         os._exit(1)
 
 
 def environment() -> dict[str, str]:
-    """Return the children's environment: this interpreter first, our packages importable."""
+    """Return the children's environment: this interpreter first in PATH, this repo importable."""
     return {
         **os.environ,
         "PATH": f"{Path(sys.executable).parent}:{os.environ.get('PATH', '')}",
@@ -55,23 +56,23 @@
 
 
 class Child:
-    """A child process; one that was started anew goes on counting."""
+    """A child process; its processor seconds add up over restarts."""
 
     def __init__(self, role: str, name: str, command: list[str], folder: Path) -> None:
         self.role = role
         self.name = name
         self.command = command
-        self.errors = folder / f"{name}.log"
-        self.before_s = 0.0
-        self.last = Usage(0.0, 0.0, 0)
+        self.log_path = folder / f"{name}.log"
+        self.earlier_cpu_s = 0.0
+        self.last_usage = Usage(0.0, 0.0, 0)
         self.process: subprocess.Popen | None = None
 
     def start(self) -> None:
         """Start the process."""
-        self.before_s += self.last.cpu_s
-        self.last = Usage(0.0, 0.0, 0)
+        self.earlier_cpu_s += self.last_usage.cpu_s
+        self.last_usage = Usage(0.0, 0.0, 0)
         errors: IO[bytes]
-        with self.errors.open("ab") as errors:
+        with self.log_path.open("ab") as errors:
             self.process = subprocess.Popen(
                 self.command,
                 cwd=ROOT,
@@ -84,43 +85,43 @@
 
     @property
     def running(self) -> bool:
-        """Whether the process runs."""
+        """Whether the process is running."""
         return self.process is not None and self.process.poll() is None
 
     def kill(self) -> None:
-        """End the process without notice."""
+        """Kill the process (SIGKILL) and wait for its end."""
         if self.process is not None and self.running:
             self.process.kill()
             self.process.wait()
 
     def terminate(self) -> None:
-        """Ask the process to end."""
+        """Send SIGTERM to the process."""
         if self.process is not None and self.running:
             self.process.terminate()
 
-    def look(self) -> Usage:
-        """Read what the process uses now; what it used last, once it has ended."""
+    def sample_usage(self) -> Usage:
+        """Return the process's current usage, or the last known usage once it has ended."""
         if self.process is not None and self.running:
             try:
-                self.last = read_usage(self.process.pid)
+                self.last_usage = read_usage(self.process.pid)
             except (OSError, ValueError, IndexError):
-                pass  # it ended just now
-        return self.last._replace(cpu_s=self.before_s + self.last.cpu_s)
+                pass  # the process ended in the meantime
+        return self.last_usage._replace(cpu_s=self.earlier_cpu_s + self.last_usage.cpu_s)
 
-    def last_words(self) -> str:
-        """Return the last line that the process wrote."""
+    def last_log_line(self) -> str:
+        """Return the last line of the process's output; empty if there is none."""
         try:
-            lines = self.errors.read_text(errors="replace").strip().splitlines()
+            lines = self.log_path.read_text(errors="replace").strip().splitlines()
         except OSError:
             return ""
         return lines[-1] if lines else ""
 
     def error_lines(self) -> int:
-        """Count the lines at error level that the process wrote."""
+        """Return the number of lines at error level in the process's output."""
         try:
             return sum(
                 1
-                for line in self.errors.read_text(errors="replace").splitlines()
+                for line in self.log_path.read_text(errors="replace").splitlines()
                 if line.startswith("ERROR")
             )
         except OSError:
@@ -128,11 +129,13 @@
 
 
 def read_usage(pid: int) -> Usage:
-    """Read a process's usage; raises OSError when it is gone."""
+    """Read a process's usage; raise OSError if the process has ended."""
     stat = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
     sockets = sum(1 for entry in os.scandir(f"/proc/{pid}/fd"))
-    return Usage((int(stat[11]) + int(stat[12])) / TICKS, pages * PAGE / 1e6, sockets)
+    return Usage(
+        (int(stat[11]) + int(stat[12])) / CLOCK_TICKS_PER_S, pages * PAGE_BYTES / 1e6, sockets
+    )
 
 
 def loopback_bytes() -> int:
@@ -144,16 +147,21 @@
     return 0
 
 
-def stand_in(role: str, name: str, plan: Plan, *more: str) -> Child:
-    """Return a stand-in's process."""
+def stand_in_child(role: str, name: str, plan: Plan, *args: str) -> Child:
+    """Return the child process of a stand-in; `args` follow the role and the plan."""
     return Child(
         role,
         name,
-        [sys.executable, "-m", "tools.scale.child", role, str(plan.path), *more],
+        [sys.executable, "-m", "tools.scale.child", role, str(plan.path), *args],
         Path(plan.folder),
     )
 
 
-def controller(row: Controller, plan: Plan) -> Child:
-    """Return a controller's process."""
-    return Child("controller", row.label, [*controller_command(), row.settings], Path(plan.folder))
+def controller_child(controller: Controller, plan: Plan) -> Child:
+    """Return the child process of a controller."""
+    return Child(
+        "controller",
+        controller.label,
+        [*controller_command(), controller.settings],
+        Path(plan.folder),
+    )
--- a/tools/scale/report.py
+++ b/tools/scale/report.py
@@ -1,22 +1,24 @@
-"""What a run measured, for a person and as JSON."""
+"""The report of a run, as text and as JSON."""
 
 from pathlib import Path
 from typing import Any
 
 import msgspec
 
-from tools.scale.histograms import merged, of_seconds, percentiles
+from tools.scale.histograms import from_seconds, merged, percentiles
 from tools.scale.jobs import Kind
 from tools.scale.ledger import Breach, Ledger, all_events
 from tools.scale.runner import Run, Sample, read_summary
 
-# Seconds over which the busiest span of starts is looked for.
-BUSY_S = 10.0
+# Length in seconds of the span for the highest rate of starts.
+BUSY_SPAN_S = 10.0
 
 
 class Role(msgspec.Struct, frozen=True):
-    """What the processes of a role used while the load lasted: cores (mean of all, busiest second
-    of one), MB and sockets (most of one), how many processes.
+    """Usage of the processes of a role during the load.
+
+    `cores` is the mean of a process; `cores_peak`, `memory_mb` and `sockets` are the maximum of
+    any process, `cores_peak` between two samples (one second).
     """
 
     processes: int
@@ -27,7 +29,7 @@
 
 
 class Report(msgspec.Struct, frozen=True):
-    """All that a run measured."""
+    """All measurements of a run."""
 
     fraction: float
     controllers: int
@@ -62,16 +64,16 @@
 
 
 def role_usage(run: Run, role: str) -> Role:
-    """Return what the processes of a role used."""
+    """Return the usage of the processes of a role; zeros with fewer than two samples."""
     names = [child.name for child in run.children if child.role == role]
     samples = run.samples
     if len(samples) < 2:
         return Role(len(names), 0.0, 0.0, 0.0, 0)
-    span = samples[-1].at - samples[0].at
-    spent = sum(samples[-1].usage[name][0] - samples[0].usage[name][0] for name in names)
+    elapsed_s = samples[-1].at - samples[0].at
+    cpu_s = sum(samples[-1].usage[name][0] - samples[0].usage[name][0] for name in names)
     return Role(
         len(names),
-        spent / span / len(names),
+        cpu_s / elapsed_s / len(names),
         max(peak_cores(samples, name) for name in names),
         max(sample.usage[name][1] for sample in samples for name in names),
         max(sample.usage[name][2] for sample in samples for name in names),
@@ -79,18 +81,18 @@
 
 
 def peak_cores(samples: list[Sample], name: str) -> float:
-    """Return the cores of a process in its busiest second."""
+    """Return the highest usage of a process between two samples, in cores."""
     return max(
-        (later.usage[name][0] - sooner.usage[name][0]) / (later.at - sooner.at)
-        for sooner, later in zip(samples, samples[1:], strict=False)
+        (later.usage[name][0] - earlier.usage[name][0]) / (later.at - earlier.at)
+        for earlier, later in zip(samples, samples[1:], strict=False)
     )
 
 
 def make_report(run: Run, complete: bool) -> Report:
-    """Check the ledger and put together what was measured."""
+    """Check the events against the rules and build the report."""
     ledger = Ledger(run.config)
-    ledger.take(all_events(run.folder))
-    ledger.close(run.ended)
+    ledger.apply_events(all_events(run.folder))
+    ledger.close(run.ended_at)
     state = read_summary(run.folder, "state")
     users = read_summary(run.folder, "users")
     hollow = [read_summary(run.folder, child.name) for child in run.hollow]
@@ -105,7 +107,7 @@
         workers=max((sample.workers for sample in run.samples), default=0),
         most_running=max((sample.running for sample in run.samples), default=0),
         starts=starts,
-        starts_busiest=ledger.busiest(BUSY_S),
+        starts_busiest=ledger.peak_start_rate(BUSY_SPAN_S),
         accepted=users.get("counts", {}).get("accepted", 0),
         changes=store.get("changes", 0),
         changes_a_start=store.get("changes", 0) / max(1, starts),
@@ -121,7 +123,7 @@
             "keys": state.get("keys", 0),
             "largest_value": state.get("largest_value", 0),
             "requests": sum(
-                row.get("requests", 0) for row in state.get("controllers", {}).values()
+                counts.get("requests", 0) for counts in state.get("controllers", {}).values()
             ),
             "bytes": state_bytes(state),
         },
@@ -130,12 +132,13 @@
             for role in ("controller", "hollow", "state", "cloud", "users")
         },
         bytes_a_worker=worker_bytes(hollow) / max(1.0, seconds) / max(1, mean_workers(run)),
-        loopback_bytes=carried(run),
+        loopback_bytes=loopback_rate(run),
         peers_bytes=max(
-            0.0, carried(run) - (state_bytes(state) + worker_bytes(hollow)) / max(1.0, seconds)
+            0.0,
+            loopback_rate(run) - (state_bytes(state) + worker_bytes(hollow)) / max(1.0, seconds),
         ),
-        times=times(ledger, users, hollow),
-        large_gang_s=large_gang(run, ledger),
+        times=time_percentiles(ledger, users, hollow),
+        large_gang_s=large_gang_wait(run, ledger),
         answers=users.get("counts", {}),
         unfinished=users.get("unfinished", 0),
         ends={
@@ -146,36 +149,36 @@
         rules={rule: ledger.counts[rule] for rule in RULES},
         breaches=ledger.breaches,
         controller_errors=sum(child.error_lines() for child in run.controllers),
-        most_processes=run.most_processes,
-        most_memory_mb=run.most_memory_mb,
+        most_processes=run.max_processes,
+        most_memory_mb=run.max_memory_mb,
     )
 
 
 def mean_workers(run: Run) -> float:
-    """Return how many workers there were on average."""
+    """Return the mean number of workers."""
     return sum(sample.workers for sample in run.samples) / max(1, len(run.samples))
 
 
 def worker_bytes(hollow: list[dict[str, Any]]) -> int:
-    """Return the bytes of bodies of all reports, answers and direct orders."""
-    counts = [row.get("counts", {}) for row in hollow]
+    """Return the bytes of the bodies of all heartbeats, their answers and direct orders."""
+    counters = [summary.get("counts", {}) for summary in hollow]
     return sum(
-        row.get(name, 0)
-        for row in counts
+        counts.get(name, 0)
+        for counts in counters
         for name in ("report_bytes", "answer_bytes", "bytes_in", "bytes_out")
     )
 
 
 def state_bytes(state: dict[str, Any]) -> int:
-    """Return the bytes that the state service took and gave."""
+    """Return the bytes that the state service received and sent."""
     return sum(
-        row.get("bytes_in", 0) + row.get("bytes_out", 0)
-        for row in state.get("controllers", {}).values()
+        counts.get("bytes_in", 0) + counts.get("bytes_out", 0)
+        for counts in state.get("controllers", {}).values()
     )
 
 
-def carried(run: Run) -> float:
-    """Return the bytes a second that the loopback interface carried."""
+def loopback_rate(run: Run) -> float:
+    """Return the mean bytes per second on the loopback interface."""
     samples = run.samples
     if len(samples) < 2:
         return 0.0
@@ -184,17 +187,17 @@
     )
 
 
-def times(
+def time_percentiles(
     ledger: Ledger, users: dict[str, Any], hollow: list[dict[str, Any]]
 ) -> dict[str, dict[str, float]]:
-    """Return the percentiles of all times, in seconds."""
-    found = {
+    """Return the percentiles of each kind of time, in seconds."""
+    percentiles_by_name = {
         name: percentiles(merged([users[f"{name}_times"]]))
         for name in ("submission", "cancellation", "query")
         if f"{name}_times" in users
     }
-    found["report"] = percentiles(
-        merged(row["report_times"] for row in hollow if "report_times" in row)
+    percentiles_by_name["report"] = percentiles(
+        merged(summary["report_times"] for summary in hollow if "report_times" in summary)
     )
     for name, kind, whole in (
         ("urgent start", Kind.URGENT, True),
@@ -202,16 +205,16 @@
         ("array's first start", Kind.ARRAY, False),
         ("service start", Kind.SERVICE, True),
     ):
-        found[name] = percentiles(of_seconds(ledger.waits(kind, whole)))
-    return found
+        percentiles_by_name[name] = percentiles(from_seconds(ledger.wait_times(kind, whole)))
+    return percentiles_by_name
 
 
-def large_gang(run: Run, ledger: Ledger) -> float | None:
-    """Return how long the largest gang waited for its last task (s); None if it never began."""
+def large_gang_wait(run: Run, ledger: Ledger) -> float | None:
+    """Return the wait of the large gang until its last task started (s); None if it never did."""
     tasks = run.config.traffic.large_gang_tasks
-    for job_id, begun in ledger.begun.items():
-        if job_id.endswith("999999") and len(begun) >= tasks > 0:
-            return sorted(begun)[tasks - 1] - ledger.asked[job_id]
+    for job_id, start_times in ledger.start_times.items():
+        if job_id.endswith("999999") and len(start_times) >= tasks > 0:
+            return sorted(start_times)[tasks - 1] - ledger.submitted_at[job_id]
     return None
 
 
@@ -221,36 +224,38 @@
     path.write_bytes(msgspec.json.format(msgspec.json.encode(report), indent=1) + b"\n")
 
 
-def lines(report: Report) -> list[str]:
-    """Return a report for a person."""
-    rows = [
+def report_lines(report: Report) -> list[str]:
+    """Return a report as lines of text."""
+    output = [
         f"fraction {report.fraction:g}, {report.controllers} controllers, {report.seconds:.0f} s"
-        f"{'' if report.complete else ' (not complete)'}: {report.workers} workers, "
-        f"{report.most_running} tasks at most, {report.starts} starts, "
-        f"{report.starts_busiest:.0f}/s in the busiest {BUSY_S:g} s",
-        f"changes {report.changes}, {report.changes_a_start:.2f} a start: "
+        f"{'' if report.complete else ' (incomplete)'}: {report.workers} workers, "
+        f"at most {report.most_running} running tasks, {report.starts} starts, "
+        f"{report.starts_busiest:.0f}/s in the busiest {BUSY_SPAN_S:g} s",
+        f"changes {report.changes}, {report.changes_a_start:.2f} per start: "
         f"{report.changes_by_kind}",
         f"state service: {report.state}",
     ]
     for role, used in report.roles.items():
-        rows.append(
-            f"{role} ×{used.processes}: {used.cores:.2f} cores each, busiest "
+        output.append(
+            f"{role} ×{used.processes}: {used.cores:.2f} cores each, peak "
             f"{used.cores_peak:.2f}; {used.memory_mb:.0f} MB; {used.sockets} sockets"
         )
-    rows.append(
-        f"a worker: {report.bytes_a_worker:.0f} bytes/s; peers "
-        f"{report.peers_bytes / 1e6:.2f} MB/s of {report.loopback_bytes / 1e6:.2f}"
+    output.append(
+        f"per worker: {report.bytes_a_worker:.0f} bytes/s; peers' share of loopback MB/s: "
+        f"{report.peers_bytes / 1e6:.2f} of {report.loopback_bytes / 1e6:.2f}"
     )
-    for name, found in report.times.items():
-        parts = " ".join(f"{key} {value:.3g}" for key, value in found.items())
-        rows.append(f"{name}: {parts}")
+    for name, values in report.times.items():
+        parts = " ".join(f"{key} {value:.3g}" for key, value in values.items())
+        output.append(f"{name}: {parts}")
     if report.large_gang_s is not None:
-        rows.append(f"the largest gang began after {report.large_gang_s:.1f} s")
-    rows.append(f"answers: {report.answers}; unfinished {report.unfinished}")
-    rows.append(f"tasks ended: {report.ends}")
-    rows.append(f"rules: {report.rules}; controllers' error lines {report.controller_errors}")
-    rows += [
+        output.append(f"the large gang started after {report.large_gang_s:.1f} s")
+    output.append(f"answers to users: {report.answers}; unfinished jobs: {report.unfinished}")
+    output.append(f"tasks ended: {report.ends}")
+    output.append(
+        f"breaches by rule: {report.rules}; error lines of controllers: {report.controller_errors}"
+    )
+    output += [
         f"BROKEN {breach.rule} at {breach.at:.2f}: {breach.text}" for breach in report.breaches
     ]
-    rows.append(f"at most {report.most_processes} processes, {report.most_memory_mb:.0f} MB")
-    return rows
+    output.append(f"at most {report.most_processes} processes, {report.most_memory_mb:.0f} MB")
+    return output
--- a/tools/scale/worker.py
+++ b/tools/scale/worker.py
@@ -1,4 +1,4 @@
-"""One hollow worker by PROTOCOL, without I/O: lease, sessions, token, orders and tasks."""
+"""One hollow worker without I/O: lease, agent epoch, fencing token, orders and tasks."""
 
 import math
 from collections.abc import Callable
@@ -7,26 +7,26 @@
 from tools.scale.config import RunConfig
 from tools.scale.jobs import Job, Kind, parse_job, task_cpus
 
-# States in which a task takes room on its machine.
-LIVE = ("pulling", "waiting", "running")
-# States in which a task is on its machine: from when it has its image until it exits.
-PLACED = ("waiting", "running")
+# States in which a task uses CPUs of its machine.
+ACTIVE_STATES = ("pulling", "waiting", "running")
+# States in which a task counts as on its machine: from the end of the image fetch to its exit.
+PLACED_STATES = ("waiting", "running")
 
 
 class TaskKey(NamedTuple):
-    """A task and an attempt at it."""
+    """The id of a task and the number of its attempt."""
 
     task: str
     attempt: int
 
     @property
     def job_id(self) -> str:
-        """The id of its job."""
+        """The id of the task's job."""
         return self.task.partition("/")[0]
 
 
 class Task:
-    """A task on a worker: its state, and when that ends (s)."""
+    """A task on a worker: its state, the cause of its exit, and when the state ends (s)."""
 
     __slots__ = ("job", "state", "cause", "until")
 
@@ -37,12 +37,13 @@
         self.until = until
 
 
-# Called with what happened ("on", "run", "off"), the task, the worker and a cause.
+# Called with the event, the task, the worker and a cause. Events: "on" (image fetched), "run"
+# (gang started), "off" (task left the machine).
 Observer = Callable[[str, TaskKey, "HollowWorker", str], None]
 
 
 class HollowWorker:
-    """A machine's worker; whoever drives it calls `advance` before anything else."""
+    """A machine's worker; the caller must call `advance` before any other method."""
 
     def __init__(
         self, config: RunConfig, name: str, address: str, zone: str, now: float, observe: Observer
@@ -55,7 +56,7 @@
         self.agent_epoch = 1
         self.sequence = 0
         self.fencing_token = 0
-        self.lease_from = now
+        self.lease_renewed_at = now
         self.tasks: dict[TaskKey, Task] = {}
         self.images: set[str] = set()
         self.dirty = False
@@ -63,43 +64,43 @@
     # --- time ---
 
     def advance(self, now: float) -> None:
-        """Bring the lease and all tasks up to date."""
-        if now - self.lease_from > self.config.times.lease_s:
+        """Update the lease and all tasks to the current time."""
+        if now - self.lease_renewed_at > self.config.times.lease_s:
             self.end_session(now)
         for key, task in list(self.tasks.items()):
             if task.state == "pulling" and task.until <= now:
-                self._image_is_there(key, task, now)
+                self._image_fetched(key, task, now)
             if task.state == "waiting" and task.until <= now:
                 self.exit(key, "incomplete")
             elif task.state == "running" and task.until <= now and task.job.kind != Kind.GANG:
                 self.exit(key, "done")
 
     def end_session(self, now: float) -> None:
-        """The lease is over: all tasks are killed and forgotten."""
+        """End the session of an expired lease: kill all tasks, begin a new agent epoch."""
         self.clear("lease")
         self.agent_epoch += 1
-        self.lease_from = now
+        self.lease_renewed_at = now
         self.dirty = True
 
     def clear(self, cause: str) -> None:
-        """Drop all tasks."""
+        """Drop all tasks; those on the machine are observed as "off" with the cause."""
         for key, task in list(self.tasks.items()):
-            if task.state in PLACED:
+            if task.state in PLACED_STATES:
                 self.observe("off", key, self, cause)
         self.tasks.clear()
 
-    def _image_is_there(self, key: TaskKey, task: Task, now: float) -> None:
+    def _image_fetched(self, key: TaskKey, task: Task, now: float) -> None:
         self.images.add(f"image-{task.job.team % 8}")
         self.dirty = True
-        if task.job.joint:
+        if task.job.coscheduled:
             task.state, task.until = "waiting", now + self.config.times.gang_wait_s
         else:
-            lasts_s = math.inf if task.job.kind == Kind.SERVICE else task.job.run_s
-            task.state, task.until = "running", now + lasts_s
+            run_s = math.inf if task.job.kind == Kind.SERVICE else task.job.run_s
+            task.state, task.until = "running", now + run_s
         self.observe("on", key, self, "")
 
-    def begin_gang(self, key: TaskKey) -> None:
-        """All tasks of the gang are there."""
+    def start_gang_task(self, key: TaskKey) -> None:
+        """Run a gang's task, since all tasks of the gang are ready."""
         task = self.tasks.get(key)
         if task is not None and task.state == "waiting":
             task.state = "running"
@@ -107,11 +108,11 @@
             self.observe("run", key, self, "")
 
     def exit(self, key: TaskKey, cause: str) -> None:
-        """A task ends."""
+        """End a task with a cause, if it has not ended."""
         task = self.tasks.get(key)
-        if task is None or task.state not in LIVE:
+        if task is None or task.state not in ACTIVE_STATES:
             return
-        placed = task.state in PLACED
+        placed = task.state in PLACED_STATES
         task.state, task.cause = "ended", cause
         self.dirty = True
         if placed:
@@ -120,7 +121,7 @@
     # --- messages ---
 
     def report(self) -> dict[str, Any]:
-        """Return the next report."""
+        """Return the body of the next heartbeat."""
         self.sequence += 1
         self.dirty = False
         pieces = []
@@ -142,8 +143,13 @@
             "pieces": pieces,
         }
 
-    def answered(self, sent: float, agent_epoch: int, body: dict[str, Any], now: float) -> None:
-        """Take a 200 to the report that was sent at a time; a lower token drops it."""
+    def apply_answer(
+        self, sent_at: float, agent_epoch: int, body: dict[str, Any], now: float
+    ) -> None:
+        """Apply a 200 answer to the heartbeat sent at `sent_at`.
+
+        An answer with a lower token or of another agent epoch is dropped.
+        """
         fencing_token = body.get("baton")
         if (
             agent_epoch != self.agent_epoch
@@ -151,20 +157,20 @@
             or fencing_token < self.fencing_token
         ):
             return
-        self.lease_from = max(self.lease_from, sent)
-        self.obey(fencing_token, body.get("orders") or [], now)
+        self.lease_renewed_at = max(self.lease_renewed_at, sent_at)
+        self.apply_orders(fencing_token, body.get("orders") or [], now)
 
-    def direct(self, body: dict[str, Any], now: float) -> int:
-        """Take direct orders; return the status to answer with."""
+    def apply_direct_orders(self, body: dict[str, Any], now: float) -> int:
+        """Apply direct orders; return the HTTP status: 200, 400 (malformed) or 409 (stale)."""
         if not isinstance(body.get("baton"), int) or not isinstance(body.get("tenure"), int):
             return 400
         if body["baton"] < self.fencing_token or body["tenure"] != self.agent_epoch:
             return 409
-        self.obey(body["baton"], body.get("orders") or [], now)
+        self.apply_orders(body["baton"], body.get("orders") or [], now)
         return 200
 
-    def obey(self, fencing_token: int, orders: list[dict[str, Any]], now: float) -> None:
-        """Execute commands in order."""
+    def apply_orders(self, fencing_token: int, orders: list[dict[str, Any]], now: float) -> None:
+        """Adopt a higher fencing token and execute the orders in sequence."""
         if fencing_token > self.fencing_token:
             self.fencing_token = fencing_token
             self.dirty = True
@@ -175,8 +181,8 @@
             elif order["verb"] == "halt":
                 self.exit(key, "halted")
             elif order["verb"] == "forget":
-                known = self.tasks.get(key)
-                if known is not None and known.state == "ended":
+                task = self.tasks.get(key)
+                if task is not None and task.state == "ended":
                     del self.tasks[key]
 
     def _launch(self, key: TaskKey, now: float) -> None:
@@ -184,20 +190,22 @@
             return
         job = parse_job(key.job_id)
         self.dirty = True
-        fetch = 0.0 if f"image-{job.team % 8}" in self.images else self.config.traffic.slow_fetch_s
-        task = self.tasks[key] = Task(job, "pulling", now + fetch)
+        fetch_s = (
+            0.0 if f"image-{job.team % 8}" in self.images else self.config.traffic.slow_fetch_s
+        )
+        task = self.tasks[key] = Task(job, "pulling", now + fetch_s)
         refusal = self._refusal(key, job)
         if refusal is not None:
             task.state, task.cause = "ended", refusal
 
     def _refusal(self, key: TaskKey, job: Job) -> str | None:
-        """Return why a start is refused, if it is."""
-        used = 0.0
+        """Return the reason to refuse a launch; None to accept it."""
+        used_cpus = 0.0
         for other, task in self.tasks.items():
-            if other != key and task.state in LIVE:
+            if other != key and task.state in ACTIVE_STATES:
                 if other.task == key.task:
                     return "in_use"
-                used += task_cpus(self.config, task.job)
-        if used + task_cpus(self.config, job) > self.config.machines.cpus + 1e-6:
+                used_cpus += task_cpus(self.config, task.job)
+        if used_cpus + task_cpus(self.config, job) > self.config.machines.cpus + 1e-6:
             return "no_room"
         return None
