--- a/tests/test_log_tools.py
+++ b/tests/test_log_tools.py
@@ -4,7 +4,7 @@
 from click.testing import CliRunner
 
 from tools import paper, spread
-from tools.recovery import events
+from tools.recovery import parse_events
 
 LOG = """\
   1.000 h0 INFO oakmux.core event=worker_registered machine=m1 manager=h0 agent_epoch=1
@@ -35,8 +35,8 @@
 
 
 def test_gpu_time_and_preemptions_are_counted_from_a_log():
-    load = spread.Load(events(LOG.splitlines()), [4.0, 15.0])
-    assert load.spent == {
+    load = spread.Load(parse_events(LOG.splitlines()), [4.0, 15.0])
+    assert load.gpu_seconds == {
         ("x", "fetch"): 3.0,
         ("x", "ended: stopped"): 4.5,
         ("x", "ran"): 9.0,
@@ -44,8 +44,8 @@
         ("y", "ran"): 40.0,
     }
     assert load.waits == {("x", 0): [0.5, 1.5], ("y", 2): [5.0, 5.0]}
-    assert load.gave_way == {("x", "y"): 1}
-    assert [(at, dict(used)) for at, _, used in load.rows] == [(4.0, {2: 1}), (15.0, {2: 2})]
+    assert load.preemptions == {("x", "y"): 1}
+    assert [(at, dict(used)) for at, _, used in load.snapshots] == [(4.0, {2: 1}), (15.0, {2: 2})]
 
 
 def test_starts_in_time_are_reported_by_class_team_and_largest_job():
@@ -62,8 +62,8 @@
         for name in ("task_bound", "task_running")
     ]
     late.append("600.000 h0 INFO oakmux.core event=roles_held roles=none")
-    load = spread.Load(events(LOG.splitlines() + late), [])
-    assert list(load.served()) == [
+    load = spread.Load(parse_events(LOG.splitlines() + late), [])
+    assert list(load.starts_by_group()) == [
         ("class x", 1, 1, 2.5),
         ("class y", 1, 1, 7.0),
         ("class z", 3, 1, 399.0),
@@ -76,11 +76,11 @@
 
 
 def test_the_ideal_schedule_starts_a_gang_once_all_its_capacity_is_free_and_ignores_fetches():
-    day = paper.Day(events(LOG.splitlines()))
+    day = paper.Day(parse_events(LOG.splitlines()))
     capacity = day.capacity(2.0)
     # Four GPUs: the array takes two at 2 s, for 5 and 4 s; the gang needs all four.
-    assert paper.replay(day.work(False), capacity) == {"x": [0.0, 0.0], "y": [2.0, 2.0]}
-    with_fetches = paper.replay(day.work(True), capacity)
+    assert paper.replay(day.job_runs(False), capacity) == {"x": [0.0, 0.0], "y": [2.0, 2.0]}
+    with_fetches = paper.replay(day.job_runs(True), capacity)
     assert with_fetches["y"] == [6.0, 6.0]
     assert sorted(with_fetches["x"]) == [0.0, 2.0]
 
--- a/tools/paper.py
+++ b/tools/paper.py
@@ -16,10 +16,10 @@
 
 import click
 
-from tools.recovery import Event, events, histogram, spread
+from tools.recovery import Event, histogram, parse_events, percentiles_text
 
 
-class Work(NamedTuple):
+class JobRun(NamedTuple):
     """A job as the log tells it: seconds that each task fetched and ran."""
 
     name: str
@@ -27,7 +27,7 @@
     priority: int
     kind: str
     gpus: float
-    at: float
+    accepted_at: float
     tasks: list[tuple[float, float]]
 
 
@@ -36,150 +36,156 @@
 
     def __init__(self, log: Iterable[Event]) -> None:
         self.jobs: dict[str, dict[str, str]] = {}
-        self.accepted: dict[str, float] = {}
-        self.bound: dict[str, float] = {}
-        self.fetched: dict[str, float] = {}
-        self.began: dict[str, float] = {}
-        self.first: dict[str, float] = {}
-        self.ran: dict[str, float] = {}
-        self.up: dict[str, float] = {}
-        self.gone: dict[str, float] = {}
+        self.accepted_at: dict[str, float] = {}
+        self.bound_at: dict[str, float] = {}
+        self.fetch_s: dict[str, float] = {}
+        self.running_since: dict[str, float] = {}
+        self.first_running_at: dict[str, float] = {}
+        self.run_s: dict[str, float] = {}
+        self.registered_at: dict[str, float] = {}
+        self.removed_at: dict[str, float] = {}
         self.end = 0.0
         for event in log:
-            self.take(event)
+            self.add_event(event)
 
-    def take(self, event: Event) -> None:
+    def add_event(self, event: Event) -> None:
         """Take one event."""
         at, fields = event.at, event.fields
         task = fields.get("task", "")
         self.end = max(self.end, at)
         if event.name == "job_accepted":
             self.jobs[fields["job"]] = fields
-            self.accepted.setdefault(fields["job"], at)
+            self.accepted_at.setdefault(fields["job"], at)
         elif event.name == "task_bound":
-            self.bound[task] = at
+            self.bound_at[task] = at
         elif event.name == "task_running":
-            self.fetched[task] = at - self.bound.get(task, at)
-            self.began[task] = at
-            self.first.setdefault(task, at)
-        elif event.name == "task_unbound" and task in self.began:
-            began = self.began.pop(task)
+            self.fetch_s[task] = at - self.bound_at.get(task, at)
+            self.running_since[task] = at
+            self.first_running_at.setdefault(task, at)
+        elif event.name == "task_unbound" and task in self.running_since:
+            started_at = self.running_since.pop(task)
             service = self.jobs.get(task.partition("/")[0], {}).get("kind") == "service"
             if fields["why"] == "done" or service:
-                self.ran[task] = at - (self.first[task] if service else began)
+                self.run_s[task] = at - (self.first_running_at[task] if service else started_at)
         elif event.name == "worker_registered":
-            self.up.setdefault(fields["machine"], at)
+            self.registered_at.setdefault(fields["machine"], at)
         elif event.name in ("instance_terminated", "instances_returned"):
             for name in (fields.get("machine") or fields.get("machines", "")).split(","):
-                self.gone.setdefault(name, at)
+                self.removed_at.setdefault(name, at)
 
-    def work(self, fetches: bool) -> list[Work]:
+    def job_runs(self, with_fetches: bool) -> list[JobRun]:
         """Return the jobs whose tasks ran, with their fetches or without."""
-        rows = []
+        runs = []
         for name, fields in self.jobs.items():
             tasks = []
             for index in range(int(fields["tasks"])):
                 task = f"{name}/{index}"
-                if task in self.first:
-                    ran = self.ran.get(task, self.end - self.first[task])
-                    tasks.append((self.fetched[task] if fetches else 0.0, ran))
+                if task in self.first_running_at:
+                    run_s = self.run_s.get(task, self.end - self.first_running_at[task])
+                    tasks.append((self.fetch_s[task] if with_fetches else 0.0, run_s))
             if tasks:
-                rows.append(
-                    Work(
+                runs.append(
+                    JobRun(
                         name,
                         fields["job_class"],
                         int(fields.get("priority", 1)),
                         fields["kind"],
                         float(fields.get("gpus", 1)),
-                        self.accepted[name],
+                        self.accepted_at[name],
                         tasks,
                     )
                 )
-        return rows
+        return runs
 
     def capacity(self, gpus: float) -> list[tuple[float, float]]:
         """Return the changes of the GPUs that are up: [(time, change)]."""
-        rows = []
-        for name, at in self.up.items():
-            rows += [(at, gpus), (self.gone.get(name, self.end + 1e6), -gpus)]
-        return sorted(rows)
+        changes = []
+        for name, at in self.registered_at.items():
+            changes += [(at, gpus), (self.removed_at.get(name, self.end + 1e6), -gpus)]
+        return sorted(changes)
 
 
-def replay(work: list[Work], capacity: list[tuple[float, float]]) -> dict[str, list[float]]:
+def replay(job_runs: list[JobRun], capacity: list[tuple[float, float]]) -> dict[str, list[float]]:
     """Place all tasks; return the waits from acceptance to running, by class."""
     waits: dict[str, list[float]] = defaultdict(list)
     # (time, order, GPUs that come free or go, job that arrives)
-    due: list[tuple[float, int, float, Work | None]] = [
+    timeline: list[tuple[float, int, float, JobRun | None]] = [
         (at, number, change, None) for number, (at, change) in enumerate(capacity)
     ]
-    due += [(job.at, len(due) + number, 0.0, job) for number, job in enumerate(work)]
-    heapq.heapify(due)
-    serial, free = len(due), 0.0
-    waiting: list[tuple[int, float, int, Work, list[tuple[float, float]]]] = []
-    while due:
-        at, _, change, arrived = heapq.heappop(due)
-        free += change
-        if arrived is not None:
-            size = arrived.gpus * sum(ran for _, ran in arrived.tasks)
+    timeline += [
+        (job.accepted_at, len(timeline) + number, 0.0, job) for number, job in enumerate(job_runs)
+    ]
+    heapq.heapify(timeline)
+    serial, free_gpus = len(timeline), 0.0
+    waiting: list[tuple[int, float, int, JobRun, list[tuple[float, float]]]] = []
+    while timeline:
+        at, _, change, arrival = heapq.heappop(timeline)
+        free_gpus += change
+        if arrival is not None:
+            total_work = arrival.gpus * sum(run_s for _, run_s in arrival.tasks)
             serial += 1
             heapq.heappush(
-                waiting, (-arrived.priority, size, serial, arrived, list(arrived.tasks))
+                waiting, (-arrival.priority, total_work, serial, arrival, list(arrival.tasks))
             )
-        if due and due[0][0] == at:
+        if timeline and timeline[0][0] == at:
             continue
-        kept = []
-        while waiting and free > 0:
-            row = heapq.heappop(waiting)
-            job, left = row[3], row[4]
-            whole = job.kind == "gang"
-            need = job.gpus * (len(left) if whole else 1)
-            slowest = max(fetch for fetch, _ in left)
-            while left and need <= free:
-                for fetch, ran in left if whole else [left[-1]]:
-                    held = slowest if whole else fetch
-                    waits[job.job_class].append(at + held - job.at)
+        blocked = []
+        while waiting and free_gpus > 0:
+            entry = heapq.heappop(waiting)
+            job, unplaced = entry[3], entry[4]
+            is_gang = job.kind == "gang"
+            needed_gpus = job.gpus * (len(unplaced) if is_gang else 1)
+            slowest = max(fetch for fetch, _ in unplaced)
+            while unplaced and needed_gpus <= free_gpus:
+                for fetch, run_s in unplaced if is_gang else [unplaced[-1]]:
+                    fetch_wait = slowest if is_gang else fetch
+                    waits[job.job_class].append(at + fetch_wait - job.accepted_at)
                     serial += 1
-                    heapq.heappush(due, (at + held + ran, serial, job.gpus, None))
-                free -= need
-                if whole:
-                    left.clear()
+                    heapq.heappush(timeline, (at + fetch_wait + run_s, serial, job.gpus, None))
+                free_gpus -= needed_gpus
+                if is_gang:
+                    unplaced.clear()
                 else:
-                    left.pop()
-            if left:
-                kept.append(row)
-                if not whole:
+                    unplaced.pop()
+            if unplaced:
+                blocked.append(entry)
+                if not is_gang:
                     break  # the next of less priority would take what this one waits for
-        for row in kept:
-            heapq.heappush(waiting, row)
+        for entry in blocked:
+            heapq.heappush(waiting, entry)
     return waits
 
 
 def lines(day: Day, gpus: float, within: Iterable[float]) -> Iterator[str]:
     """Yield the table: as it was, with fetches only, without any."""
-    was: dict[str, list[float]] = defaultdict(list)
-    for task, at in day.first.items():
+    actual: dict[str, list[float]] = defaultdict(list)
+    for task, at in day.first_running_at.items():
         job = task.partition("/")[0]
         if job in day.jobs:
-            was[day.jobs[job]["job_class"]].append(at - day.accepted[job])
+            actual[day.jobs[job]["job_class"]].append(at - day.accepted_at[job])
     capacity = day.capacity(gpus)
-    found = {
-        "as it was": was,
-        "on paper, fetches": replay(day.work(True), capacity),
-        "on paper": replay(day.work(False), capacity),
+    waits_by_case = {
+        "as it was": actual,
+        "on paper, fetches": replay(day.job_runs(True), capacity),
+        "on paper": replay(day.job_runs(False), capacity),
     }
-    marks = list(within)
+    limits = list(within)
     yield (
         "class               what               tasks   to running p50 p90 max (s)   within "
-        + " ".join(f"{mark:g}" for mark in marks)
+        + " ".join(f"{limit:g}" for limit in limits)
         + " s"
     )
-    for job_class in sorted(was):
-        for what, waits in found.items():
-            row = waits.get(job_class, [])
+    for job_class in sorted(actual):
+        for case, waits in waits_by_case.items():
+            class_waits = waits.get(job_class, [])
             shares = " ".join(
-                f"{sum(wait <= mark for wait in row) / max(1, len(row)):.2f}" for mark in marks
+                f"{sum(wait <= limit for wait in class_waits) / max(1, len(class_waits)):.2f}"
+                for limit in limits
+            )
+            yield (
+                f"{job_class:18}  {case:17} {len(class_waits):6}   "
+                f"{percentiles_text(histogram(class_waits))}   {shares}"
             )
-            yield f"{job_class:18}  {what:17} {len(row):6}   {spread(histogram(row))}   {shares}"
 
 
 @click.command(help=__doc__)
@@ -195,9 +201,9 @@
 )
 def main(log: Path, gpus: float, within: tuple[float, ...]) -> None:
     """Print the table."""
-    with log.open(errors="replace") as rows:
-        day = Day(events(rows))
-    if not day.jobs or not day.up:
+    with log.open(errors="replace") as log_lines:
+        day = Day(parse_events(log_lines))
+    if not day.jobs or not day.registered_at:
         click.echo(f"{log}: no event of a controller at info", err=True)
         sys.exit(2)
     for line in lines(day, gpus, within):
--- a/tools/spread.py
+++ b/tools/spread.py
@@ -13,33 +13,33 @@
 import click
 
 from oakmux import constants
-from tools.recovery import Event, events, histogram, spread
+from tools.recovery import Event, histogram, parse_events, percentiles_text
 
-WON = ("done",)
+SUCCESS_REASONS = ("done",)
 
 
 class Load:
     """What the logs say of tasks and machines, gathered event by event."""
 
-    def __init__(self, log: Iterable[Event], moments: Iterable[float]) -> None:
+    def __init__(self, log: Iterable[Event], snapshot_times: Iterable[float]) -> None:
         self.jobs: dict[str, dict[str, str]] = {}
-        self.accepted: dict[str, float] = {}
-        self.bound: dict[str, float] = {}
-        self.running: dict[str, float] = {}
+        self.accepted_at: dict[str, float] = {}
+        self.bound_at: dict[str, float] = {}
+        self.running_since: dict[str, float] = {}
         self.waits: dict[tuple[str, int], list[float]] = defaultdict(list)
-        self.spent: dict[tuple[str, str], float] = defaultdict(float)
+        self.gpu_seconds: dict[tuple[str, str], float] = defaultdict(float)
         self.events: Counter[str] = Counter()
-        self.gave_way: Counter[tuple[str, str]] = Counter()
-        self.on: dict[str, set[str]] = defaultdict(set)
-        self.rows: list[tuple[float, Counter[str], Counter[int]]] = []
-        self.ran: dict[str, dict[str, float]] = defaultdict(dict)
-        self.cancelled: dict[str, float] = {}
-        self.last = 0.0
-        due = sorted(moments)
+        self.preemptions: Counter[tuple[str, str]] = Counter()
+        self.tasks_by_machine: dict[str, set[str]] = defaultdict(set)
+        self.snapshots: list[tuple[float, Counter[str], Counter[int]]] = []
+        self.first_running_at: dict[str, dict[str, float]] = defaultdict(dict)
+        self.cancelled_at: dict[str, float] = {}
+        self.last_event_at = 0.0
+        pending_times = sorted(snapshot_times)
         for event in log:
-            while due and event.at >= due[0]:
-                self.rows.append(self._look(due.pop(0)))
-            self.take(event)
+            while pending_times and event.at >= pending_times[0]:
+                self.snapshots.append(self._snapshot(pending_times.pop(0)))
+            self.add_event(event)
 
     def job_class(self, task: str) -> str:
         """Return the class of a task's job, or of a job."""
@@ -49,108 +49,125 @@
         """Return the GPUs that a task takes; 0 if the log does not tell."""
         return float(self.jobs.get(task.partition("/")[0], {}).get("gpus", 0))
 
-    def take(self, event: Event) -> None:
+    def add_event(self, event: Event) -> None:
         """Take one event."""
         at, fields = event.at, event.fields
-        self.last = at
+        self.last_event_at = at
         task = fields.get("task", "")
         if event.name == "job_accepted":
             self.jobs[fields["job"]] = fields
-            self.accepted[fields["job"]] = at
+            self.accepted_at[fields["job"]] = at
         elif event.name == "task_bound":
             job = task.partition("/")[0]
-            if task not in self.bound and job in self.accepted:
+            if task not in self.bound_at and job in self.accepted_at:
                 size = int(self.jobs[job]["tasks"]) if self.jobs[job]["kind"] == "gang" else 0
-                self.waits[self.job_class(task), size].append(at - self.accepted[job])
-            self.bound[task] = at
-            self.on[fields["machine"]].add(task)
+                self.waits[self.job_class(task), size].append(at - self.accepted_at[job])
+            self.bound_at[task] = at
+            self.tasks_by_machine[fields["machine"]].add(task)
         elif event.name == "job_cancelled":
-            self.cancelled.setdefault(fields["job"], at)
-        elif event.name == "task_running" and task in self.bound:
-            self.ran[task.partition("/")[0]].setdefault(task, at)
-            self.running[task] = at
-            self.spent[self.job_class(task), "fetch"] += self.gpus(task) * (at - self.bound[task])
+            self.cancelled_at.setdefault(fields["job"], at)
+        elif event.name == "task_running" and task in self.bound_at:
+            self.first_running_at[task.partition("/")[0]].setdefault(task, at)
+            self.running_since[task] = at
+            self.gpu_seconds[self.job_class(task), "fetch"] += self.gpus(task) * (
+                at - self.bound_at[task]
+            )
         elif event.name == "task_unbound":
-            self.on[fields["machine"]].discard(task)
-            began = self.running.pop(task, None)
-            if began is not None:
-                what = "ran" if fields["why"] in WON else f"ended: {fields['why']}"
-                self.spent[self.job_class(task), what] += self.gpus(task) * (at - began)
+            self.tasks_by_machine[fields["machine"]].discard(task)
+            started_at = self.running_since.pop(task, None)
+            if started_at is not None:
+                use = "ran" if fields["why"] in SUCCESS_REASONS else f"ended: {fields['why']}"
+                self.gpu_seconds[self.job_class(task), use] += self.gpus(task) * (at - started_at)
         elif event.name == "task_preempted":
-            self.gave_way[self.job_class(task), self.job_class(fields.get("by", ""))] += 1
+            self.preemptions[self.job_class(task), self.job_class(fields.get("by", ""))] += 1
         elif event.name in ("backfill_reservation", "services_moved", "yielded"):
             self.events[event.name] += 1
 
-    def _look(self, at: float) -> tuple[float, Counter[str], Counter[int]]:
+    def _snapshot(self, at: float) -> tuple[float, Counter[str], Counter[int]]:
         job_classes: Counter[str] = Counter()
         used: Counter[int] = Counter()
-        for tasks in self.on.values():
+        for tasks in self.tasks_by_machine.values():
             if tasks:
                 used[round(sum(map(self.gpus, tasks)))] += 1
                 for task in tasks:
                     job_classes[self.job_class(task)] += round(self.gpus(task))
         return at, job_classes, used
 
-    def began(self, job: str) -> float | None:
+    def start_delay(self, job: str) -> float | None:
         """Return after how many seconds a job began: an array with one task, else with all."""
-        fields, first = self.jobs[job], self.ran.get(job, {})
-        if len(first) < (1 if fields["kind"] == "array" else int(fields["tasks"])):
+        fields, running_at = self.jobs[job], self.first_running_at.get(job, {})
+        if len(running_at) < (1 if fields["kind"] == "array" else int(fields["tasks"])):
             return None
-        return (min if fields["kind"] == "array" else max)(first.values()) - self.accepted[job]
+        return (min if fields["kind"] == "array" else max)(running_at.values()) - self.accepted_at[
+            job
+        ]
 
-    def served(self) -> Iterator[tuple[str, int, int, float]]:
+    def starts_by_group(self) -> Iterator[tuple[str, int, int, float]]:
         """Yield (group, jobs, of these begun in time, longest wait in s) of classes, teams, and
         the largest jobs of each class, but for what was cancelled or came too late to judge.
         """
         groups: dict[str, list[str]] = defaultdict(list)
-        due = {job: self.accepted[job] + constants.START_LIMIT_S for job in self.jobs}
-        jobs = [job for job in self.jobs if self.cancelled.get(job, self.last) >= due[job]]
-        most: dict[str, int] = defaultdict(int)
+        deadlines = {job: self.accepted_at[job] + constants.START_LIMIT_S for job in self.jobs}
+        jobs = [
+            job
+            for job in self.jobs
+            if self.cancelled_at.get(job, self.last_event_at) >= deadlines[job]
+        ]
+        largest: dict[str, int] = defaultdict(int)
         for job in jobs:
-            most[self.job_class(job)] = max(
-                most[self.job_class(job)], int(self.jobs[job]["tasks"])
+            largest[self.job_class(job)] = max(
+                largest[self.job_class(job)], int(self.jobs[job]["tasks"])
             )
         for job in jobs:
             groups[f"class {self.job_class(job)}"].append(job)
             groups[f"team {self.jobs[job].get('team', 'unknown')}"].append(job)
-            if int(self.jobs[job]["tasks"]) == most[self.job_class(job)]:
-                groups[f"largest {self.job_class(job)} ({most[self.job_class(job)]})"].append(job)
+            if int(self.jobs[job]["tasks"]) == largest[self.job_class(job)]:
+                groups[f"largest {self.job_class(job)} ({largest[self.job_class(job)]})"].append(
+                    job
+                )
         for name, members in sorted(groups.items()):
             waits = [
-                self.last - self.accepted[job] if (wait := self.began(job)) is None else wait
+                self.last_event_at - self.accepted_at[job]
+                if (wait := self.start_delay(job)) is None
+                else wait
                 for job in members
             ]
-            begun = sum(
-                self.began(job) is not None and wait <= constants.START_LIMIT_S
+            in_time = sum(
+                self.start_delay(job) is not None and wait <= constants.START_LIMIT_S
                 for job, wait in zip(members, waits, strict=True)
             )
-            yield name, len(members), begun, max(waits)
+            yield name, len(members), in_time, max(waits)
 
-    def lines(self) -> Iterator[str]:
+    def report(self) -> Iterator[str]:
         """Yield the tables."""
         yield f"{'group':36}  jobs  begun in {constants.START_LIMIT_S:g} s  longest (s)"
-        for name, count, begun, longest in self.served():
-            word = (
+        for name, count, in_time, longest in self.starts_by_group():
+            verdict = (
                 "HALF"
-                if 2 * begun < count
+                if 2 * in_time < count
                 else "late"
-                if (name.startswith("largest") and begun < count)
+                if (name.startswith("largest") and in_time < count)
                 else ""
             )
-            yield f"{name:36} {count:5} {begun:7} {begun / count:6.3f} {longest:9.1f}  {word}"
+            yield (
+                f"{name:36} {count:5} {in_time:7} {in_time / count:6.3f} {longest:9.1f}  {verdict}"
+            )
         yield ""
         yield "class and size of gang     tasks   accepted to bound p50 p90 max (s)"
         for (job_class, size), waits in sorted(self.waits.items()):
-            yield f"{job_class:20} {size or '':5} {len(waits):6}   {spread(histogram(waits))}"
+            yield (
+                f"{job_class:20} {size or '':5} {len(waits):6}   "
+                f"{percentiles_text(histogram(waits))}"
+            )
         yield "\nGPU seconds by class, and share of all"
-        total = sum(self.spent.values()) or 1.0
-        for (job_class, what), seconds in sorted(self.spent.items()):
-            yield f"{job_class:20} {what:16} {seconds:9.0f}  {seconds / total:6.3f}"
+        total = sum(self.gpu_seconds.values()) or 1.0
+        for (job_class, use), seconds in sorted(self.gpu_seconds.items()):
+            yield f"{job_class:20} {use:16} {seconds:9.0f}  {seconds / total:6.3f}"
         yield "\ngave way (tasks): to whom"
-        for (job_class, other), count in self.gave_way.most_common():
-            yield f"{job_class:20} {other:20} {count:6}"
+        for (job_class, preemptor), count in self.preemptions.most_common():
+            yield f"{job_class:20} {preemptor:20} {count:6}"
         yield "\n" + ", ".join(f"{name}: {count}" for name, count in sorted(self.events.items()))
-        for at, job_classes, used in self.rows:
+        for at, job_classes, used in self.snapshots:
             yield (
                 f"\nat {at:g} s, GPUs bound: "
                 + ", ".join(
@@ -166,19 +183,19 @@
 @click.argument("log", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 @click.option(
     "--at",
-    "moments",
+    "snapshot_times",
     type=float,
     multiple=True,
     help="A moment at which the fleet is looked at (s); may be repeated.",
 )
-def main(log: Path, moments: tuple[float, ...]) -> None:
+def main(log: Path, snapshot_times: tuple[float, ...]) -> None:
     """Print the tables."""
     with log.open(errors="replace") as lines:
-        load = Load(events(lines), moments)
-    if not load.accepted:
+        load = Load(parse_events(lines), snapshot_times)
+    if not load.accepted_at:
         click.echo(f"{log}: no event of a controller at info", err=True)
         sys.exit(2)
-    for line in load.lines():
+    for line in load.report():
         click.echo(line)
 
 
