--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -17,11 +17,11 @@
 
 
 def test_a_linear_fit_reports_its_quality():
-    found = fit(series((1, 3), (2, 5), (3, 7), (4, 9)))
-    assert (found.slope, found.intercept, found.residual) == (2, 1, 0)
-    assert found.at(10) == 21
-    assert found.beyond(10)
-    assert not found.beyond(4)
+    line = fit(series((1, 3), (2, 5), (3, 7), (4, 9)))
+    assert (line.slope, line.intercept, line.residual) == (2, 1, 0)
+    assert line.value_at(10) == 21
+    assert line.beyond(10)
+    assert not line.beyond(4)
     assert fit(series((1, 3), (2, 5), (3, 7), (4, 5))).residual == pytest.approx(1.6 / 7)
     with pytest.raises(ValueError, match="at least 4"):
         fit(series((1, 1), (2, 2), (3, 3)))
@@ -47,7 +47,7 @@
 def test_a_capacity_limit_is_where_growth_reaches_the_budget():
     size = read_size(capacity.FOLDER / capacity.SIZE_FILE)
     row = next(row for row in ROWS if row.quantity == "connections of workers")
-    at = row.wall(size, {})
+    at = row.growth_limit(size, {})
     assert at is not None
     assert row.value(size.grown(at), {}) == pytest.approx(row.limit(size, {}))
     assert row.value(size.grown(0.99 * at), {}) < row.limit(size, {})
--- a/tools/capacity/__main__.py
+++ b/tools/capacity/__main__.py
@@ -31,25 +31,25 @@
 @click.option("--folder", type=click.Path(file_okay=False, path_type=Path), default=FOLDER)
 def measure(names: tuple[str, ...], folder: Path) -> None:
     """Measure the series NAMES, or all, and write their files."""
-    known = {found.name: found for found in MEASUREMENTS}
-    wrong = [name for name in names if name not in known]
-    if wrong:
-        raise click.UsageError(f"no series {wrong[0]}; there are: {', '.join(known)}")
+    known = {measurement.name: measurement for measurement in MEASUREMENTS}
+    unknown = [name for name in names if name not in known]
+    if unknown:
+        raise click.UsageError(f"no series {unknown[0]}; there are: {', '.join(known)}")
     for name in names or known:
-        show(record(known[name], folder))
+        show(measure_series(known[name], folder))
 
 
-def record(wanted: Measurement, folder: Path) -> Series:
+def measure_series(measurement: Measurement, folder: Path) -> Series:
     """Measure one series and write its file."""
     series = Series(
-        wanted.name,
-        wanted.variable,
-        wanted.quantity,
-        wanted.unit,
-        wanted.fixed,
-        f"python -m tools.capacity measure {wanted.name}",
-        now(),
-        wanted.points(),
+        measurement.name,
+        measurement.variable,
+        measurement.quantity,
+        measurement.unit,
+        measurement.fixed,
+        f"python -m tools.capacity measure {measurement.name}",
+        utc_now(),
+        measurement.points(),
     )
     write_series(folder, series)
     return series
@@ -57,11 +57,11 @@
 
 def show(series: Series) -> None:
     """Print a series in one line."""
-    found = fit(series)
+    line = fit(series)
     points = " ".join(f"{point.x:g}:{point.y:.4g}" for point in series.points)
     click.echo(
-        f"{series.name}: {points} {series.unit}; slope {found.slope:.4g}, "
-        f"intercept {found.intercept:.4g}, residual {found.residual:.1%}"
+        f"{series.name}: {points} {series.unit}; slope {line.slope:.4g}, "
+        f"intercept {line.intercept:.4g}, residual {line.residual:.1%}"
     )
 
 
@@ -74,14 +74,14 @@
     """Write the series of the scale run's REPORTS, one for each fraction."""
     try:
         workers = read_size(folder / SIZE_FILE).target.workers
-        for series in scale_series(list(reports), workers, now()):
+        for series in scale_series(list(reports), workers, utc_now()):
             write_series(folder, series)
             show(series)
     except ValueError as error:
         raise click.UsageError(str(error)) from None
 
 
-def now() -> str:
+def utc_now() -> str:
     """Return the present time as the series have it."""
     return datetime.now(UTC).strftime("%Y-%m-%dT%H:%M:%SZ")
 
--- a/tools/capacity/cell.py
+++ b/tools/capacity/cell.py
@@ -30,11 +30,11 @@
 STEP_S = 0.02
 # Seconds between two reports of a worker, and between two that changes cause.
 REPORT_S = 2.5
-CHANGE_S = 0.5
+MIN_REPORT_GAP_S = 0.5
 # Limits that are no limits here: what is measured is the controller.
 UNLIMITED = 1e6
 # A machine has room for this many tasks of one CPU.
-MACHINE_TASKS = 16
+TASKS_PER_MACHINE = 16
 IMAGE = "image"
 
 
@@ -104,25 +104,25 @@
         self.sequence = 0
         self.fencing_token = 0
         self.tasks: dict[tuple[str, int], tuple[str, str, bool]] = {}
-        self.ends: dict[tuple[str, int], float] = {}
+        self.end_times: dict[tuple[str, int], float] = {}
         self.next_report = first_report
-        self.reported = -CHANGE_S
+        self.last_report = -MIN_REPORT_GAP_S
 
-    def changed(self, now: float) -> None:
+    def report_soon(self, now: float) -> None:
         """Report sooner: something changed."""
-        self.next_report = min(self.next_report, max(now, self.reported + CHANGE_S))
+        self.next_report = min(self.next_report, max(now, self.last_report + MIN_REPORT_GAP_S))
 
     def advance(self, now: float) -> None:
         """End the tasks whose time is over."""
-        for task in [task for task, end in self.ends.items() if end <= now]:
-            del self.ends[task]
+        for task in [task for task, end in self.end_times.items() if end <= now]:
+            del self.end_times[task]
             self.tasks[task] = ("exited", "done", False)
-            self.changed(now)
+            self.report_soon(now)
 
     def heartbeat(self, now: float) -> Heartbeat:
         """Return the report that is due."""
         self.sequence += 1
-        self.reported = now
+        self.last_report = now
         self.next_report = now + REPORT_S
         return Heartbeat(
             self.name,
@@ -137,18 +137,18 @@
             dict(self.tasks),
         )
 
-    def obey(self, fencing_token: int, orders: list[dict], now: float) -> int:
+    def execute(self, fencing_token: int, orders: list[dict], now: float) -> int:
         """Carry out commands; return how many tasks they started."""
         if fencing_token > self.fencing_token:
             self.fencing_token = fencing_token
-            self.changed(now)
+            self.report_soon(now)
         started = 0
         for order in orders:
             task = (order["piece"], order["try"])
             if order["verb"] == COMMAND_VERBS["start"] and task not in self.tasks:
                 self.tasks[task] = ("running", "", False)
-                self.ends[task] = now + self.run_s
-                self.changed(now)
+                self.end_times[task] = now + self.run_s
+                self.report_soon(now)
                 started += 1
             elif order["verb"] == COMMAND_VERBS["forget"]:
                 self.tasks.pop(task, None)
@@ -165,7 +165,7 @@
         self.core = Controller(cell_settings(teams, zones, 1), random.Random(seed), 0)
         self.now = 0.0
         self.revision = 0
-        self.spent_s = 0.0
+        self.cpu_s = 0.0
         self.starts = 0
         self.changes: Counter[str] = Counter()
         self.transactions = 0
@@ -179,16 +179,16 @@
             for number in range(machines)
         ]
         self.by_name = {worker.name: worker for worker in self.workers}
-        kind = MachineType(
-            "big", float(MACHINE_TASKS), 0.0, 64.0, 100.0, 1.0, 10.0, 3.0, 30.0, names
+        machine_type = MachineType(
+            "big", float(TASKS_PER_MACHINE), 0.0, 64.0, 100.0, 1.0, 10.0, 3.0, 30.0, names
         )
-        self.pending.append(messages.UpdateMachineTypes([kind]))
+        self.pending.append(messages.UpdateMachineTypes([machine_type]))
         self.pending.append(messages.LoadSnapshot([], 0, 0.0))
 
-    def run(self, seconds: float, submit: dict[int, list[JobSpec]] | None = None) -> None:
-        """Pass that much time; `submit` holds jobs by the step in which they come."""
+    def run(self, seconds: float, arrivals: dict[int, list[JobSpec]] | None = None) -> None:
+        """Pass that much time; `arrivals` holds jobs by the step in which they come."""
         for number in range(round(seconds / STEP_S)):
-            for spec in (submit or {}).get(number, ()):
+            for spec in (arrivals or {}).get(number, ()):
                 self.submit(spec)
             self._step()
 
@@ -205,9 +205,9 @@
             if worker.next_report <= self.now:
                 commands.append(messages.ReceiveHeartbeat(worker.name, worker.heartbeat(self.now)))
         commands.append(messages.ApplyWatchEvents([], self.revision, self.now))
-        begun = time.process_time()
+        start = time.process_time()
         effects = self.core.step(self.now, commands)
-        self.spent_s += time.process_time() - begun
+        self.cpu_s += time.process_time() - start
         for effect in effects:
             self._carry_out(effect)
 
@@ -216,9 +216,9 @@
             case messages.Answer(name, _, ("orders", fencing_token, commands)):
                 if name in self.by_name:
                     worker = self.by_name[name]
-                    self.starts += worker.obey(fencing_token, commands, self.now)
+                    self.starts += worker.execute(fencing_token, commands, self.now)
             case messages.SendWorkerCommands():
-                self._direct(effect)
+                self._execute_direct(effect)
             case messages.GrantLease(operation):
                 self.pending.append(messages.OperationDone(operation, 200, 1))
             case messages.RenewLease(operation):
@@ -228,10 +228,10 @@
             case messages.RentInstances(operation):
                 self.pending.append(messages.OperationDone(operation, 503, "no capacity"))
 
-    def _direct(self, effect: messages.SendWorkerCommands) -> None:
+    def _execute_direct(self, effect: messages.SendWorkerCommands) -> None:
         """Carry out direct commands; a stub's address is its name."""
         worker = self.by_name[effect.addr]
-        self.starts += worker.obey(effect.fencing_token, effect.commands, self.now)
+        self.starts += worker.execute(effect.fencing_token, effect.commands, self.now)
         self.pending.append(
             messages.OperationDone(effect.operation, "ok", worker.heartbeat(self.now))
         )
@@ -254,11 +254,11 @@
         self.pending.append(messages.OperationDone(effect.operation, 200, (self.revision, [])))
 
 
-def steady(
-    jobs_a_second: float, seconds: float, make: list[JobSpec], rng: random.Random
+def steady_arrivals(
+    jobs_a_second: float, seconds: float, specs: list[JobSpec], rng: random.Random
 ) -> dict[int, list[JobSpec]]:
     """Return jobs drawn from `make` at a rate, by the step in which they come."""
-    plan: dict[int, list[JobSpec]] = {}
+    arrivals: dict[int, list[JobSpec]] = {}
     for _ in range(round(jobs_a_second * seconds)):
-        plan.setdefault(rng.randrange(round(seconds / STEP_S)), []).append(rng.choice(make))
-    return plan
+        arrivals.setdefault(rng.randrange(round(seconds / STEP_S)), []).append(rng.choice(specs))
+    return arrivals
--- a/tools/capacity/measurements.py
+++ b/tools/capacity/measurements.py
@@ -29,7 +29,14 @@
 from oakmux.core.state.records import Binding, TaskBlock
 from oakmux.transport.http_server import render
 from tools import cost
-from tools.capacity.cell import Cell, cell_settings, cpu_job, steady, team_names, zone_names
+from tools.capacity.cell import (
+    Cell,
+    cell_settings,
+    cpu_job,
+    steady_arrivals,
+    team_names,
+    zone_names,
+)
 from tools.capacity.series import Point
 
 SEED = 1
@@ -61,12 +68,12 @@
         hide what the next one takes.
         """
         context = multiprocessing.get_context("fork")
-        found = []
+        points = []
         for size in self.sizes:
             with context.Pool(1, maxtasksperchild=1) as pool:
                 values = sorted(pool.map(self.measure, [size] * self.repeats, chunksize=1))
-            found.append(Point(size, values[len(values) // 2]))
-        return found
+            points.append(Point(size, values[len(values) // 2]))
+        return points
 
 
 def mean_ms(run: Callable[[], float], times: int) -> float:
@@ -75,12 +82,12 @@
     return sum(run() for _ in range(times)) / times * 1000
 
 
-def spent_s(run: Callable[[], object]) -> float:
+def cpu_s(run: Callable[[], object]) -> float:
     """Return the processor time of one call in seconds."""
     gc.collect()
-    begun = time.process_time()
+    start = time.process_time()
     run()
-    return time.process_time() - begun
+    return time.process_time() - start
 
 
 # --- workers and their reports ---
@@ -121,22 +128,22 @@
             parse_heartbeat(decode(body))
             encode(answer_body(("orders", 41, [])))
 
-    return spent_s(run) / 300 * 1000
+    return cpu_s(run) / 300 * 1000
 
 
 def keeper_report_ms(machines: float) -> float:
     """Processor time of the core for a report that changes what runs."""
-    found, _ = cost.heartbeats(int(machines), 300, SEED)
-    return found.get_mean_value() / 1000
+    times_us, _ = cost.heartbeats(int(machines), 300, SEED)
+    return times_us.get_mean_value() / 1000
 
 
 def machines_mb(machines: float) -> float:
     """Memory of all that is known of machines that peers hear."""
     before = cost.resident_mb()
     bench = cost.Bench(int(machines), False, SEED)
-    held = cost.resident_mb() - before
+    used_mb = cost.resident_mb() - before
     assert len(bench.core.context.machines) == machines
-    return held
+    return used_mb
 
 
 # --- controllers among themselves ---
@@ -176,13 +183,15 @@
         command = messages.ReceivePeerMessages(None, batch.sender, batch.messages, batch.since)
         bench.core.step(bench.now, [command])
 
-    return spent_s(run) * 1000
+    return cpu_s(run) * 1000
 
 
 def peer_sends(controllers: float) -> float:
     """Messages that a controller sends for each report that changes what runs."""
     core = Controller(cell_settings(2, 3, int(controllers)), random.Random(SEED), 0)
-    core.step(0.0, [messages.UpdateMachineTypes([cost.TYPE]), messages.LoadSnapshot([], 0, 0.0)])
+    core.step(
+        0.0, [messages.UpdateMachineTypes([cost.MACHINE_TYPE]), messages.LoadSnapshot([], 0, 0.0)]
+    )
     core.context.term = core.context.incarnation = 1
     sent = 0
     for sequence in range(1, 21):
@@ -221,27 +230,27 @@
     return cost.waiting(430, int(jobs), 20, SEED).get_mean_value() / 1000
 
 
-class GangPlacing(NamedTuple):
+class GangPlacement(NamedTuple):
     """What it takes to place a gang: processor time in milliseconds, changes of chunks."""
 
-    spent_ms: float
+    cpu_ms: float
     changes: int
 
 
-def place_gang(tasks: int) -> GangPlacing:
+def place_gang(tasks: int) -> GangPlacement:
     """Submit a gang with a worker for each task, and wait until all tasks run."""
     cell = Cell(tasks, run_s=1000.0)
     cell.run(5.0)
-    spent_s, changes = cell.spent_s, cell.changes["t"]
+    cpu_s_before, changes_before = cell.cpu_s, cell.changes["t"]
     cell.submit(cpu_job("team-0", tasks, 60.0, "gang"))
     cell.run(4.0)
     assert cell.starts == tasks, f"{cell.starts} of {tasks} tasks began"
-    return GangPlacing((cell.spent_s - spent_s) * 1000, cell.changes["t"] - changes)
+    return GangPlacement((cell.cpu_s - cpu_s_before) * 1000, cell.changes["t"] - changes_before)
 
 
 def gang_ms(tasks: float) -> float:
     """Processor time from a gang's submission until all of its tasks are bound."""
-    return place_gang(int(tasks)).spent_ms
+    return place_gang(int(tasks)).cpu_ms
 
 
 def gang_changes(tasks: float) -> float:
@@ -249,7 +258,7 @@
     return place_gang(int(tasks)).changes
 
 
-class Load(NamedTuple):
+class LoadRates(NamedTuple):
     """What a load on one controller came to, a second."""
 
     starts: float
@@ -258,18 +267,18 @@
     event_bytes: float
 
 
-def run_load(starts: float, tasks: int, teams: int = 4) -> Load:
+def run_load(starts: float, tasks: int, teams: int = 4) -> LoadRates:
     """Jobs of so many tasks each, at so many task starts a second, on 430 workers."""
     seconds = 15.0
     cell = Cell(430, teams=teams, run_s=5.0)
     cell.run(4.0)
-    before = (cell.starts, cell.changes.total(), cell.spent_s, cell.event_bytes)
-    made = [cpu_job(team, tasks, 5.0) for team in team_names(teams)]
-    cell.run(seconds + 6.0, steady(starts / tasks, seconds, made, random.Random(SEED)))
-    after = (cell.starts, cell.changes.total(), cell.spent_s, cell.event_bytes)
+    before = (cell.starts, cell.changes.total(), cell.cpu_s, cell.event_bytes)
+    specs = [cpu_job(team, tasks, 5.0) for team in team_names(teams)]
+    cell.run(seconds + 6.0, steady_arrivals(starts / tasks, seconds, specs, random.Random(SEED)))
+    after = (cell.starts, cell.changes.total(), cell.cpu_s, cell.event_bytes)
     planned = round(starts / tasks * seconds) * tasks
     assert cell.starts - before[0] == planned, f"{cell.starts - before[0]} of {planned} began"
-    return Load(*((now - then) / seconds for now, then in zip(after, before, strict=True)))
+    return LoadRates(*((now - then) / seconds for now, then in zip(after, before, strict=True)))
 
 
 def alike_starts(offered: float) -> float:
@@ -278,10 +287,10 @@
     """
     cell = Cell(430, run_s=5.0)
     cell.run(4.0)
-    made = [cpu_job(team, 1, 5.0) for team in team_names(4)]
-    cell.run(10.0, steady(offered, 10.0, made, random.Random(SEED)))
+    specs = [cpu_job(team, 1, 5.0) for team in team_names(4)]
+    cell.run(10.0, steady_arrivals(offered, 10.0, specs, random.Random(SEED)))
     before = cell.starts
-    cell.run(10.0, steady(offered, 10.0, made, random.Random(SEED + 1)))
+    cell.run(10.0, steady_arrivals(offered, 10.0, specs, random.Random(SEED + 1)))
     return (cell.starts - before) / 10.0
 
 
@@ -317,20 +326,20 @@
     for name in team_names(int(teams)):
         cell.submit(cpu_job(name, 200, 1000.0))
     cell.run(4.0)
-    before = cell.spent_s
+    before = cell.cpu_s
     cell.run(4.0)
-    return (cell.spent_s - before) / 40 * 1000
+    return (cell.cpu_s - before) / 40 * 1000
 
 
 def zones_ms(zones: float) -> float:
     """A tick with 200 jobs that look for room on 990 idle machines in so many zones."""
-    names, kind = cost.ZONES, cost.TYPE
+    old_zones, old_type = cost.ZONES, cost.MACHINE_TYPE
     cost.ZONES = zone_names(int(zones))
-    cost.TYPE = msgspec.structs.replace(kind, zones=cost.ZONES)
+    cost.MACHINE_TYPE = msgspec.structs.replace(old_type, zones=cost.ZONES)
     try:
         return cost.burst(990, 200, 20, SEED).get_mean_value() / 1000
     finally:
-        cost.ZONES, cost.TYPE = names, kind
+        cost.ZONES, cost.MACHINE_TYPE = old_zones, old_type
 
 
 # --- fleet ---
@@ -385,7 +394,7 @@
             commands.append(messages.SubmitJob(None, parse_job_id(value), parse_job(value), ""))
         cell.core.step(cell.now, commands)
 
-    return spent_s(run) * 1000
+    return cpu_s(run) * 1000
 
 
 def queries_ms(count: float) -> float:
@@ -402,8 +411,8 @@
         cell.pending += [messages.QueryJob(None, f"job-{number}") for number in range(int(count))]
         cell.run(0.2)
 
-    idle = spent_s(lambda: cell.run(0.2))
-    return max(0.0, spent_s(run) - idle) * 1000
+    idle = cpu_s(lambda: cell.run(0.2))
+    return max(0.0, cpu_s(run) - idle) * 1000
 
 
 # --- records ---
@@ -421,7 +430,7 @@
     """Processor time in which a controller takes the list of its records at a start."""
     rows = history_rows(int(jobs))
     core = Controller(cell_settings(4, 3, 1), random.Random(SEED), 0)
-    return spent_s(lambda: core.step(0.0, [messages.LoadSnapshot(rows, len(rows), 0.0)]))
+    return cpu_s(lambda: core.step(0.0, [messages.LoadSnapshot(rows, len(rows), 0.0)]))
 
 
 def history_mb(jobs: float) -> float:
--- a/tools/capacity/page.py
+++ b/tools/capacity/page.py
@@ -17,7 +17,7 @@
     """The page has no place for the tables; the text says what is missing."""
 
 
-def number(value: float) -> str:
+def format_number(value: float) -> str:
     """Return a figure to three digits, without a sign of more precision."""
     if value == 0:
         return "0"
@@ -28,16 +28,16 @@
 
 def read_fits(folder: Path) -> tuple[dict[str, Series], dict[str, Fit]]:
     """Read and fit all series that the rows name."""
-    names = sorted({name for row in ROWS for name in (row.series, row.reached) if name})
+    names = sorted({name for row in ROWS for name in (row.series, row.budget_series) if name})
     series = {name: read_series(folder, name) for name in names}
     return series, {name: fit(found) for name, found in series.items()}
 
 
-def line_text(found: Fit) -> str:
+def fit_text(line: Fit) -> str:
     """Return a fitted line and how well it fits."""
     return (
-        f"{number(found.intercept)} + {number(found.slope)}·x; "
-        f"{found.points} points to {number(found.largest)}, residual {found.residual:.0%}"
+        f"{format_number(line.intercept)} + {format_number(line.slope)}·x; "
+        f"{line.points} points to {format_number(line.largest)}, residual {line.residual:.0%}"
     )
 
 
@@ -47,17 +47,17 @@
     mark = EXTRAPOLATED if row.extrapolated(size, fits) else ""
     measured = "from the protocol or the settings"
     if row.series is not None:
-        measured = f"`{row.series}`: {line_text(fits[row.series])}"
+        measured = f"`{row.series}`: {fit_text(fits[row.series])}"
     limit = row.limit(size, fits)
     budget, margin = "none given", ""
     if limit is not None:
-        budget = number(limit)
+        budget = format_number(limit)
         margin = f"{limit / value:.2g}×" if value > 0 else "unbounded"
     cells = (
         row.quantity,
         measured,
         row.sum_text,
-        f"{number(value)} {row.unit}{mark}",
+        f"{format_number(value)} {row.unit}{mark}",
         budget,
         margin,
         row.mechanism,
@@ -88,9 +88,9 @@
     ]
 
 
-def walls(size: Size, fits: dict[str, Fit]) -> list[str]:
+def growth_limits_table(size: Size, fits: dict[str, Fit]) -> list[str]:
     """Return the table of walls, the nearest first."""
-    found = [(at, row) for row in ROWS if (at := row.wall(size, fits)) is not None]
+    found = [(at, row) for row in ROWS if (at := row.growth_limit(size, fits)) is not None]
     found.sort(key=lambda pair: pair[0])
     lines = [
         "### Walls, in the order in which growth meets them",
@@ -101,12 +101,12 @@
     for at, row in found:
         limit = row.limit(size, fits)
         assert limit is not None
-        where = number(at) if at > ANY_SIZE else "any"
+        where = format_number(at) if at > ANY_SIZE else "any"
         cells = (
             where,
             row.role,
             row.quantity,
-            f"{number(limit)} {row.unit}",
+            f"{format_number(limit)} {row.unit}",
             row.mechanism,
             f"*{row.status}*",
         )
@@ -114,7 +114,7 @@
     return [*lines, ""]
 
 
-def sources(series: dict[str, Series]) -> list[str]:
+def series_table(series: dict[str, Series]) -> list[str]:
     """Return the table of what was measured how."""
     lines = [
         "### Series",
@@ -123,7 +123,9 @@
         "| --- | --- | --- | --- | --- | --- |",
     ]
     for name, found in sorted(series.items()):
-        points = "; ".join(f"{number(point.x)}: {number(point.y)}" for point in found.points)
+        points = "; ".join(
+            f"{format_number(point.x)}: {format_number(point.y)}" for point in found.points
+        )
         lines.append(
             f"| `{name}` | {found.quantity}, {found.unit} | {found.variable} | "
             f"{found.fixed or 'nothing else there'} | {points} | `{found.command}` |"
@@ -137,15 +139,15 @@
     lines: list[str] = []
     for role in ROLES:
         lines += role_table(role, size, fits)
-    lines += walls(size, fits)
-    lines += sources(series)
+    lines += growth_limits_table(size, fits)
+    lines += series_table(series)
     return "\n".join(lines)
 
 
-def replace_tables(text: str, made: str) -> str:
+def replace_tables(text: str, new_tables: str) -> str:
     """Return the page with its tables replaced; raises PageError."""
-    head, found, rest = text.partition(BEGIN)
-    _, closed, tail = rest.partition(END)
-    if not found or not closed:
+    head, begin, rest = text.partition(BEGIN)
+    _, end, tail = rest.partition(END)
+    if not begin or not end:
         raise PageError(f"no lines {BEGIN!r} and {END!r}")
-    return f"{head}{BEGIN}\n\n{made}\n{END}{tail}"
+    return f"{head}{BEGIN}\n\n{new_tables}\n{END}{tail}"
--- a/tools/capacity/scale_series.py
+++ b/tools/capacity/scale_series.py
@@ -19,7 +19,7 @@
     value: Callable[[Report], float]
 
 
-SERIES = (
+SCALE_SERIES = (
     ScaleSeries(
         "scale_controller_cores",
         "a controller's process",
@@ -93,5 +93,5 @@
             measured,
             [Point(report.fraction * workers, wanted.value(report)) for report in reports],
         )
-        for wanted in SERIES
+        for wanted in SCALE_SERIES
     ]
--- a/tools/capacity/series.py
+++ b/tools/capacity/series.py
@@ -6,7 +6,7 @@
 import msgspec
 
 # A line needs more points than this to say anything of how well it fits.
-LEAST_POINTS = 4
+MIN_POINTS = 4
 
 
 class Point(msgspec.Struct, frozen=True, array_like=True):
@@ -41,7 +41,7 @@
     largest: float
     highest: float
 
-    def at(self, x: float) -> float:
+    def value_at(self, x: float) -> float:
         """Return the line's value at a size."""
         return self.intercept + self.slope * x
 
@@ -51,17 +51,17 @@
 
 
 def fit(series: Series) -> Fit:
-    """Fit a line; raises ValueError with fewer than LEAST_POINTS points."""
+    """Fit a line; raises ValueError with fewer than MIN_POINTS points."""
     points = series.points
-    if len(points) < LEAST_POINTS:
-        raise ValueError(f"{series.name}: {len(points)} points, at least {LEAST_POINTS} needed")
+    if len(points) < MIN_POINTS:
+        raise ValueError(f"{series.name}: {len(points)} points, at least {MIN_POINTS} needed")
     count = len(points)
     mean_x = math.fsum(point.x for point in points) / count
     mean_y = math.fsum(point.y for point in points) / count
-    spread = math.fsum((point.x - mean_x) ** 2 for point in points)
-    if spread == 0:
+    variation = math.fsum((point.x - mean_x) ** 2 for point in points)
+    if variation == 0:
         raise ValueError(f"{series.name}: all points have the same size")
-    slope = math.fsum((p.x - mean_x) * (p.y - mean_y) for p in points) / spread
+    slope = math.fsum((p.x - mean_x) * (p.y - mean_y) for p in points) / variation
     intercept = mean_y - slope * mean_x
     highest = max(abs(point.y) for point in points) or 1.0
     residual = max(abs(p.y - intercept - slope * p.x) for p in points) / highest
--- a/tools/capacity/size.py
+++ b/tools/capacity/size.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-SECONDS_A_DAY = 86_400.0
+SECONDS_PER_DAY = 86_400.0
 
 
 class Target(msgspec.Struct, frozen=True):
@@ -86,17 +86,17 @@
         )
 
     @property
-    def kept(self) -> float:
+    def workers_per_controller(self) -> float:
         """Workers that one controller hears, evenly spread."""
         return self.target.workers / self.target.controllers
 
     @property
-    def reports(self) -> float:
+    def reports_per_s(self) -> float:
         """Reports a second of all workers: the periodic ones, and one for each start and end."""
         return self.target.workers / self.assumed.report_s + 2 * self.target.starts
 
     @property
-    def tasks_a_worker(self) -> float:
+    def tasks_per_worker(self) -> float:
         """Tasks that run on a worker, on average."""
         return self.target.running_tasks / self.target.workers
 
--- a/tools/capacity/table.py
+++ b/tools/capacity/table.py
@@ -7,9 +7,9 @@
 from tools.capacity.size import Size
 
 # A wall that is further away than this multiple of the size is not looked for.
-FURTHEST = 64.0
+MAX_GROWTH = 64.0
 # Halvings of the interval in which a wall lies.
-HALVINGS = 40
+BISECTION_STEPS = 40
 
 BUILT = "built"
 DESIGNED = "designed"
@@ -27,59 +27,59 @@
 TOOLS = "Operators' tools and configuration"
 ROLES = (KEEPER, OWNER, FLEET, FRONT, WHOLE, STATE, CLOUD, WORKER, PEERS, TOOLS)
 
-Sum = Callable[[Size], float]
+SizeFunction = Callable[[Size], float]
 
 
 class Row(NamedTuple):
     """One quantity of a role: a measured line at a size, times a rate or count.
 
-    Without a series the quantity follows from the protocol or the settings, and `times` is it.
+    Without a series the quantity follows from the protocol or the settings, and `factor` is it.
     """
 
     role: str
     quantity: str
     unit: str
     series: str | None
-    at: Sum | None
-    times: Sum
+    variable: SizeFunction | None
+    factor: SizeFunction
     sum_text: str
-    budget: Sum | None
+    budget: SizeFunction | None
     mechanism: str
     status: str
     # A series whose highest value is the budget: what was reached, however much was offered.
-    reached: str | None = None
+    budget_series: str | None = None
 
     def limit(self, size: Size, fits: dict[str, Fit]) -> float | None:
         """Return the budget; None if there is none."""
-        if self.reached is not None:
-            return fits[self.reached].highest
+        if self.budget_series is not None:
+            return fits[self.budget_series].highest
         return None if self.budget is None else self.budget(size)
 
     def value(self, size: Size, fits: dict[str, Fit]) -> float:
         """Return the quantity at a size."""
-        if self.series is None or self.at is None:
-            return self.times(size)
-        return fits[self.series].at(self.at(size)) * self.times(size)
+        if self.series is None or self.variable is None:
+            return self.factor(size)
+        return fits[self.series].value_at(self.variable(size)) * self.factor(size)
 
     def extrapolated(self, size: Size, fits: dict[str, Fit]) -> bool:
         """Whether the size lies beyond what was measured."""
         return (
             self.series is not None
-            and self.at is not None
-            and fits[self.series].beyond(self.at(size))
+            and self.variable is not None
+            and fits[self.series].beyond(self.variable(size))
         )
 
-    def wall(self, size: Size, fits: dict[str, Fit]) -> float | None:
+    def growth_limit(self, size: Size, fits: dict[str, Fit]) -> float | None:
         """Return the multiple of the size at which the budget is met; None without a budget or
-        beyond FURTHEST.
+        beyond MAX_GROWTH.
         """
         budget = self.limit(size, fits)
         if budget is None:
             return None
-        low, high = 0.0, FURTHEST
+        low, high = 0.0, MAX_GROWTH
         if self.value(size.grown(high), fits) <= budget:
             return None
-        for _ in range(HALVINGS):
+        for _ in range(BISECTION_STEPS):
             middle = (low + high) / 2
             if self.value(size.grown(middle), fits) > budget:
                 high = middle
@@ -88,7 +88,7 @@
         return high
 
 
-def one(_: Size) -> float:
+def times_one(_: Size) -> float:
     """Return 1: the line's value is the quantity."""
     return 1.0
 
@@ -101,13 +101,13 @@
     return size.budget.controller_mb
 
 
-def _peers(size: Size) -> float:
+def _peer_count(size: Size) -> float:
     return size.target.controllers - 1
 
 
-def _reports_here(size: Size) -> float:
+def _reports_per_controller(size: Size) -> float:
     """Reports a second at one controller."""
-    return size.reports / size.target.controllers
+    return size.reports_per_s / size.target.controllers
 
 
 def _changed_reports(size: Size) -> float:
@@ -122,8 +122,8 @@
         "reading reports",
         "cores",
         "report_parse_ms",
-        lambda s: s.tasks_a_worker,
-        lambda s: _reports_here(s) / 1000,
+        lambda s: s.tasks_per_worker,
+        lambda s: _reports_per_controller(s) / 1000,
         "line(tasks a worker) × reports a second here",
         _cores_budget,
         "reports go to one controller each; batches of 10 ms",
@@ -134,7 +134,7 @@
         "changed reports in the core",
         "cores",
         "keeper_report_ms",
-        lambda s: s.kept,
+        lambda s: s.workers_per_controller,
         lambda s: _changed_reports(s) / s.target.controllers / 1000,
         "line(workers heard) × changed reports a second here",
         _cores_budget,
@@ -147,7 +147,7 @@
         "requests/s",
         None,
         None,
-        _reports_here,
+        _reports_per_controller,
         "workers / report_s + 2 × starts, over the controllers",
         None,
         "even spread by 421 and by next node",
@@ -159,7 +159,7 @@
         "sockets",
         None,
         None,
-        lambda s: s.kept,
+        lambda s: s.workers_per_controller,
         "workers / controllers",
         lambda s: 0.7 * s.budget.controller_sockets,
         "one connection a worker; 30 % of the sockets are kept for own calls",
@@ -171,7 +171,7 @@
         "sockets",
         None,
         None,
-        lambda s: s.kept + s.target.zone_workers,
+        lambda s: s.workers_per_controller + s.target.zone_workers,
         "workers / controllers + workers of a zone",
         lambda s: 0.7 * s.budget.controller_sockets,
         "refused connections go on to the next controller",
@@ -208,7 +208,7 @@
         "cores",
         "load_cores",
         lambda s: s.target.starts / s.target.controllers,
-        one,
+        times_one,
         "line(starts a second / controllers)",
         _cores_budget,
         "an owner for each team",
@@ -220,7 +220,7 @@
         "cores",
         "hot_team_cores",
         lambda s: s.target.starts * s.assumed.hot_team_share,
-        one,
+        times_one,
         "line(starts a second × the hot team's share)",
         _cores_budget,
         "one owner a team; a team is not split",
@@ -244,7 +244,7 @@
         "changes",
         "gang_changes",
         lambda s: s.target.largest_gang,
-        one,
+        times_one,
         "line(tasks of the largest gang)",
         lambda s: 12.0,
         "64 tasks to a record; all records in one transaction",
@@ -332,7 +332,7 @@
         "MB",
         "history_mb",
         lambda s: s.finished_jobs,
-        one,
+        times_one,
         "line(jobs a day × days kept)",
         _memory_budget,
         "archive of finished jobs, many in a value",
@@ -344,7 +344,7 @@
         "MB",
         "live_mb",
         lambda s: s.target.running_tasks,
-        one,
+        times_one,
         "line(running tasks)",
         _memory_budget,
         "a replica of all records in each controller",
@@ -356,7 +356,7 @@
         "MB",
         "machines_mb",
         lambda s: s.target.workers,
-        one,
+        times_one,
         "line(workers)",
         _memory_budget,
         "every controller knows every worker",
@@ -368,7 +368,7 @@
         "s",
         "history_s",
         lambda s: s.finished_jobs,
-        one,
+        times_one,
         "line(jobs a day × days kept)",
         lambda s: s.assumed.cold_start_s,
         "archive of finished jobs, many in a value",
@@ -380,7 +380,7 @@
         "bytes/s",
         "event_bytes",
         lambda s: s.target.starts,
-        one,
+        times_one,
         "line(starts a second)",
         None,
         "every controller follows all records",
@@ -392,7 +392,7 @@
         "cores",
         "scale_controller_cores",
         lambda s: s.target.workers,
-        one,
+        times_one,
         "line(workers)",
         _cores_budget,
         "reports, news and changes gathered into batches; a cell in each region",
@@ -404,7 +404,7 @@
         "MB",
         "scale_controller_mb",
         lambda s: s.target.workers,
-        one,
+        times_one,
         "line(workers)",
         _memory_budget,
         "bounded queues; one replica",
@@ -416,7 +416,7 @@
         "sockets",
         "scale_controller_sockets",
         lambda s: s.target.workers,
-        one,
+        times_one,
         "line(workers)",
         lambda s: s.budget.controller_sockets,
         "one connection a worker; pools bounded for each address",
@@ -429,7 +429,7 @@
         "changes/s",
         "single_task_changes",
         lambda s: s.target.starts,
-        one,
+        times_one,
         "line(starts a second)",
         lambda s: s.budget.state_changes,
         "pages: many small jobs' bindings in one value",
@@ -441,7 +441,7 @@
         "changes/s",
         "array_changes",
         lambda s: s.target.starts,
-        one,
+        times_one,
         "line(starts a second)",
         lambda s: s.budget.state_changes,
         "pages: many small jobs' bindings in one value",
@@ -465,7 +465,7 @@
         "bytes",
         "live_bytes",
         lambda s: s.target.running_tasks,
-        one,
+        times_one,
         "line(running tasks)",
         None,
         "a record a job and one for each 64 tasks",
@@ -477,7 +477,7 @@
         "bytes",
         "history_bytes",
         lambda s: s.finished_jobs,
-        one,
+        times_one,
         "line(jobs a day × days kept)",
         None,
         "archive of finished jobs, many in a value",
@@ -501,7 +501,7 @@
         "changes/s",
         "scale_changes",
         lambda s: s.target.workers,
-        one,
+        times_one,
         "line(workers)",
         lambda s: s.budget.state_changes,
         "pages: many small jobs' bindings in one value",
@@ -513,7 +513,7 @@
         "requests/s",
         "scale_state_requests",
         lambda s: s.target.workers,
-        one,
+        times_one,
         "line(workers)",
         lambda s: s.budget.state_requests,
         "paced by each controller's share of the limit; a cell in each region",
@@ -550,8 +550,8 @@
         "bytes of reports",
         "bytes/s",
         "report_bytes",
-        lambda s: s.tasks_a_worker,
-        lambda s: s.reports / s.target.workers,
+        lambda s: s.tasks_per_worker,
+        lambda s: s.reports_per_s / s.target.workers,
         "line(tasks a worker) × reports a second of a worker",
         lambda s: s.budget.worker_bytes,
         "one report at a time, to one controller",
@@ -563,7 +563,7 @@
         "news of workers taken by a controller",
         "cores",
         "views_ms",
-        lambda s: _changed_reports(s) * _peers(s) / s.target.controllers,
+        lambda s: _changed_reports(s) * _peer_count(s) / s.target.controllers,
         lambda s: 1 / 1000,
         "line(workers changed a second at all peers)",
         _cores_budget,
@@ -575,8 +575,8 @@
         "news of workers sent by a controller",
         "bytes/s",
         "view_bytes",
-        lambda s: s.tasks_a_worker,
-        lambda s: _changed_reports(s) / s.target.controllers * _peers(s),
+        lambda s: s.tasks_per_worker,
+        lambda s: _changed_reports(s) / s.target.controllers * _peer_count(s),
         "line(tasks a worker) × changed reports here × peers",
         None,
         "full mesh: all tell all; a cell in each region divides it",
@@ -588,7 +588,7 @@
         "messages",
         "peer_sends",
         lambda s: s.target.controllers,
-        one,
+        times_one,
         "line(controllers)",
         None,
         "gathered for 150 ms, many to a request",
@@ -599,8 +599,8 @@
         "bytes of heartbeats sent by a controller",
         "bytes/s",
         "heartbeat_bytes",
-        lambda s: s.kept,
-        _peers,
+        lambda s: s.workers_per_controller,
+        _peer_count,
         "line(workers heard) × peers",
         None,
         "one a second to each peer",
@@ -612,7 +612,7 @@
         "bytes/s",
         "scale_peers_bytes",
         lambda s: s.target.workers,
-        one,
+        times_one,
         "line(workers)",
         None,
         "full mesh: all tell all; a cell in each region divides it",
--- a/tools/cost.py
+++ b/tools/cost.py
@@ -37,11 +37,11 @@
 )
 
 ZONES = ["a", "b", "c"]
-TYPE = MachineType("big", 48.0, 4.0, 288.0, 120.0, 0.4, 10.0, 3.0, 30.0, ZONES)
-IMAGES = 12
+MACHINE_TYPE = MachineType("big", 48.0, 4.0, 288.0, 120.0, 0.4, 10.0, 3.0, 30.0, ZONES)
+IMAGE_COUNT = 12
 REPORT_S = 2.5
 # Times are recorded in microseconds, up to a minute, to three digits.
-HIGHEST_US = 60_000_000
+MAX_TIME_US = 60_000_000
 
 
 def job_spec(rng: random.Random, number: int) -> JobSpec:
@@ -58,7 +58,7 @@
         cpus=cpus,
         gpus=gpus,
         memory_gb=43.0,
-        image=f"i{number % IMAGES}",
+        image=f"i{number % IMAGE_COUNT}",
         image_gb=4.0,
         types=None,
         zone=None,
@@ -75,7 +75,7 @@
 class Bench:
     """One controller and the stub round it."""
 
-    def __init__(self, machines: int, kept: bool, seed: int) -> None:
+    def __init__(self, machines: int, managed: bool, seed: int) -> None:
         self.rng = random.Random(seed)
         settings = Settings(
             "h0",
@@ -93,21 +93,21 @@
             peers=[Peer("h1", "10.0.0.2:81")],
         )
         self.core = Controller(settings, random.Random(seed), 0)
-        self.now, self.revision, self.kept = 0.0, 0, kept
+        self.now, self.revision, self.managed = 0.0, 0, managed
         self.sent: list[PeerMessage] = []
-        self.names = [f"n-{number:06}" for number in range(machines)]
-        self.sequence = dict.fromkeys(self.names, 0)
-        self.tasks: dict[str, dict] = {name: {} for name in self.names}
-        self.step([messages.UpdateMachineTypes([TYPE]), messages.LoadSnapshot([], 0, 0.0)])
-        self.settle(2.0)
-        self.step(self.word(name) for name in self.names)
+        self.machine_names = [f"n-{number:06}" for number in range(machines)]
+        self.sequence = dict.fromkeys(self.machine_names, 0)
+        self.tasks: dict[str, dict] = {name: {} for name in self.machine_names}
+        self.step([messages.UpdateMachineTypes([MACHINE_TYPE]), messages.LoadSnapshot([], 0, 0.0)])
+        self.advance(2.0)
+        self.step(self.report(name) for name in self.machine_names)
 
     def step(self, commands: Iterable[messages.Command]) -> float:
         """Make one step; return its processor time in seconds. The stub answers at once."""
         batch = list(commands)
         start = time.process_time()
         effects = self.core.step(self.now, batch)
-        spent = time.process_time() - start
+        cpu_s = time.process_time() - start
         answers: list[messages.Command] = []
         for effect in effects:
             match effect:
@@ -123,9 +123,9 @@
                     answers.append(messages.OperationDone(operation, 503, "no capacity"))
                 case messages.SendToPeer(_, message):
                     self.sent.append(message)
-        return spent + (self.step(answers) if answers else 0.0)
+        return cpu_s + (self.step(answers) if answers else 0.0)
 
-    def settle(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         """Let that much time pass."""
         for _ in range(int(seconds * 10)):
             self.tick()
@@ -137,12 +137,12 @@
             machine.last_heartbeat_at = self.now
         return self.step([messages.ApplyWatchEvents([], self.revision, self.now)])
 
-    def word(self, name: str) -> messages.Command:
+    def report(self, name: str) -> messages.Command:
         """Return a report, or a peer's word of one."""
         number = int(name[2:])
         self.sequence[name] += 1
         zone, spot = ZONES[number % 3], number % 5 == 0
-        if self.kept:
+        if self.managed:
             return messages.ReceiveHeartbeat(
                 number,
                 Heartbeat(
@@ -158,7 +158,7 @@
                     dict(self.tasks[name]),
                 ),
             )
-        images = [[f"i{(number + step) % IMAGES}", 4.0] for step in range(3)]
+        images = [[f"i{(number + step) % IMAGE_COUNT}", 4.0] for step in range(3)]
         return messages.ReceivePeerMessages(
             number,
             "h1",
@@ -180,10 +180,10 @@
             ],
         )
 
-    def fill(self) -> None:
+    def fill_machines(self) -> None:
         """Give each machine one service that takes all of it."""
         rows: list[tuple[str, Any, int]] = []
-        for number, name in enumerate(self.names):
+        for number, name in enumerate(self.machine_names):
             self.revision += 1
             spec = JobSpec(
                 job_class="l",
@@ -191,9 +191,9 @@
                 kind="service",
                 priority=3,
                 tasks=1,
-                cpus=TYPE.cpus,
-                gpus=TYPE.gpus,
-                memory_gb=TYPE.memory_gb,
+                cpus=MACHINE_TYPE.cpus,
+                gpus=MACHINE_TYPE.gpus,
+                memory_gb=MACHINE_TYPE.memory_gb,
                 image="i0",
                 image_gb=4.0,
                 types=None,
@@ -214,7 +214,7 @@
             rows.append((block_key(job_id, 0), encode_block(block, 2), self.revision))
         self.step([messages.ApplyWatchEvents(rows, self.revision, self.now)])
 
-    def submit(self, jobs: int) -> None:
+    def submit_jobs(self, jobs: int) -> None:
         """Add jobs to the records, of the classes that the deployments have."""
         rows: list[tuple[str, Any, int]] = []
         for number in range(jobs):
@@ -230,19 +230,19 @@
         self.step([messages.ApplyWatchEvents(rows, self.revision, self.now)])
 
 
-def measure(run: Callable[[], float], times: int) -> HdrHistogram:
+def measure(run: Callable[[], float], count: int) -> HdrHistogram:
     """Return the distribution of so many runs after a first one, in microseconds."""
     run()
-    found = HdrHistogram(1, HIGHEST_US, 3)
-    for _ in range(times):
-        found.record_value(max(1, int(run() * 1e6)))
-    return found
+    times_us = HdrHistogram(1, MAX_TIME_US, 3)
+    for _ in range(count):
+        times_us.record_value(max(1, int(run() * 1e6)))
+    return times_us
 
 
 def burst(machines: int, jobs: int, ticks: int, seed: int) -> HdrHistogram:
     """Ticks with jobs waiting and idle machines at a peer: what sampling costs."""
     bench = Bench(machines, False, seed)
-    bench.submit(jobs)
+    bench.submit_jobs(jobs)
     bench.core.autoscaler.tick = lambda: None  # type: ignore[method-assign]
     return measure(bench.tick, ticks)
 
@@ -252,9 +252,9 @@
     fleet's pass that comes once a second and the looks of the safety net are counted.
     """
     bench = Bench(machines, False, seed)
-    bench.fill()
-    bench.submit(jobs)
-    bench.settle(20.0)
+    bench.fill_machines()
+    bench.submit_jobs(jobs)
+    bench.advance(20.0)
     return measure(bench.tick, ticks)
 
 
@@ -268,8 +268,8 @@
 def fleet_pass(machines: int, jobs: int, passes: int, seed: int) -> HdrHistogram:
     """The pass over the fleet that comes once a second, with jobs waiting."""
     bench = Bench(machines, False, seed)
-    bench.submit(jobs)
-    bench.settle(1.0)
+    bench.submit_jobs(jobs)
+    bench.advance(1.0)
     assert FLEET in bench.core.context.held_roles
 
     def run() -> float:
@@ -307,8 +307,8 @@
             rows.append((block_key(job_id, 0), encode_block(block, 2), number + 1))
     bench = Bench(0, False, seed)
     before = resident_mb()
-    spent = bench.step([messages.LoadSnapshot(rows, records + 1, bench.now)])
-    return spent, resident_mb() - before
+    cpu_s = bench.step([messages.LoadSnapshot(rows, records + 1, bench.now)])
+    return cpu_s, resident_mb() - before
 
 
 def resident_mb() -> float:
@@ -326,12 +326,14 @@
     def run() -> float:
         nonlocal serial
         serial += 1
-        name = bench.rng.choice(bench.names)
+        name = bench.rng.choice(bench.machine_names)
         bench.tasks[name] = {(f"job-{serial}/0", 1): ("running", "", False)}
-        return bench.step([bench.word(name)])
+        return bench.step([bench.report(name)])
 
-    found = measure(run, count)
-    return found, sum(len(cbor2.dumps(encode_message(message))) for message in bench.sent) / count
+    times_us = measure(run, count)
+    return times_us, sum(
+        len(cbor2.dumps(encode_message(message))) for message in bench.sent
+    ) / count
 
 
 @click.command(help=__doc__)
@@ -350,7 +352,7 @@
 )
 @click.option(
     "--waiting",
-    "lines",
+    "waiting_counts",
     type=int,
     multiple=True,
     default=(4000, 40_000),
@@ -363,31 +365,33 @@
     jobs: int,
     ticks: int,
     records: tuple[int, ...],
-    lines: tuple[int, ...],
+    waiting_counts: tuple[int, ...],
     seed: int,
 ) -> None:
     """Print the table."""
     click.echo("machines  what          mean ms  median ms  p99 ms")
 
-    def show(size: int, what: str, found: HdrHistogram) -> None:
+    def show(size: int, label: str, times_us: HdrHistogram) -> None:
         click.echo(
-            f"{size:8}  {what:12} {found.get_mean_value() / 1000:8.3f} "
-            f"{found.get_value_at_percentile(50) / 1000:10.3f} "
-            f"{found.get_value_at_percentile(99) / 1000:7.3f}"
+            f"{size:8}  {label:12} {times_us.get_mean_value() / 1000:8.3f} "
+            f"{times_us.get_value_at_percentile(50) / 1000:10.3f} "
+            f"{times_us.get_value_at_percentile(99) / 1000:7.3f}"
         )
 
     for size in sizes:
         show(size, "burst tick", burst(size, jobs, ticks, seed))
         show(size, "quiet tick", quiet(size, ticks, seed))
         show(size, "fleet pass", fleet_pass(size, jobs, max(1, ticks // 4), seed))
-        found, sent = heartbeats(size, ticks * 10, seed)
-        show(size, "report", found)
-        click.echo(f"{size:8}  bytes to a peer for each changed report: {sent:.0f}")
-    for count in lines:
+        times_us, sent_bytes = heartbeats(size, ticks * 10, seed)
+        show(size, "report", times_us)
+        click.echo(f"{size:8}  bytes to a peer for each changed report: {sent_bytes:.0f}")
+    for count in waiting_counts:
         show(sizes[0], f"{count} wait", waiting(sizes[0], count, ticks, seed))
     for count in records:
-        spent, held = load(count, seed)
-        click.echo(f"{count:8}  records taken after a start: {spent * 1000:.0f} ms, {held:.1f} MB")
+        cpu_s, memory_mb = load(count, seed)
+        click.echo(
+            f"{count:8}  records taken after a start: {cpu_s * 1000:.0f} ms, {memory_mb:.1f} MB"
+        )
 
 
 if __name__ == "__main__":
