--- a/tests/test_log_tools.py
+++ b/tests/test_log_tools.py
@@ -1,4 +1,4 @@
-"""The tools that read the logs of controllers."""
+"""tools.spread and tools.paper on a small controller log."""
 
 import pytest
 from click.testing import CliRunner
@@ -75,7 +75,7 @@
     ]
 
 
-def test_the_ideal_schedule_starts_a_gang_once_all_its_capacity_is_free_and_ignores_fetches():
+def test_ideal_schedule_starts_a_gang_once_all_its_gpus_are_free():
     day = paper.Day(parse_events(LOG.splitlines()))
     capacity = day.capacity(2.0)
     # Four GPUs: the array takes two at 2 s, for 5 and 4 s; the gang needs all four.
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize("tool, more", [(spread.main, []), (paper.main, ["--gpus", "2"])])
-def test_a_log_is_shown_and_one_without_events_refused(tmp_path, tool, more):
+def test_log_tools_print_a_report_and_refuse_a_log_without_events(tmp_path, tool, more):
     good, bad = tmp_path / "good", tmp_path / "bad"
     good.write_text(LOG)
     bad.write_text("nothing\n")
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Tools for those who work on oakmux; no controller loads them."""
+"""Development tools; no controller imports them."""
--- a/tools/paper.py
+++ b/tools/paper.py
@@ -1,10 +1,13 @@
-"""How a day could have gone on paper: the same arrivals, run times and machines, known in advance.
+"""Compare a recorded day with an ideal schedule of the same jobs, run times and machines.
 
-Reads the controllers' logs at LOG_LEVEL=info (see tools.recovery). A greedy that knows every run
-time places the day's tasks anew, by priority, then least work first, on all GPUs that were up at
-each moment, without packing, proof, writes or messages; first without image fetches, then with the
-fetches that the day had. What each step loses is what prevents more; the rest is decisions. It is
-an estimate, not a bound: no order is best for all classes, and tasks that were lost are run once.
+Reads the controllers' logs at LOG_LEVEL=info (see tools.recovery). A greedy scheduler that knows
+all run times places the day's tasks again, by priority, then least work first, on all GPUs that
+are up at each time. It ignores packing, proofs that tasks are gone, writes and messages.
+
+It runs twice: without image fetches, and with the fetches of the recorded day. The difference
+between the two is the cost of fetches; the rest of the gap to the recorded day comes from
+scheduling decisions and the costs ignored above. The result is an estimate, not a bound: no order
+is best for all classes, and a task that was lost and repeated runs only once.
 """
 
 import heapq
@@ -20,7 +23,7 @@
 
 
 class JobRun(NamedTuple):
-    """A job as the log tells it: seconds that each task fetched and ran."""
+    """A job from the log; `tasks` holds (fetch time, run time) of each task in seconds."""
 
     name: str
     job_class: str
@@ -32,7 +35,7 @@
 
 
 class Day:
-    """A day's jobs and machines, and when each task first ran."""
+    """Jobs and machines of a recorded day, and when each task first runs."""
 
     def __init__(self, log: Iterable[Event]) -> None:
         self.jobs: dict[str, dict[str, str]] = {}
@@ -49,7 +52,7 @@
             self.add_event(event)
 
     def add_event(self, event: Event) -> None:
-        """Take one event."""
+        """Update the day from one event."""
         at, fields = event.at, event.fields
         task = fields.get("task", "")
         self.end = max(self.end, at)
@@ -74,7 +77,7 @@
                 self.removed_at.setdefault(name, at)
 
     def job_runs(self, with_fetches: bool) -> list[JobRun]:
-        """Return the jobs whose tasks ran, with their fetches or without."""
+        """Return the jobs with tasks that ran; without `with_fetches`, fetch times are 0."""
         runs = []
         for name, fields in self.jobs.items():
             tasks = []
@@ -98,7 +101,7 @@
         return runs
 
     def capacity(self, gpus: float) -> list[tuple[float, float]]:
-        """Return the changes of the GPUs that are up: [(time, change)]."""
+        """Return when GPUs come up or go, as sorted (time, change); a machine has `gpus` GPUs."""
         changes = []
         for name, at in self.registered_at.items():
             changes += [(at, gpus), (self.removed_at.get(name, self.end + 1e6), -gpus)]
@@ -106,9 +109,9 @@
 
 
 def replay(job_runs: list[JobRun], capacity: list[tuple[float, float]]) -> dict[str, list[float]]:
-    """Place all tasks; return the waits from acceptance to running, by class."""
+    """Place all tasks; return the waits from acceptance to running in seconds, by class."""
     waits: dict[str, list[float]] = defaultdict(list)
-    # (time, order, GPUs that come free or go, job that arrives)
+    # (time, tie-breaker, change in free GPUs, arriving job)
     timeline: list[tuple[float, int, float, JobRun | None]] = [
         (at, number, change, None) for number, (at, change) in enumerate(capacity)
     ]
@@ -150,14 +153,14 @@
             if unplaced:
                 blocked.append(entry)
                 if not is_gang:
-                    break  # the next of less priority would take what this one waits for
+                    break  # jobs of lower priority must not take the GPUs that this job waits for
         for entry in blocked:
             heapq.heappush(waiting, entry)
     return waits
 
 
 def lines(day: Day, gpus: float, within: Iterable[float]) -> Iterator[str]:
-    """Yield the table: as it was, with fetches only, without any."""
+    """Yield the table: recorded waits, ideal waits with fetches, ideal waits without."""
     actual: dict[str, list[float]] = defaultdict(list)
     for task, at in day.first_running_at.items():
         job = task.partition("/")[0]
@@ -165,13 +168,13 @@
             actual[day.jobs[job]["job_class"]].append(at - day.accepted_at[job])
     capacity = day.capacity(gpus)
     waits_by_case = {
-        "as it was": actual,
-        "on paper, fetches": replay(day.job_runs(True), capacity),
-        "on paper": replay(day.job_runs(False), capacity),
+        "recorded": actual,
+        "ideal, fetches": replay(day.job_runs(True), capacity),
+        "ideal": replay(day.job_runs(False), capacity),
     }
     limits = list(within)
     yield (
-        "class               what               tasks   to running p50 p90 max (s)   within "
+        "class               schedule           tasks   to running p50 p90 max (s)   within "
         + " ".join(f"{limit:g}" for limit in limits)
         + " s"
     )
@@ -190,21 +193,25 @@
 
 @click.command(help=__doc__)
 @click.argument("log", type=click.Path(exists=True, dir_okay=False, path_type=Path))
-@click.option("--gpus", type=float, required=True, help="GPUs of a machine.")
+@click.option("--gpus", type=float, required=True, help="GPUs per machine.")
 @click.option(
     "--within",
     type=float,
     multiple=True,
     default=(10.0, 30.0, 50.0, 120.0, 250.0),
     show_default=True,
-    help="Seconds for which the share of tasks is shown.",
+    help="Show the share of tasks that run within this time (s); may be repeated.",
 )
 def main(log: Path, gpus: float, within: tuple[float, ...]) -> None:
-    """Print the table."""
+    """Print the table of waits."""
     with log.open(errors="replace") as log_lines:
         day = Day(parse_events(log_lines))
     if not day.jobs or not day.registered_at:
-        click.echo(f"{log}: no event of a controller at info", err=True)
+        click.echo(
+            f"{log}: no event `job_accepted` or `worker_registered`; controllers log them at "
+            "LOG_LEVEL=info",
+            err=True,
+        )
         sys.exit(2)
     for line in lines(day, gpus, within):
         click.echo(line)
--- a/tools/recovery.py
+++ b/tools/recovery.py
@@ -1,9 +1,9 @@
-"""How starts and recoveries went, from the controllers' logs at LOG_LEVEL=info.
+"""Report start and recovery times from the controllers' logs at LOG_LEVEL=info.
 
-Reads lines `TIME LABEL LEVEL LOGGER event=NAME key=value ...` of all controllers, as one stream
-with a common time in seconds (the bench prints them so; logs of real machines are to be merged
-first). `starts` shows how long tasks waited to be bound and then to run; `losses` follows the
-tasks that ran at a moment and were lost soon after, until they ran again.
+The input is one stream of lines `TIME LABEL LEVEL LOGGER event=NAME key=value ...` from all
+controllers, with TIME in seconds on a common clock. The bench prints this format; logs of real
+machines have to be merged first. `starts` shows how long tasks wait to be bound and then to run.
+`losses` follows the tasks that run at a given time and are lost soon after, until they run again.
 """
 
 import re
@@ -17,12 +17,12 @@
 from hdrh.histogram import HdrHistogram
 
 LINE = re.compile(r"\s*([\d.]+) (\S+) \w+ \S+ event=(\w+) ?(.*)")
-# Waits are recorded in milliseconds, up to a day, to three digits.
+# Longest recorded wait: one day, in milliseconds. Histograms keep three significant digits.
 MAX_WAIT_MS = 86_400_000
 
 
 class Event(NamedTuple):
-    """One line of a log."""
+    """One log line; `at` is its time in seconds, `label` names the controller."""
 
     at: float
     label: str
@@ -31,7 +31,7 @@
 
 
 class Attempt:
-    """One start of a task, from its binding to the proof that it is gone."""
+    """One attempt of a task, from its binding to the proof that it is gone (`unbound_at`)."""
 
     def __init__(self, bound_at: float, machine: str) -> None:
         self.bound_at = bound_at
@@ -42,7 +42,7 @@
 
 
 def parse_events(lines: Iterable[str]) -> Iterator[Event]:
-    """Parse log lines; what is not an event of ours is passed over."""
+    """Parse log lines; skip lines that are not events."""
     for line in lines:
         match = LINE.match(line)
         if match is not None:
@@ -52,7 +52,7 @@
 
 
 class History:
-    """What the logs say of each task."""
+    """The attempts of each task, and when each job is accepted."""
 
     def __init__(self, log: Iterable[Event]) -> None:
         self.classes: dict[str, str] = {}
@@ -63,7 +63,7 @@
             self.add_event(event)
 
     def add_event(self, event: Event) -> None:
-        """Take one event."""
+        """Update the history from one event."""
         fields = event.fields
         if event.name == "job_accepted":
             self.classes[fields["job"]] = fields["job_class"]
@@ -86,7 +86,7 @@
 
 
 def histogram(seconds: Iterable[float]) -> HdrHistogram:
-    """Return the distribution of some waits, in milliseconds."""
+    """Return the distribution of waits given in seconds; it counts in milliseconds."""
     waits = HdrHistogram(1, MAX_WAIT_MS, 3)
     for value in seconds:
         waits.record_value(max(1, int(value * 1000)))
@@ -94,7 +94,7 @@
 
 
 def percentiles_text(waits: HdrHistogram) -> str:
-    """Return median, p90 and greatest of a distribution, in seconds."""
+    """Return the median, 90th percentile and maximum of a distribution, in seconds."""
     if not waits.get_total_count():
         return "     -      -      -"
     return " ".join(
@@ -103,7 +103,7 @@
 
 
 def starts(history: History, window_s: float) -> Iterator[str]:
-    """Yield a line for each class and window of acceptance."""
+    """Yield a table with one row per job class and window of acceptance times."""
     waits_by_window: dict[tuple[str, int], tuple[list, list, list]] = defaultdict(
         lambda: ([], [], [])
     )
@@ -131,7 +131,7 @@
 
 
 def losses(history: History, at: float, until: float) -> Iterator[str]:
-    """Yield lines on the tasks that ran at a moment and were proven lost before `until`."""
+    """Yield a table of the tasks that run at time `at` and are proven lost by `until`."""
     delays_by_class: dict[str, list[tuple[float, float | None, float | None]]] = defaultdict(list)
     for task, attempts in history.tasks.items():
         in_order = list(attempts.values())
@@ -174,32 +174,36 @@
 
 @click.command(help=__doc__)
 @click.argument("log", type=click.Path(exists=True, dir_okay=False, path_type=Path))
-@click.option("--window", default=30.0, show_default=True, help="Seconds of a window of starts.")
+@click.option(
+    "--window", default=30.0, show_default=True, help="Length of an acceptance window (s)."
+)
 @click.option(
     "--loss-at",
     "loss_times",
     type=float,
     multiple=True,
-    help="A moment at which machines were lost (s); may be repeated.",
+    help="Time at which machines were lost (s); may be repeated.",
 )
 @click.option(
     "--within",
     default=90.0,
     show_default=True,
-    help="Seconds after it within which the losses count.",
+    help="Losses count up to this long after the time of loss (s).",
 )
 def main(log: Path, window: float, loss_times: tuple[float, ...], within: float) -> None:
-    """Print the tables."""
+    """Print the tables of starts and losses."""
     with log.open(errors="replace") as lines:
         history = History(parse_events(lines))
     if not history.accepted_at:
-        click.echo(f"{log}: no event of a controller at info", err=True)
+        click.echo(
+            f"{log}: no event `job_accepted`; controllers log it at LOG_LEVEL=info", err=True
+        )
         sys.exit(2)
     for line in starts(history, window):
         click.echo(line)
     click.echo(f"preemptions: {len(history.preempted)}")
     for at in loss_times:
-        click.echo(f"\nlost after {at:g} s, within {within:g} s")
+        click.echo(f"\ntasks lost within {within:g} s after {at:g} s")
         for line in losses(history, at, at + within):
             click.echo(line)
 
--- a/tools/spread.py
+++ b/tools/spread.py
@@ -1,8 +1,9 @@
-"""How the load lay over the fleet, from the controllers' logs at LOG_LEVEL=info.
+"""Report the load on the fleet, from the controllers' logs at LOG_LEVEL=info.
 
-Reads what tools.recovery reads. Prints who began in time by class, team and the largest jobs of
-a class, waits of each class and size, what the fleet's GPU time went into, who gave way to whom,
-moves and backfill reservations, and how full machines were at some moments.
+Reads the same input as tools.recovery. Prints the jobs that start in time (by class, by team, and
+for the largest jobs of each class), waits by class and gang size, how GPU time is used, and
+preemptions by class of victim and preemptor. Counts moved services and backfill reservations, and
+shows the GPUs bound per class and per machine at the times given with --at.
 """
 
 import sys
@@ -15,11 +16,12 @@
 from oakmux import constants
 from tools.recovery import Event, histogram, parse_events, percentiles_text
 
+# Values of `why` in `task_unbound` that mean success.
 SUCCESS_REASONS = ("done",)
 
 
 class Load:
-    """What the logs say of tasks and machines, gathered event by event."""
+    """State of tasks and machines, built up event by event from the logs."""
 
     def __init__(self, log: Iterable[Event], snapshot_times: Iterable[float]) -> None:
         self.jobs: dict[str, dict[str, str]] = {}
@@ -42,15 +44,15 @@
             self.add_event(event)
 
     def job_class(self, task: str) -> str:
-        """Return the class of a task's job, or of a job."""
+        """Return the class of a job, given its id or the id of one of its tasks."""
         return self.jobs.get(task.partition("/")[0], {}).get("job_class", "unknown")
 
     def gpus(self, task: str) -> float:
-        """Return the GPUs that a task takes; 0 if the log does not tell."""
+        """Return the GPUs that a task takes; 0 if the log lacks its job."""
         return float(self.jobs.get(task.partition("/")[0], {}).get("gpus", 0))
 
     def add_event(self, event: Event) -> None:
-        """Take one event."""
+        """Update the state from one event."""
         at, fields = event.at, event.fields
         self.last_event_at = at
         task = fields.get("task", "")
@@ -94,7 +96,10 @@
         return at, job_classes, used
 
     def start_delay(self, job: str) -> float | None:
-        """Return after how many seconds a job began: an array with one task, else with all."""
+        """Return the seconds from a job's acceptance to its start, or None before the start.
+
+        An array starts when its first task runs, any other job when all its tasks run.
+        """
         fields, running_at = self.jobs[job], self.first_running_at.get(job, {})
         if len(running_at) < (1 if fields["kind"] == "array" else int(fields["tasks"])):
             return None
@@ -103,8 +108,11 @@
         ]
 
     def starts_by_group(self) -> Iterator[tuple[str, int, int, float]]:
-        """Yield (group, jobs, of these begun in time, longest wait in s) of classes, teams, and
-        the largest jobs of each class, but for what was cancelled or came too late to judge.
+        """Yield (group, jobs, jobs started in time, longest wait in s) for each class, each team,
+        and the largest jobs of each class.
+
+        Jobs cancelled before their start limit, and jobs whose limit lies after the end of the
+        log, are left out.
         """
         groups: dict[str, list[str]] = defaultdict(list)
         deadlines = {job: self.accepted_at[job] + constants.START_LIMIT_S for job in self.jobs}
@@ -139,11 +147,11 @@
             yield name, len(members), in_time, max(waits)
 
     def report(self) -> Iterator[str]:
-        """Yield the tables."""
-        yield f"{'group':36}  jobs  begun in {constants.START_LIMIT_S:g} s  longest (s)"
+        """Yield the lines of all tables."""
+        yield f"{'group':36}  jobs  started in {constants.START_LIMIT_S:g} s  longest (s)"
         for name, count, in_time, longest in self.starts_by_group():
             verdict = (
-                "HALF"
+                "UNDER HALF"
                 if 2 * in_time < count
                 else "late"
                 if (name.startswith("largest") and in_time < count)
@@ -153,17 +161,17 @@
                 f"{name:36} {count:5} {in_time:7} {in_time / count:6.3f} {longest:9.1f}  {verdict}"
             )
         yield ""
-        yield "class and size of gang     tasks   accepted to bound p50 p90 max (s)"
+        yield "class and gang size        tasks   accepted to bound p50 p90 max (s)"
         for (job_class, size), waits in sorted(self.waits.items()):
             yield (
                 f"{job_class:20} {size or '':5} {len(waits):6}   "
                 f"{percentiles_text(histogram(waits))}"
             )
-        yield "\nGPU seconds by class, and share of all"
+        yield "\nGPU seconds by class and use, and share of the total"
         total = sum(self.gpu_seconds.values()) or 1.0
         for (job_class, use), seconds in sorted(self.gpu_seconds.items()):
             yield f"{job_class:20} {use:16} {seconds:9.0f}  {seconds / total:6.3f}"
-        yield "\ngave way (tasks): to whom"
+        yield "\npreempted tasks: class, class of the preemptor, count"
         for (job_class, preemptor), count in self.preemptions.most_common():
             yield f"{job_class:20} {preemptor:20} {count:6}"
         yield "\n" + ", ".join(f"{name}: {count}" for name, count in sorted(self.events.items()))
@@ -186,14 +194,16 @@
     "snapshot_times",
     type=float,
     multiple=True,
-    help="A moment at which the fleet is looked at (s); may be repeated.",
+    help="Time for which bound GPUs are shown (s); may be repeated.",
 )
 def main(log: Path, snapshot_times: tuple[float, ...]) -> None:
-    """Print the tables."""
+    """Print the tables of load, waits and preemptions."""
     with log.open(errors="replace") as lines:
         load = Load(parse_events(lines), snapshot_times)
     if not load.accepted_at:
-        click.echo(f"{log}: no event of a controller at info", err=True)
+        click.echo(
+            f"{log}: no event `job_accepted`; controllers log it at LOG_LEVEL=info", err=True
+        )
         sys.exit(2)
     for line in load.report():
         click.echo(line)
