--- a/tools/capacity/__init__.py
+++ b/tools/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""What each role costs as the service grows: measured series, their fits, and docs/CAPACITY.md."""
+"""Capacity model: measured cost series, their linear fits, and the tables of docs/CAPACITY.md."""
--- a/tools/capacity/__main__.py
+++ b/tools/capacity/__main__.py
@@ -1,6 +1,6 @@
-"""Command line: measure series, make the page's tables, check that page and files agree.
+"""Measure series, write the tables of docs/CAPACITY.md, check that page and files agree.
 
-Exit codes: 0 all is well, 1 the page and the files disagree, 2 bad input.
+Exit codes: 0 success, 1 the page and the files disagree, 2 bad input.
 """
 
 import sys
@@ -23,18 +23,18 @@
 
 @click.group(help=__doc__)
 def main() -> None:
-    """Group the commands."""
+    """Hold the commands."""
 
 
 @main.command()
 @click.argument("names", nargs=-1)
 @click.option("--folder", type=click.Path(file_okay=False, path_type=Path), default=FOLDER)
 def measure(names: tuple[str, ...], folder: Path) -> None:
-    """Measure the series NAMES, or all, and write their files."""
+    """Measure the series NAMES (default: all) and write their files."""
     known = {measurement.name: measurement for measurement in MEASUREMENTS}
     unknown = [name for name in names if name not in known]
     if unknown:
-        raise click.UsageError(f"no series {unknown[0]}; there are: {', '.join(known)}")
+        raise click.UsageError(f"unknown series {unknown[0]}; known: {', '.join(known)}")
     for name in names or known:
         show(measure_series(known[name], folder))
 
@@ -56,7 +56,7 @@
 
 
 def show(series: Series) -> None:
-    """Print a series in one line."""
+    """Print a series and its fit in one line."""
     line = fit(series)
     points = " ".join(f"{point.x:g}:{point.y:.4g}" for point in series.points)
     click.echo(
@@ -71,7 +71,7 @@
 )
 @click.option("--folder", type=click.Path(file_okay=False, path_type=Path), default=FOLDER)
 def scale(reports: tuple[Path, ...], folder: Path) -> None:
-    """Write the series of the scale run's REPORTS, one for each fraction."""
+    """Write the series of the scale run, from REPORTS with one report per fraction."""
     try:
         workers = read_size(folder / SIZE_FILE).target.workers
         for series in scale_series(list(reports), workers, utc_now()):
@@ -82,7 +82,7 @@
 
 
 def utc_now() -> str:
-    """Return the present time as the series have it."""
+    """Return the current time in the format of the series files."""
     return datetime.now(UTC).strftime("%Y-%m-%dT%H:%M:%SZ")
 
 
@@ -91,7 +91,7 @@
 @click.option("--folder", type=click.Path(file_okay=False, path_type=Path), default=FOLDER)
 @click.option("--page", "path", type=click.Path(dir_okay=False, path_type=Path), default=PAGE)
 def page(check: bool, folder: Path, path: Path) -> None:
-    """Make the tables of docs/CAPACITY.md anew from the series' files."""
+    """Regenerate the tables of docs/CAPACITY.md from the series files."""
     try:
         before = path.read_text()
         after = replace_tables(before, tables(folder, read_size(folder / SIZE_FILE)))
--- a/tools/capacity/cell.py
+++ b/tools/capacity/cell.py
@@ -1,7 +1,7 @@
-"""One controller as owner and keeper of everything, driven step by step without sockets.
+"""One controller that owns all teams and manages all workers, stepped without sockets.
 
-Workers, the state service and the cloud are stubs in this process: transactions are answered one
-step later, all of them with success, and counted by the kind of record that they change.
+Workers, the state service and the cloud are stubs in this process. Each transaction succeeds one
+step later; changes are counted by the kind of record.
 """
 
 import random
@@ -26,25 +26,26 @@
     WorkerTimings,
 )
 
-# Seconds from one step of the core to the next; a transaction is answered one step later.
+# Seconds between steps of the core; a transaction is answered one step later.
 STEP_S = 0.02
-# Seconds between two reports of a worker, and between two that changes cause.
+# Seconds between periodic reports of a worker.
 REPORT_S = 2.5
+# Shortest time between two reports, in seconds, when changes cause them.
 MIN_REPORT_GAP_S = 0.5
-# Limits that are no limits here: what is measured is the controller.
+# Quotas and service limits too high to take effect, so that only the controller is measured.
 UNLIMITED = 1e6
-# A machine has room for this many tasks of one CPU.
+# Tasks of one CPU that fit on a machine.
 TASKS_PER_MACHINE = 16
 IMAGE = "image"
 
 
 def zone_names(count: int) -> list[str]:
-    """Return names of so many zones."""
+    """Return the names of `count` zones."""
     return [f"zone-{number}" for number in range(count)]
 
 
 def team_names(count: int) -> list[str]:
-    """Return names of so many teams."""
+    """Return the names of `count` teams."""
     return [f"team-{number}" for number in range(count)]
 
 
@@ -95,7 +96,7 @@
 
 
 class StubWorker:
-    """A machine that starts what it is told to and ends it after `run_s`."""
+    """A machine that starts each task it is ordered to and ends it after `run_s`."""
 
     def __init__(self, name: str, zone: str, first_report: float, run_s: float) -> None:
         self.name = name
@@ -109,18 +110,18 @@
         self.last_report = -MIN_REPORT_GAP_S
 
     def report_soon(self, now: float) -> None:
-        """Report sooner: something changed."""
+        """Report a change now, or MIN_REPORT_GAP_S after the last report if that is later."""
         self.next_report = min(self.next_report, max(now, self.last_report + MIN_REPORT_GAP_S))
 
     def advance(self, now: float) -> None:
-        """End the tasks whose time is over."""
+        """End the tasks whose run time is over."""
         for task in [task for task, end in self.end_times.items() if end <= now]:
             del self.end_times[task]
             self.tasks[task] = ("exited", "done", False)
             self.report_soon(now)
 
     def heartbeat(self, now: float) -> Heartbeat:
-        """Return the report that is due."""
+        """Return a report, and schedule the next periodic one."""
         self.sequence += 1
         self.last_report = now
         self.next_report = now + REPORT_S
@@ -138,7 +139,7 @@
         )
 
     def execute(self, fencing_token: int, orders: list[dict], now: float) -> int:
-        """Carry out commands; return how many tasks they started."""
+        """Execute orders; return how many tasks they started."""
         if fencing_token > self.fencing_token:
             self.fencing_token = fencing_token
             self.report_soon(now)
@@ -156,7 +157,7 @@
 
 
 class Cell:
-    """A controller with stub workers round it; counts changes, starts and processor time."""
+    """A controller with stub workers; counts record changes, starts and processor time."""
 
     def __init__(
         self, machines: int, teams: int = 4, zones: int = 3, run_s: float = 10.0, seed: int = 1
@@ -186,14 +187,14 @@
         self.pending.append(messages.LoadSnapshot([], 0, 0.0))
 
     def run(self, seconds: float, arrivals: dict[int, list[JobSpec]] | None = None) -> None:
-        """Pass that much time; `arrivals` holds jobs by the step in which they come."""
+        """Simulate some seconds; `arrivals` maps a step's number to the jobs submitted in it."""
         for number in range(round(seconds / STEP_S)):
             for spec in (arrivals or {}).get(number, ()):
                 self.submit(spec)
             self._step()
 
     def submit(self, spec: JobSpec) -> None:
-        """Submit a job with the next step."""
+        """Submit a job in the next step."""
         job_id = f"job-{self.rng.randrange(10**12)}"
         self.pending.append(messages.SubmitJob(None, job_id, spec, ""))
 
@@ -229,7 +230,7 @@
                 self.pending.append(messages.OperationDone(operation, 503, "no capacity"))
 
     def _execute_direct(self, effect: messages.SendWorkerCommands) -> None:
-        """Carry out direct commands; a stub's address is its name."""
+        """Execute commands sent directly to a worker; a stub worker's address is its name."""
         worker = self.by_name[effect.addr]
         self.starts += worker.execute(effect.fencing_token, effect.commands, self.now)
         self.pending.append(
@@ -257,7 +258,7 @@
 def steady_arrivals(
     jobs_a_second: float, seconds: float, specs: list[JobSpec], rng: random.Random
 ) -> dict[int, list[JobSpec]]:
-    """Return jobs drawn from `make` at a rate, by the step in which they come."""
+    """Return random jobs from `specs` at a rate, by the number of the step they arrive in."""
     arrivals: dict[int, list[JobSpec]] = {}
     for _ in range(round(jobs_a_second * seconds)):
         arrivals.setdefault(rng.randrange(round(seconds / STEP_S)), []).append(rng.choice(specs))
--- a/tools/capacity/measurements.py
+++ b/tools/capacity/measurements.py
@@ -1,7 +1,7 @@
-"""The measurements: each varies one thing over at least four sizes and returns the points.
+"""The measurements: each varies one variable over at least four sizes and returns the points.
 
-Processor times are of one core of the machine that measured, as the process's own accounting has
-them. Nothing here opens a socket; what sockets cost is measured by `python -m tools.scale`.
+Processor times are those that the process accounts for, on one core of the machine at hand.
+Nothing here opens a socket; `python -m tools.scale` measures the cost of sockets.
 """
 
 import gc
@@ -40,19 +40,19 @@
 from tools.capacity.series import Point
 
 SEED = 1
-# Runs of each point; the median counts, since the machine is shared.
+# Runs per point; the median is used, because other processes share the machine.
 REPEATS = 3
-# Bytes that HTTP puts before a body in a worker's request, as the protocol's examples have them.
+# HTTP request head of a worker's report; its length counts towards the report's bytes.
 REQUEST_HEAD = (
     b"POST /agent/beat HTTP/1.1\r\nHost: 10.0.0.1:8080\r\n"
     b"Content-Type: application/cbor\r\nContent-Length: 1000\r\n\r\n"
 )
-# Bytes of TCP and IP round one request and its answer: two data packets and two that acknowledge.
+# TCP and IP headers of a request and its answer: two data packets and two acknowledgements.
 PACKET_BYTES = 4 * 40
 
 
 class Measurement(NamedTuple):
-    """How a series is measured: over which sizes, and what one size gives."""
+    """A series to measure: `measure` returns the quantity at one of `sizes`."""
 
     name: str
     variable: str
@@ -64,8 +64,9 @@
     repeats: int = REPEATS
 
     def points(self) -> list[Point]:
-        """Measure all sizes, each run in a process of its own: memory freed by one run would
-        hide what the next one takes.
+        """Measure all sizes, each run in a new process.
+
+        In a shared process, memory freed by one run would hide what the next run allocates.
         """
         context = multiprocessing.get_context("fork")
         points = []
@@ -77,7 +78,7 @@
 
 
 def mean_ms(run: Callable[[], float], times: int) -> float:
-    """Return the mean processor time of a run in milliseconds, after one that does not count."""
+    """Return the mean processor time of a run in milliseconds, after one warm-up run."""
     run()
     return sum(run() for _ in range(times)) / times * 1000
 
@@ -94,7 +95,7 @@
 
 
 def report_value(tasks: int) -> dict:
-    """Return a worker's report as it comes over the wire."""
+    """Return the decoded body of a worker's report."""
     return {
         "box": "n-000231",
         "addr": "10.1.0.232:9000",
@@ -113,14 +114,14 @@
 
 
 def report_bytes(tasks: float) -> float:
-    """Bytes of one report and its answer, with the packets round them."""
+    """Bytes of one report and its answer, with HTTP and packet headers."""
     body = encode(report_value(int(tasks)))
     answer = render(200, encode({"baton": 41, "orders": []}))
     return len(REQUEST_HEAD) + len(body) + len(answer) + PACKET_BYTES
 
 
 def report_parse_ms(tasks: float) -> float:
-    """Processor time to read a report and to write its answer."""
+    """Processor time to decode a report and to encode its answer."""
     body = encode(report_value(int(tasks)))
 
     def run() -> None:
@@ -132,13 +133,13 @@
 
 
 def keeper_report_ms(machines: float) -> float:
-    """Processor time of the core for a report that changes what runs."""
+    """Processor time of the core for a report that changes the running tasks."""
     times_us, _ = cost.heartbeats(int(machines), 300, SEED)
     return times_us.get_mean_value() / 1000
 
 
 def machines_mb(machines: float) -> float:
-    """Memory of all that is known of machines that peers hear."""
+    """Memory of the views of machines that report to peers."""
     before = cost.resident_mb()
     bench = cost.Bench(int(machines), False, SEED)
     used_mb = cost.resident_mb() - before
@@ -146,11 +147,11 @@
     return used_mb
 
 
-# --- controllers among themselves ---
+# --- messages between controllers ---
 
 
 def view_message(number: int, sequence: int, tasks: int = 3) -> MachineView:
-    """Return the news of a machine that a keeper sends its peers."""
+    """Return the view of a machine that its manager sends to peers."""
     rows = [[f"job-{412_000 + task}/3", 2, "running", "", False] for task in range(tasks)]
     return MachineView(
         41,
@@ -169,12 +170,12 @@
 
 
 def view_bytes(tasks: float) -> float:
-    """Bytes of the news of one machine to one peer."""
+    """Bytes of the view of one machine, sent to one peer."""
     return len(cbor2.dumps(encode_message(view_message(231, 88, int(tasks)))))
 
 
 def views_ms(views: float) -> float:
-    """Processor time to take so many changed machines from a peer, decoded and applied."""
+    """Processor time to decode and apply a batch of changed views from a peer."""
     bench = cost.Bench(int(views), False, SEED)
     body = encode_batch("h1", [view_message(number, 10) for number in range(int(views))], 0)
 
@@ -187,7 +188,7 @@
 
 
 def peer_sends(controllers: float) -> float:
-    """Messages that a controller sends for each report that changes what runs."""
+    """Messages that a controller sends for each report that changes the running tasks."""
     core = Controller(cell_settings(2, 3, int(controllers)), random.Random(SEED), 0)
     core.step(
         0.0, [messages.UpdateMachineTypes([cost.MACHINE_TYPE]), messages.LoadSnapshot([], 0, 0.0)]
@@ -212,7 +213,7 @@
 
 
 def heartbeat_bytes(machines: float) -> float:
-    """Bytes of the heartbeat that names the machines which a controller hears, to one peer."""
+    """Bytes of the message to one peer that lists the machines which report to a controller."""
     names = [f"n-{number:06}" for number in range(int(machines))]
     return len(cbor2.dumps(encode_message(MachinesAlive(names))))
 
@@ -221,17 +222,17 @@
 
 
 def sampling_ms(machines: float) -> float:
-    """A tick with 200 jobs that look for room on idle machines."""
+    """Processor time of a tick that places 200 waiting jobs on idle machines."""
     return cost.burst(int(machines), 200, 20, SEED).get_mean_value() / 1000
 
 
 def waiting_ms(jobs: float) -> float:
-    """A tick with so many jobs that wait at full machines."""
+    """Processor time of a tick with waiting jobs while all machines are full."""
     return cost.waiting(430, int(jobs), 20, SEED).get_mean_value() / 1000
 
 
 class GangPlacement(NamedTuple):
-    """What it takes to place a gang: processor time in milliseconds, changes of chunks."""
+    """The cost of placing a gang: processor time, and changes of records of task blocks."""
 
     cpu_ms: float
     changes: int
@@ -244,7 +245,7 @@
     cpu_s_before, changes_before = cell.cpu_s, cell.changes["t"]
     cell.submit(cpu_job("team-0", tasks, 60.0, "gang"))
     cell.run(4.0)
-    assert cell.starts == tasks, f"{cell.starts} of {tasks} tasks began"
+    assert cell.starts == tasks, f"{cell.starts} of {tasks} tasks started"
     return GangPlacement((cell.cpu_s - cpu_s_before) * 1000, cell.changes["t"] - changes_before)
 
 
@@ -254,12 +255,12 @@
 
 
 def gang_changes(tasks: float) -> float:
-    """Changes of the records that bind a gang: one for each chunk of its tasks."""
+    """Changes of the records that bind a gang: one for each block of its tasks."""
     return place_gang(int(tasks)).changes
 
 
 class LoadRates(NamedTuple):
-    """What a load on one controller came to, a second."""
+    """Rates per second that a load causes on one controller."""
 
     starts: float
     changes: float
@@ -268,7 +269,7 @@
 
 
 def run_load(starts: float, tasks: int, teams: int = 4) -> LoadRates:
-    """Jobs of so many tasks each, at so many task starts a second, on 430 workers."""
+    """Run jobs of `tasks` tasks each, at `starts` task starts per second, on 430 workers."""
     seconds = 15.0
     cell = Cell(430, teams=teams, run_s=5.0)
     cell.run(4.0)
@@ -277,13 +278,14 @@
     cell.run(seconds + 6.0, steady_arrivals(starts / tasks, seconds, specs, random.Random(SEED)))
     after = (cell.starts, cell.changes.total(), cell.cpu_s, cell.event_bytes)
     planned = round(starts / tasks * seconds) * tasks
-    assert cell.starts - before[0] == planned, f"{cell.starts - before[0]} of {planned} began"
+    assert cell.starts - before[0] == planned, f"{cell.starts - before[0]} of {planned} started"
     return LoadRates(*((now - then) / seconds for now, then in zip(after, before, strict=True)))
 
 
 def alike_starts(offered: float) -> float:
-    """Starts a second that are reached, of so many jobs of one task that come a second: the mean
-    of the last ten seconds of twenty in which they come.
+    """Starts per second that are reached when `offered` one-task jobs arrive per second.
+
+    Jobs arrive for twenty seconds; the result is the mean of the last ten.
     """
     cell = Cell(430, run_s=5.0)
     cell.run(4.0)
@@ -295,32 +297,32 @@
 
 
 def single_task_changes(starts: float) -> float:
-    """Changes a second of the records, from submission to end, for jobs of one task."""
+    """Changes of records per second, from submission to end, for jobs of one task."""
     return run_load(starts, 1).changes
 
 
 def array_changes(starts: float) -> float:
-    """Changes a second of the records for arrays of ten tasks."""
+    """Changes of records per second for arrays of ten tasks."""
     return run_load(starts, 10).changes
 
 
 def load_cores(starts: float) -> float:
-    """Cores that the core needs for so many starts a second, of arrays of ten tasks."""
+    """Processor cores that the controller core needs per start rate, for arrays of ten tasks."""
     return run_load(starts, 10).cores
 
 
 def hot_team_cores(starts: float) -> float:
-    """Cores for so many starts a second of one team's arrays of ten tasks."""
+    """Processor cores that the controller core needs if all arrays belong to one team."""
     return run_load(starts, 10, teams=1).cores
 
 
 def event_bytes(starts: float) -> float:
-    """Bytes a second that a watch brings to one controller, for arrays of ten tasks."""
+    """Bytes per second that a watch sends to one controller, for arrays of ten tasks."""
     return run_load(starts, 10).event_bytes
 
 
 def teams_ms(teams: float) -> float:
-    """A tick of a controller that owns so many teams, each with one job that waits."""
+    """Processor time of a tick if each owned team has one waiting job."""
     cell = Cell(100, teams=int(teams))
     cell.run(4.0)
     for name in team_names(int(teams)):
@@ -332,7 +334,7 @@
 
 
 def zones_ms(zones: float) -> float:
-    """A tick with 200 jobs that look for room on 990 idle machines in so many zones."""
+    """Processor time of a tick that places 200 waiting jobs on 990 idle machines."""
     old_zones, old_type = cost.ZONES, cost.MACHINE_TYPE
     cost.ZONES = zone_names(int(zones))
     cost.MACHINE_TYPE = msgspec.structs.replace(old_type, zones=cost.ZONES)
@@ -346,7 +348,7 @@
 
 
 def fleet_pass_ms(machines: float) -> float:
-    """The pass over the fleet that comes once a second, with 200 jobs waiting."""
+    """Processor time of the fleet pass, due once per second, with 200 waiting jobs."""
     return cost.fleet_pass(int(machines), 200, 5, SEED).get_mean_value() / 1000
 
 
@@ -354,7 +356,7 @@
 
 
 def submission(number: int) -> bytes:
-    """Return a submission as it comes over the wire."""
+    """Return the encoded body of a submission."""
     return encode(
         {
             "id": f"job-{number:06}",
@@ -382,7 +384,7 @@
 
 
 def submissions_ms(count: float) -> float:
-    """Processor time to read and take so many submissions, up to their transactions."""
+    """Processor time to decode and accept submissions, up to their transactions."""
     cell = Cell(1)
     cell.run(4.0)
     bodies = [submission(number) for number in range(int(count))]
@@ -398,7 +400,7 @@
 
 
 def queries_ms(count: float) -> float:
-    """Processor time of so many questions about unfinished jobs, up to their answers."""
+    """Processor time of status queries on unfinished jobs, up to their answers."""
     cell = Cell(1)
     cell.run(4.0)
     for number in range(int(count)):
@@ -419,7 +421,7 @@
 
 
 def history_rows(count: int) -> list[tuple]:
-    """Return the records of so many finished jobs."""
+    """Return the records of `count` finished jobs."""
     return [
         (job_key(f"job-{number}"), encode_job("done", "team-0", None, number, 10), number + 1)
         for number in range(count)
@@ -427,7 +429,7 @@
 
 
 def history_s(jobs: float) -> float:
-    """Processor time in which a controller takes the list of its records at a start."""
+    """Processor time in which a starting controller loads the records of finished jobs."""
     rows = history_rows(int(jobs))
     core = Controller(cell_settings(4, 3, 1), random.Random(SEED), 0)
     return cpu_s(lambda: core.step(0.0, [messages.LoadSnapshot(rows, len(rows), 0.0)]))
@@ -449,7 +451,7 @@
 
 
 def live_rows(tasks: int) -> list[tuple]:
-    """Return the records of running tasks, ten to a job."""
+    """Return the records of running tasks, ten per job."""
     rows: list[tuple] = []
     for number in range(tasks // 10):
         spec: JobSpec = cpu_job("team-0", 10, 60.0)
@@ -490,7 +492,7 @@
 FLEET_SIZES = (500, 1000, 2000, 4300)
 TASK_SIZES = (0, 2, 4, 8, 16)
 START_SIZES = (20, 40, 80, 160)
-# Beyond this one controller does not start jobs of one task as they come: `alike_starts`.
+# Above 40/s, one controller does not start one-task jobs as fast as they arrive (`alike_starts`).
 SINGLE_SIZES = (5, 10, 20, 40)
 OFFERED_SIZES = (20, 40, 80, 160, 320)
 HISTORY_SIZES = (15_250, 30_500, 61_000, 122_000, 244_000)
--- a/tools/capacity/page.py
+++ b/tools/capacity/page.py
@@ -1,4 +1,4 @@
-"""The tables of docs/CAPACITY.md, made from the series' files; the text round them stays."""
+"""Generate the tables of docs/CAPACITY.md from the series files; the text around them stays."""
 
 from pathlib import Path
 
@@ -9,16 +9,16 @@
 BEGIN = "<!-- begin: python -m tools.capacity page -->"
 END = "<!-- end -->"
 EXTRAPOLATED = " *"
-# A wall nearer than this multiple of the size is not one of growth: it stands at any size.
+# A limit below this multiple of the size does not depend on growth: any size exceeds it.
 ANY_SIZE = 1e-3
 
 
 class PageError(Exception):
-    """The page has no place for the tables; the text says what is missing."""
+    """The page lacks a marker of the place for the tables; the text names both markers."""
 
 
 def format_number(value: float) -> str:
-    """Return a figure to three digits, without a sign of more precision."""
+    """Return a number to three digits, from 1000 on a whole one, to avoid false precision."""
     if value == 0:
         return "0"
     if abs(value) >= 1000:
@@ -27,14 +27,14 @@
 
 
 def read_fits(folder: Path) -> tuple[dict[str, Series], dict[str, Fit]]:
-    """Read and fit all series that the rows name."""
+    """Read and fit all series that ROWS refers to."""
     names = sorted({name for row in ROWS for name in (row.series, row.budget_series) if name})
     series = {name: read_series(folder, name) for name in names}
     return series, {name: fit(found) for name, found in series.items()}
 
 
 def fit_text(line: Fit) -> str:
-    """Return a fitted line and how well it fits."""
+    """Return a fitted line, its number and range of points, and its residual as text."""
     return (
         f"{format_number(line.intercept)} + {format_number(line.slope)}·x; "
         f"{line.points} points to {format_number(line.largest)}, residual {line.residual:.0%}"
@@ -42,7 +42,7 @@
 
 
 def row_text(row: Row, size: Size, fits: dict[str, Fit]) -> str:
-    """Return one row of a role's table."""
+    """Return one row of a role's table as Markdown."""
     value = row.value(size, fits)
     mark = EXTRAPOLATED if row.extrapolated(size, fits) else ""
     measured = "from the protocol or the settings"
@@ -67,7 +67,7 @@
 
 
 def role_table(role: str, size: Size, fits: dict[str, Fit]) -> list[str]:
-    """Return a role's table."""
+    """Return a role's table as Markdown lines."""
     head = (
         "quantity",
         "measured line",
@@ -89,7 +89,7 @@
 
 
 def growth_limits_table(size: Size, fits: dict[str, Fit]) -> list[str]:
-    """Return the table of walls, the nearest first."""
+    """Return the table of multiples of the size at which budgets are reached, smallest first."""
     found = [(at, row) for row in ROWS if (at := row.growth_limit(size, fits)) is not None]
     found.sort(key=lambda pair: pair[0])
     lines = [
@@ -115,7 +115,7 @@
 
 
 def series_table(series: dict[str, Series]) -> list[str]:
-    """Return the table of what was measured how."""
+    """Return the table of series: quantity, variable, conditions, points and command."""
     lines = [
         "### Series",
         "",
@@ -134,7 +134,7 @@
 
 
 def tables(folder: Path, size: Size) -> str:
-    """Return all tables."""
+    """Return all tables as Markdown text."""
     series, fits = read_fits(folder)
     lines: list[str] = []
     for role in ROLES:
--- a/tools/capacity/scale_series.py
+++ b/tools/capacity/scale_series.py
@@ -1,4 +1,4 @@
-"""Series from reports of the scale run: whole processes over loopback, by the workers of a run."""
+"""Series from the scale run's reports: whole processes over loopback, by number of workers."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -11,7 +11,7 @@
 
 
 class ScaleSeries(NamedTuple):
-    """A quantity of a report."""
+    """A series that takes one quantity from each report."""
 
     name: str
     quantity: str
@@ -66,7 +66,7 @@
 
 
 def read_report(path: Path) -> Report:
-    """Read a run's report; raises ValueError with one line."""
+    """Read a run's report; raises ValueError with a one-line text."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=Report)
     except (OSError, msgspec.DecodeError) as error:
@@ -74,13 +74,17 @@
 
 
 def scale_series(paths: list[Path], workers: float, measured: str) -> list[Series]:
-    """Return the series of runs of one configuration at several fractions; `workers` is the
-    whole's. A run that was not complete, or broke a rule, is refused.
+    """Return the series of runs of one configuration at several fractions.
+
+    `workers` is the number of workers at fraction 1. Raises ValueError for a run that is
+    incomplete or broke a rule.
     """
     reports = sorted((read_report(path) for path in paths), key=lambda row: row.fraction)
     for report in reports:
         if not report.complete or any(report.rules.values()):
-            raise ValueError(f"fraction {report.fraction:g}: not complete, or a rule was broken")
+            raise ValueError(
+                f"fraction {report.fraction:g}: the run is incomplete or broke a rule"
+            )
     fixed = f"{reports[0].controllers} controllers, {reports[0].seconds:.0f} s"
     return [
         Series(
--- a/tools/capacity/series.py
+++ b/tools/capacity/series.py
@@ -1,23 +1,23 @@
-"""A measured series: one quantity at several sizes of one variable, and the line through it."""
+"""A measured series: one quantity at several values of one variable, and its fitted line."""
 
 import math
 from pathlib import Path
 
 import msgspec
 
-# A line needs more points than this to say anything of how well it fits.
+# Fewer points do not show how well a line fits.
 MIN_POINTS = 4
 
 
 class Point(msgspec.Struct, frozen=True, array_like=True):
-    """One size and what was measured there."""
+    """A value of the variable (`x`) and the quantity measured there (`y`)."""
 
     x: float
     y: float
 
 
 class Series(msgspec.Struct, frozen=True):
-    """One quantity against one variable, all else held fixed, as a measurement wrote it."""
+    """A quantity measured against one variable; `fixed` states the conditions held constant."""
 
     name: str
     variable: str
@@ -30,8 +30,10 @@
 
 
 class Fit(msgspec.Struct, frozen=True):
-    """The least-squares line through a series, and its largest distance from a point as a share
-    of the series' largest value.
+    """The least-squares line through a series.
+
+    `residual` is the largest distance of a point from the line, as a share of the largest absolute
+    value. `largest` is the largest x and `highest` the largest y.
     """
 
     slope: float
@@ -42,11 +44,11 @@
     highest: float
 
     def value_at(self, x: float) -> float:
-        """Return the line's value at a size."""
+        """Return the line's value at `x`."""
         return self.intercept + self.slope * x
 
     def beyond(self, x: float) -> bool:
-        """Whether a size lies beyond the largest that was measured."""
+        """Whether `x` is larger than all measured values."""
         return x > self.largest * (1 + 1e-9)
 
 
@@ -76,12 +78,12 @@
 
 
 def series_path(folder: Path, name: str) -> Path:
-    """Return the file of a series."""
+    """Return the path of a series file."""
     return folder / f"{name}.json"
 
 
 def write_series(folder: Path, series: Series) -> Path:
-    """Write a series; return its file."""
+    """Write a series; return its path."""
     folder.mkdir(parents=True, exist_ok=True)
     path = series_path(folder, series.name)
     path.write_bytes(msgspec.json.format(msgspec.json.encode(series), indent=1) + b"\n")
@@ -89,7 +91,7 @@
 
 
 def read_series(folder: Path, name: str) -> Series:
-    """Read a series; raises ValueError with one line."""
+    """Read a series; raises ValueError with a one-line text."""
     path = series_path(folder, name)
     try:
         return msgspec.json.decode(path.read_bytes(), type=Series)
--- a/tools/capacity/size.py
+++ b/tools/capacity/size.py
@@ -1,4 +1,4 @@
-"""The size that the service is designed for, as docs/capacity/size.toml states it."""
+"""The size that the service is designed for, read from docs/capacity/size.toml."""
 
 import tomllib
 from pathlib import Path
@@ -9,7 +9,7 @@
 
 
 class Target(msgspec.Struct, frozen=True):
-    """The operators' size: counts, and rates a second unless the name says otherwise."""
+    """The size the operators require: counts, and rates per second unless the name has a unit."""
 
     workers: float
     jobs_a_day: float
@@ -26,7 +26,7 @@
 
 
 class Assumed(msgspec.Struct, frozen=True):
-    """What the operators do not say and the sums need."""
+    """Values that the estimates need and the operators do not state."""
 
     report_s: float
     history_days: float
@@ -38,7 +38,7 @@
 
 
 class Budget(msgspec.Struct, frozen=True):
-    """What a role may spend: cores, MB, bytes a second, operations a second, seconds."""
+    """Limits for each role: cores, MB, bytes/s, operations/s, seconds, sockets, sizes in bytes."""
 
     worker_bytes: float
     controller_cores: float
@@ -60,8 +60,9 @@
     budget: Budget
 
     def grown(self, factor: float) -> "Size":
-        """Return this size with all load and all machines multiplied; what the deployment is
-        built of (teams, regions, zones, controllers) and the budgets stay.
+        """Return this size with all load and all machines multiplied by `factor`.
+
+        The layout (teams, regions, zones, controllers) and the budgets stay the same.
         """
         target = self.target
         return msgspec.structs.replace(
@@ -87,17 +88,17 @@
 
     @property
     def workers_per_controller(self) -> float:
-        """Workers that one controller hears, evenly spread."""
+        """Workers that report to one controller, if evenly spread."""
         return self.target.workers / self.target.controllers
 
     @property
     def reports_per_s(self) -> float:
-        """Reports a second of all workers: the periodic ones, and one for each start and end."""
+        """Reports per second of all workers: periodic ones, and one for each start and end."""
         return self.target.workers / self.assumed.report_s + 2 * self.target.starts
 
     @property
     def tasks_per_worker(self) -> float:
-        """Tasks that run on a worker, on average."""
+        """Average number of tasks that run on a worker."""
         return self.target.running_tasks / self.target.workers
 
     @property
@@ -107,7 +108,7 @@
 
 
 def read_size(path: Path) -> Size:
-    """Read the size file; raises ValueError with one line."""
+    """Read the size file; raises ValueError with a one-line text."""
     try:
         return msgspec.convert(tomllib.loads(path.read_text()), Size)
     except (OSError, tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
--- a/tools/capacity/table.py
+++ b/tools/capacity/table.py
@@ -1,4 +1,4 @@
-"""The rows of docs/CAPACITY.md: what a role spends at a size, worked out from measured lines."""
+"""The rows of docs/CAPACITY.md: what each role uses at a size, computed from fitted lines."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -6,9 +6,9 @@
 from tools.capacity.series import Fit
 from tools.capacity.size import Size
 
-# A wall that is further away than this multiple of the size is not looked for.
+# Growth limits are searched up to this multiple of the size.
 MAX_GROWTH = 64.0
-# Halvings of the interval in which a wall lies.
+# Bisection steps in the search for a growth limit.
 BISECTION_STEPS = 40
 
 BUILT = "built"
@@ -31,9 +31,9 @@
 
 
 class Row(NamedTuple):
-    """One quantity of a role: a measured line at a size, times a rate or count.
+    """One quantity of a role: a fitted line's value at `variable`, times a rate or count `factor`.
 
-    Without a series the quantity follows from the protocol or the settings, and `factor` is it.
+    Without a series, the quantity follows from the protocol or the settings, and is `factor`.
     """
 
     role: str
@@ -46,7 +46,7 @@
     budget: SizeFunction | None
     mechanism: str
     status: str
-    # A series whose highest value is the budget: what was reached, however much was offered.
+    # Series whose highest value is the budget: the highest rate reached under any offered load.
     budget_series: str | None = None
 
     def limit(self, size: Size, fits: dict[str, Fit]) -> float | None:
@@ -62,7 +62,7 @@
         return fits[self.series].value_at(self.variable(size)) * self.factor(size)
 
     def extrapolated(self, size: Size, fits: dict[str, Fit]) -> bool:
-        """Whether the size lies beyond what was measured."""
+        """Whether the size is beyond the measured points."""
         return (
             self.series is not None
             and self.variable is not None
@@ -70,8 +70,8 @@
         )
 
     def growth_limit(self, size: Size, fits: dict[str, Fit]) -> float | None:
-        """Return the multiple of the size at which the budget is met; None without a budget or
-        beyond MAX_GROWTH.
+        """Return the multiple of the size at which the budget is reached; None without a budget
+        or beyond MAX_GROWTH.
         """
         budget = self.limit(size, fits)
         if budget is None:
@@ -89,7 +89,7 @@
 
 
 def times_one(_: Size) -> float:
-    """Return 1: the line's value is the quantity."""
+    """Return 1, the factor of a row whose quantity is the line's value."""
     return 1.0
 
 
@@ -106,12 +106,12 @@
 
 
 def _reports_per_controller(size: Size) -> float:
-    """Reports a second at one controller."""
+    """Reports per second at one controller."""
     return size.reports_per_s / size.target.controllers
 
 
 def _changed_reports(size: Size) -> float:
-    """Reports a second, of all workers, that change what runs."""
+    """Reports per second, of all workers, that change which tasks run."""
     return 2 * size.target.starts
 
 
