--- a/tools/cost.py
+++ b/tools/cost.py
@@ -1,8 +1,8 @@
-"""What a controller's work costs as the fleet grows: real time on one core of this machine.
+"""Measure the processor time of a controller as the fleet grows, on one core of this machine.
 
-One controller is driven step by step with no sockets: a stub grants its lease and accepts all its
-transactions. Machines report to a peer (so that jobs keep waiting, as in a burst) or to the
-controller itself. Times are in milliseconds of processor time.
+One controller is stepped without sockets; a stub grants its lease and accepts all transactions.
+Machines report either to a peer, so that jobs keep waiting as in a burst, or to the controller
+itself. Times are in milliseconds of processor time.
 """
 
 import random
@@ -40,12 +40,12 @@
 MACHINE_TYPE = MachineType("big", 48.0, 4.0, 288.0, 120.0, 0.4, 10.0, 3.0, 30.0, ZONES)
 IMAGE_COUNT = 12
 REPORT_S = 2.5
-# Times are recorded in microseconds, up to a minute, to three digits.
+# Longest recorded time: one minute, in microseconds. Histograms keep three significant digits.
 MAX_TIME_US = 60_000_000
 
 
 def job_spec(rng: random.Random, number: int) -> JobSpec:
-    """Return a job of one of the classes that the deployments have."""
+    """Return a random job of a kind and size that occurs in deployments."""
     kind, tasks, cpus, gpus = rng.choice(
         (("array", 35, 10.0, 1.0), ("gang", 4, 21.0, 2.0), ("service", 4, 8.0, 1.0))
     )
@@ -73,7 +73,10 @@
 
 
 class Bench:
-    """One controller and the stub round it."""
+    """One controller and stubs of the services around it.
+
+    If `managed` is set, machines report to this controller, otherwise to its peer.
+    """
 
     def __init__(self, machines: int, managed: bool, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -103,7 +106,10 @@
         self.step(self.report(name) for name in self.machine_names)
 
     def step(self, commands: Iterable[messages.Command]) -> float:
-        """Make one step; return its processor time in seconds. The stub answers at once."""
+        """Run one step; return its processor time in seconds.
+
+        The stub answers at once; the time of the steps that take its answers is included.
+        """
         batch = list(commands)
         start = time.process_time()
         effects = self.core.step(self.now, batch)
@@ -126,19 +132,19 @@
         return cpu_s + (self.step(answers) if answers else 0.0)
 
     def advance(self, seconds: float) -> None:
-        """Let that much time pass."""
+        """Run ticks for some seconds of simulated time."""
         for _ in range(int(seconds * 10)):
             self.tick()
 
     def tick(self) -> float:
-        """Pass a tenth of a second with current records; return the step's processor time."""
+        """Advance 0.1 s with records and machines up to date; return the step's processor time."""
         self.now += 0.1
         for machine in self.core.context.machines.values():
             machine.last_heartbeat_at = self.now
         return self.step([messages.ApplyWatchEvents([], self.revision, self.now)])
 
     def report(self, name: str) -> messages.Command:
-        """Return a report, or a peer's word of one."""
+        """Return a machine's report, or a peer's view of the machine if it reports to the peer."""
         number = int(name[2:])
         self.sequence[name] += 1
         zone, spot = ZONES[number % 3], number % 5 == 0
@@ -181,7 +187,7 @@
         )
 
     def fill_machines(self) -> None:
-        """Give each machine one service that takes all of it."""
+        """Bind to each machine one service that uses all its resources."""
         rows: list[tuple[str, Any, int]] = []
         for number, name in enumerate(self.machine_names):
             self.revision += 1
@@ -215,7 +221,7 @@
         self.step([messages.ApplyWatchEvents(rows, self.revision, self.now)])
 
     def submit_jobs(self, jobs: int) -> None:
-        """Add jobs to the records, of the classes that the deployments have."""
+        """Add jobs to the records, of kinds and sizes that occur in deployments."""
         rows: list[tuple[str, Any, int]] = []
         for number in range(jobs):
             self.revision += 1
@@ -231,7 +237,7 @@
 
 
 def measure(run: Callable[[], float], count: int) -> HdrHistogram:
-    """Return the distribution of so many runs after a first one, in microseconds."""
+    """Return the distribution of `count` runs in microseconds, after one warm-up run."""
     run()
     times_us = HdrHistogram(1, MAX_TIME_US, 3)
     for _ in range(count):
@@ -240,7 +246,7 @@
 
 
 def burst(machines: int, jobs: int, ticks: int, seed: int) -> HdrHistogram:
-    """Ticks with jobs waiting and idle machines at a peer: what sampling costs."""
+    """Measure ticks with waiting jobs and idle machines at a peer: the cost of sampling."""
     bench = Bench(machines, False, seed)
     bench.submit_jobs(jobs)
     bench.core.autoscaler.tick = lambda: None  # type: ignore[method-assign]
@@ -248,8 +254,10 @@
 
 
 def waiting(machines: int, jobs: int, ticks: int, seed: int) -> HdrHistogram:
-    """Ticks while jobs wait, all machines are full, the cloud has no more and nothing changes; the
-    fleet's pass that comes once a second and the looks of the safety net are counted.
+    """Measure ticks while jobs wait, all machines are full and the cloud has no capacity.
+
+    Nothing changes meanwhile. The fleet pass, once per second, and the retries that guard against
+    missed changes are included.
     """
     bench = Bench(machines, False, seed)
     bench.fill_machines()
@@ -259,14 +267,14 @@
 
 
 def quiet(machines: int, ticks: int, seed: int) -> HdrHistogram:
-    """Ticks with nothing to do."""
+    """Measure ticks with nothing to do."""
     bench = Bench(machines, False, seed)
     bench.core.autoscaler.tick = lambda: None  # type: ignore[method-assign]
     return measure(bench.tick, ticks)
 
 
 def fleet_pass(machines: int, jobs: int, passes: int, seed: int) -> HdrHistogram:
-    """The pass over the fleet that comes once a second, with jobs waiting."""
+    """Measure the fleet pass, which runs once per second, with waiting jobs."""
     bench = Bench(machines, False, seed)
     bench.submit_jobs(jobs)
     bench.advance(1.0)
@@ -286,8 +294,9 @@
 
 
 def load(records: int, seed: int) -> tuple[float, float]:
-    """Return the seconds in which a controller takes a list of all records, as after its start,
-    and the megabytes that it holds them in: of ten jobs nine are over, one has 35 tasks bound.
+    """Return the seconds to load all records, as after a start, and the memory used in MB.
+
+    Of ten jobs, nine are done and one has 35 bound tasks.
     """
     rng = random.Random(seed)
     rows: list[tuple[str, Any, int]] = []
@@ -312,13 +321,16 @@
 
 
 def resident_mb() -> float:
-    """Return the memory of this process in megabytes."""
+    """Return the resident memory of this process in megabytes."""
     pages = int(Path("/proc/self/statm").read_text().split()[1])
     return pages * resource.getpagesize() / 1e6
 
 
 def heartbeats(machines: int, count: int, seed: int) -> tuple[HdrHistogram, float]:
-    """Reports that change what runs on a machine of ours; also bytes to one peer for each."""
+    """Measure reports that change the running tasks of a managed machine.
+
+    Also return the bytes sent to the one peer for each report.
+    """
     bench = Bench(machines, True, seed)
     bench.sent.clear()
     serial = 0
@@ -340,15 +352,20 @@
 @click.option(
     "--machines", "sizes", type=int, multiple=True, default=(600, 2000, 6000), show_default=True
 )
-@click.option("--jobs", default=200, show_default=True, help="Jobs that wait.")
-@click.option("--ticks", default=40, show_default=True, help="Ticks, passes and reports / 10.")
+@click.option("--jobs", default=200, show_default=True, help="Waiting jobs.")
+@click.option(
+    "--ticks",
+    default=40,
+    show_default=True,
+    help="Ticks per measurement; ten times as many reports, a quarter of the fleet passes.",
+)
 @click.option(
     "--records",
     type=int,
     multiple=True,
     default=(1000, 10_000),
     show_default=True,
-    help="Jobs in the records that a controller takes at its start.",
+    help="Jobs in the records that a controller loads at its start.",
 )
 @click.option(
     "--waiting",
@@ -357,7 +374,7 @@
     multiple=True,
     default=(4000, 40_000),
     show_default=True,
-    help="Jobs that wait in a full fleet.",
+    help="Jobs waiting while the fleet is full.",
 )
 @click.option("--seed", default=1, show_default=True)
 def main(
@@ -368,8 +385,8 @@
     waiting_counts: tuple[int, ...],
     seed: int,
 ) -> None:
-    """Print the table."""
-    click.echo("machines  what          mean ms  median ms  p99 ms")
+    """Print the table of processor times."""
+    click.echo("machines  measured      mean ms  median ms  p99 ms")
 
     def show(size: int, label: str, times_us: HdrHistogram) -> None:
         click.echo(
@@ -390,7 +407,7 @@
     for count in records:
         cpu_s, memory_mb = load(count, seed)
         click.echo(
-            f"{count:8}  records taken after a start: {cpu_s * 1000:.0f} ms, {memory_mb:.1f} MB"
+            f"{count:8}  records loaded at a start: {cpu_s * 1000:.0f} ms, {memory_mb:.1f} MB"
         )
 
 
