--- a/tools/capacity/measurements.py
+++ b/tools/capacity/measurements.py
@@ -222,7 +222,7 @@
 
 
 def sampling_ms(machines: float) -> float:
-    """Processor time of a tick that places 200 waiting jobs on idle machines."""
+    """Processor time of a tick in which 200 jobs search for capacity on idle machines."""
     return cost.burst(int(machines), 200, 20, SEED).get_mean_value() / 1000
 
 
@@ -307,12 +307,12 @@
 
 
 def load_cores(starts: float) -> float:
-    """Processor cores that the controller core needs per start rate, for arrays of ten tasks."""
+    """Processor cores that the core needs at a start rate, for arrays of ten tasks."""
     return run_load(starts, 10).cores
 
 
 def hot_team_cores(starts: float) -> float:
-    """Processor cores that the controller core needs if all arrays belong to one team."""
+    """Processor cores needed at a start rate, for one team's arrays of ten tasks."""
     return run_load(starts, 10, teams=1).cores
 
 
@@ -322,7 +322,7 @@
 
 
 def teams_ms(teams: float) -> float:
-    """Processor time of a tick if each owned team has one waiting job."""
+    """Processor time of a tick if a controller owns all teams and each has one waiting job."""
     cell = Cell(100, teams=int(teams))
     cell.run(4.0)
     for name in team_names(int(teams)):
@@ -334,7 +334,7 @@
 
 
 def zones_ms(zones: float) -> float:
-    """Processor time of a tick that places 200 waiting jobs on 990 idle machines."""
+    """Processor time of a tick in which 200 jobs search 990 idle machines by zones."""
     old_zones, old_type = cost.ZONES, cost.MACHINE_TYPE
     cost.ZONES = zone_names(int(zones))
     cost.MACHINE_TYPE = msgspec.structs.replace(old_type, zones=cost.ZONES)
@@ -492,7 +492,7 @@
 FLEET_SIZES = (500, 1000, 2000, 4300)
 TASK_SIZES = (0, 2, 4, 8, 16)
 START_SIZES = (20, 40, 80, 160)
-# Above 40/s, one controller does not start one-task jobs as fast as they arrive (`alike_starts`).
+# At higher rates one controller starts one-task jobs slower than they arrive (`alike_starts`).
 SINGLE_SIZES = (5, 10, 20, 40)
 OFFERED_SIZES = (20, 40, 80, 160, 320)
 HISTORY_SIZES = (15_250, 30_500, 61_000, 122_000, 244_000)
--- a/tools/spread.py
+++ b/tools/spread.py
@@ -100,12 +100,10 @@
 
         An array starts when its first task runs, any other job when all its tasks run.
         """
-        fields, running_at = self.jobs[job], self.first_running_at.get(job, {})
-        if len(running_at) < (1 if fields["kind"] == "array" else int(fields["tasks"])):
+        fields, times = self.jobs[job], self.first_running_at.get(job, {})
+        if len(times) < (1 if fields["kind"] == "array" else int(fields["tasks"])):
             return None
-        return (min if fields["kind"] == "array" else max)(running_at.values()) - self.accepted_at[
-            job
-        ]
+        return (min if fields["kind"] == "array" else max)(times.values()) - self.accepted_at[job]
 
     def starts_by_group(self) -> Iterator[tuple[str, int, int, float]]:
         """Yield (group, jobs, jobs started in time, longest wait in s) for each class, each team,
