--- a/tools/capacity/__main__.py
+++ b/tools/capacity/__main__.py
@@ -1,6 +1,6 @@
-"""Command line: measure series, make the page's tables, check that page and files agree.
+"""Measure series, write the tables of docs/CAPACITY.md, check that page and files agree.
 
-Exit codes: 0 all is well, 1 the page and the files disagree, 2 bad input.
+Exit codes: 0 success, 1 the page and the files disagree, 2 bad input.
 """
 
 import sys
@@ -23,45 +23,45 @@
 
 @click.group(help=__doc__)
 def main() -> None:
-    """Group the commands."""
+    """Hold the commands."""
 
 
 @main.command()
 @click.argument("names", nargs=-1)
 @click.option("--folder", type=click.Path(file_okay=False, path_type=Path), default=FOLDER)
 def measure(names: tuple[str, ...], folder: Path) -> None:
-    """Measure the series NAMES, or all, and write their files."""
-    known = {found.name: found for found in MEASUREMENTS}
-    wrong = [name for name in names if name not in known]
-    if wrong:
-        raise click.UsageError(f"no series {wrong[0]}; there are: {', '.join(known)}")
+    """Measure the series NAMES (default: all) and write their files."""
+    known = {measurement.name: measurement for measurement in MEASUREMENTS}
+    unknown = [name for name in names if name not in known]
+    if unknown:
+        raise click.UsageError(f"unknown series {unknown[0]}; known: {', '.join(known)}")
     for name in names or known:
-        show(record(known[name], folder))
+        show(measure_series(known[name], folder))
 
 
-def record(wanted: Measurement, folder: Path) -> Series:
+def measure_series(measurement: Measurement, folder: Path) -> Series:
     """Measure one series and write its file."""
     series = Series(
-        wanted.name,
-        wanted.variable,
-        wanted.quantity,
-        wanted.unit,
-        wanted.fixed,
-        f"python -m tools.capacity measure {wanted.name}",
-        now(),
-        wanted.points(),
+        measurement.name,
+        measurement.variable,
+        measurement.quantity,
+        measurement.unit,
+        measurement.fixed,
+        f"python -m tools.capacity measure {measurement.name}",
+        utc_now(),
+        measurement.points(),
     )
     write_series(folder, series)
     return series
 
 
 def show(series: Series) -> None:
-    """Print a series in one line."""
-    found = fit(series)
+    """Print a series and its fit in one line."""
+    line = fit(series)
     points = " ".join(f"{point.x:g}:{point.y:.4g}" for point in series.points)
     click.echo(
-        f"{series.name}: {points} {series.unit}; slope {found.slope:.4g}, "
-        f"intercept {found.intercept:.4g}, residual {found.residual:.1%}"
+        f"{series.name}: {points} {series.unit}; slope {line.slope:.4g}, "
+        f"intercept {line.intercept:.4g}, residual {line.residual:.1%}"
     )
 
 
@@ -71,18 +71,18 @@
 )
 @click.option("--folder", type=click.Path(file_okay=False, path_type=Path), default=FOLDER)
 def scale(reports: tuple[Path, ...], folder: Path) -> None:
-    """Write the series of the scale run's REPORTS, one for each fraction."""
+    """Write the series of the scale run, from REPORTS with one report per fraction."""
     try:
         workers = read_size(folder / SIZE_FILE).target.workers
-        for series in scale_series(list(reports), workers, now()):
+        for series in scale_series(list(reports), workers, utc_now()):
             write_series(folder, series)
             show(series)
     except ValueError as error:
         raise click.UsageError(str(error)) from None
 
 
-def now() -> str:
-    """Return the present time as the series have it."""
+def utc_now() -> str:
+    """Return the current time in the format of the series files."""
     return datetime.now(UTC).strftime("%Y-%m-%dT%H:%M:%SZ")
 
 
@@ -91,7 +91,7 @@
 @click.option("--folder", type=click.Path(file_okay=False, path_type=Path), default=FOLDER)
 @click.option("--page", "path", type=click.Path(dir_okay=False, path_type=Path), default=PAGE)
 def page(check: bool, folder: Path, path: Path) -> None:
-    """Make the tables of docs/CAPACITY.md anew from the series' files."""
+    """Regenerate the tables of docs/CAPACITY.md from the series files."""
     try:
         before = path.read_text()
         after = replace_tables(before, tables(folder, read_size(folder / SIZE_FILE)))
--- a/tools/capacity/cell.py
+++ b/tools/capacity/cell.py
@@ -1,7 +1,7 @@
-"""One controller as owner and keeper of everything, driven step by step without sockets.
+"""One controller that owns all teams and manages all workers, stepped without sockets.
 
-Workers, the state service and the cloud are stubs in this process: transactions are answered one
-step later, all of them with success, and counted by the kind of record that they change.
+Workers, the state service and the cloud are stubs in this process. Each transaction succeeds one
+step later; changes are counted by the kind of record.
 """
 
 import random
@@ -26,25 +26,26 @@
     WorkerTimings,
 )
 
-# Seconds from one step of the core to the next; a transaction is answered one step later.
+# Seconds between steps of the core; a transaction is answered one step later.
 STEP_S = 0.02
-# Seconds between two reports of a worker, and between two that changes cause.
+# Seconds between periodic reports of a worker.
 REPORT_S = 2.5
-CHANGE_S = 0.5
-# Limits that are no limits here: what is measured is the controller.
+# Shortest time between two reports, in seconds, when changes cause them.
+MIN_REPORT_GAP_S = 0.5
+# Quotas and service limits too high to take effect, so that only the controller is measured.
 UNLIMITED = 1e6
-# A machine has room for this many tasks of one CPU.
-MACHINE_TASKS = 16
+# Tasks of one CPU that fit on a machine.
+TASKS_PER_MACHINE = 16
 IMAGE = "image"
 
 
 def zone_names(count: int) -> list[str]:
-    """Return names of so many zones."""
+    """Return the names of `count` zones."""
     return [f"zone-{number}" for number in range(count)]
 
 
 def team_names(count: int) -> list[str]:
-    """Return names of so many teams."""
+    """Return the names of `count` teams."""
     return [f"team-{number}" for number in range(count)]
 
 
@@ -95,7 +96,7 @@
 
 
 class StubWorker:
-    """A machine that starts what it is told to and ends it after `run_s`."""
+    """A machine that starts each task it is ordered to and ends it after `run_s`."""
 
     def __init__(self, name: str, zone: str, first_report: float, run_s: float) -> None:
         self.name = name
@@ -104,25 +105,25 @@
         self.sequence = 0
         self.fencing_token = 0
         self.tasks: dict[tuple[str, int], tuple[str, str, bool]] = {}
-        self.ends: dict[tuple[str, int], float] = {}
+        self.end_times: dict[tuple[str, int], float] = {}
         self.next_report = first_report
-        self.reported = -CHANGE_S
+        self.last_report = -MIN_REPORT_GAP_S
 
-    def changed(self, now: float) -> None:
-        """Report sooner: something changed."""
-        self.next_report = min(self.next_report, max(now, self.reported + CHANGE_S))
+    def report_soon(self, now: float) -> None:
+        """Report a change now, or MIN_REPORT_GAP_S after the last report if that is later."""
+        self.next_report = min(self.next_report, max(now, self.last_report + MIN_REPORT_GAP_S))
 
     def advance(self, now: float) -> None:
-        """End the tasks whose time is over."""
-        for task in [task for task, end in self.ends.items() if end <= now]:
-            del self.ends[task]
+        """End the tasks whose run time is over."""
+        for task in [task for task, end in self.end_times.items() if end <= now]:
+            del self.end_times[task]
             self.tasks[task] = ("exited", "done", False)
-            self.changed(now)
+            self.report_soon(now)
 
     def heartbeat(self, now: float) -> Heartbeat:
-        """Return the report that is due."""
+        """Return a report, and schedule the next periodic one."""
         self.sequence += 1
-        self.reported = now
+        self.last_report = now
         self.next_report = now + REPORT_S
         return Heartbeat(
             self.name,
@@ -137,18 +138,18 @@
             dict(self.tasks),
         )
 
-    def obey(self, fencing_token: int, orders: list[dict], now: float) -> int:
-        """Carry out commands; return how many tasks they started."""
+    def execute(self, fencing_token: int, orders: list[dict], now: float) -> int:
+        """Execute orders; return how many tasks they started."""
         if fencing_token > self.fencing_token:
             self.fencing_token = fencing_token
-            self.changed(now)
+            self.report_soon(now)
         started = 0
         for order in orders:
             task = (order["piece"], order["try"])
             if order["verb"] == COMMAND_VERBS["start"] and task not in self.tasks:
                 self.tasks[task] = ("running", "", False)
-                self.ends[task] = now + self.run_s
-                self.changed(now)
+                self.end_times[task] = now + self.run_s
+                self.report_soon(now)
                 started += 1
             elif order["verb"] == COMMAND_VERBS["forget"]:
                 self.tasks.pop(task, None)
@@ -156,7 +157,7 @@
 
 
 class Cell:
-    """A controller with stub workers round it; counts changes, starts and processor time."""
+    """A controller with stub workers; counts record changes, starts and processor time."""
 
     def __init__(
         self, machines: int, teams: int = 4, zones: int = 3, run_s: float = 10.0, seed: int = 1
@@ -165,7 +166,7 @@
         self.core = Controller(cell_settings(teams, zones, 1), random.Random(seed), 0)
         self.now = 0.0
         self.revision = 0
-        self.spent_s = 0.0
+        self.cpu_s = 0.0
         self.starts = 0
         self.changes: Counter[str] = Counter()
         self.transactions = 0
@@ -179,21 +180,21 @@
             for number in range(machines)
         ]
         self.by_name = {worker.name: worker for worker in self.workers}
-        kind = MachineType(
-            "big", float(MACHINE_TASKS), 0.0, 64.0, 100.0, 1.0, 10.0, 3.0, 30.0, names
+        machine_type = MachineType(
+            "big", float(TASKS_PER_MACHINE), 0.0, 64.0, 100.0, 1.0, 10.0, 3.0, 30.0, names
         )
-        self.pending.append(messages.UpdateMachineTypes([kind]))
+        self.pending.append(messages.UpdateMachineTypes([machine_type]))
         self.pending.append(messages.LoadSnapshot([], 0, 0.0))
 
-    def run(self, seconds: float, submit: dict[int, list[JobSpec]] | None = None) -> None:
-        """Pass that much time; `submit` holds jobs by the step in which they come."""
+    def run(self, seconds: float, arrivals: dict[int, list[JobSpec]] | None = None) -> None:
+        """Simulate some seconds; `arrivals` maps a step's number to the jobs submitted in it."""
         for number in range(round(seconds / STEP_S)):
-            for spec in (submit or {}).get(number, ()):
+            for spec in (arrivals or {}).get(number, ()):
                 self.submit(spec)
             self._step()
 
     def submit(self, spec: JobSpec) -> None:
-        """Submit a job with the next step."""
+        """Submit a job in the next step."""
         job_id = f"job-{self.rng.randrange(10**12)}"
         self.pending.append(messages.SubmitJob(None, job_id, spec, ""))
 
@@ -205,9 +206,9 @@
             if worker.next_report <= self.now:
                 commands.append(messages.ReceiveHeartbeat(worker.name, worker.heartbeat(self.now)))
         commands.append(messages.ApplyWatchEvents([], self.revision, self.now))
-        begun = time.process_time()
+        start = time.process_time()
         effects = self.core.step(self.now, commands)
-        self.spent_s += time.process_time() - begun
+        self.cpu_s += time.process_time() - start
         for effect in effects:
             self._carry_out(effect)
 
@@ -216,9 +217,9 @@
             case messages.Answer(name, _, ("orders", fencing_token, commands)):
                 if name in self.by_name:
                     worker = self.by_name[name]
-                    self.starts += worker.obey(fencing_token, commands, self.now)
+                    self.starts += worker.execute(fencing_token, commands, self.now)
             case messages.SendWorkerCommands():
-                self._direct(effect)
+                self._execute_direct(effect)
             case messages.GrantLease(operation):
                 self.pending.append(messages.OperationDone(operation, 200, 1))
             case messages.RenewLease(operation):
@@ -228,10 +229,10 @@
             case messages.RentInstances(operation):
                 self.pending.append(messages.OperationDone(operation, 503, "no capacity"))
 
-    def _direct(self, effect: messages.SendWorkerCommands) -> None:
-        """Carry out direct commands; a stub's address is its name."""
+    def _execute_direct(self, effect: messages.SendWorkerCommands) -> None:
+        """Execute commands sent directly to a worker; a stub worker's address is its name."""
         worker = self.by_name[effect.addr]
-        self.starts += worker.obey(effect.fencing_token, effect.commands, self.now)
+        self.starts += worker.execute(effect.fencing_token, effect.commands, self.now)
         self.pending.append(
             messages.OperationDone(effect.operation, "ok", worker.heartbeat(self.now))
         )
@@ -254,11 +255,11 @@
         self.pending.append(messages.OperationDone(effect.operation, 200, (self.revision, [])))
 
 
-def steady(
-    jobs_a_second: float, seconds: float, make: list[JobSpec], rng: random.Random
+def steady_arrivals(
+    jobs_a_second: float, seconds: float, specs: list[JobSpec], rng: random.Random
 ) -> dict[int, list[JobSpec]]:
-    """Return jobs drawn from `make` at a rate, by the step in which they come."""
-    plan: dict[int, list[JobSpec]] = {}
+    """Return random jobs from `specs` at a rate, by the number of the step they arrive in."""
+    arrivals: dict[int, list[JobSpec]] = {}
     for _ in range(round(jobs_a_second * seconds)):
-        plan.setdefault(rng.randrange(round(seconds / STEP_S)), []).append(rng.choice(make))
-    return plan
+        arrivals.setdefault(rng.randrange(round(seconds / STEP_S)), []).append(rng.choice(specs))
+    return arrivals
--- a/tools/capacity/measurements.py
+++ b/tools/capacity/measurements.py
@@ -1,7 +1,7 @@
-"""The measurements: each varies one thing over at least four sizes and returns the points.
+"""The measurements: each varies one variable over at least four sizes and returns the points.
 
-Processor times are of one core of the machine that measured, as the process's own accounting has
-them. Nothing here opens a socket; what sockets cost is measured by `python -m tools.scale`.
+Processor times are those that the process accounts for, on one core of the machine at hand.
+Nothing here opens a socket; `python -m tools.scale` measures the cost of sockets.
 """
 
 import gc
@@ -29,23 +29,30 @@
 from oakmux.core.state.records import Binding, TaskBlock
 from oakmux.transport.http_server import render
 from tools import cost
-from tools.capacity.cell import Cell, cell_settings, cpu_job, steady, team_names, zone_names
+from tools.capacity.cell import (
+    Cell,
+    cell_settings,
+    cpu_job,
+    steady_arrivals,
+    team_names,
+    zone_names,
+)
 from tools.capacity.series import Point
 
 SEED = 1
-# Runs of each point; the median counts, since the machine is shared.
+# Runs per point; the median is used, because other processes share the machine.
 REPEATS = 3
-# Bytes that HTTP puts before a body in a worker's request, as the protocol's examples have them.
+# HTTP request head of a worker's report; its length counts towards the report's bytes.
 REQUEST_HEAD = (
     b"POST /agent/beat HTTP/1.1\r\nHost: 10.0.0.1:8080\r\n"
     b"Content-Type: application/cbor\r\nContent-Length: 1000\r\n\r\n"
 )
-# Bytes of TCP and IP round one request and its answer: two data packets and two that acknowledge.
+# TCP and IP headers of a request and its answer: two data packets and two acknowledgements.
 PACKET_BYTES = 4 * 40
 
 
 class Measurement(NamedTuple):
-    """How a series is measured: over which sizes, and what one size gives."""
+    """A series to measure: `measure` returns the quantity at one of `sizes`."""
 
     name: str
     variable: str
@@ -57,37 +64,38 @@
     repeats: int = REPEATS
 
     def points(self) -> list[Point]:
-        """Measure all sizes, each run in a process of its own: memory freed by one run would
-        hide what the next one takes.
+        """Measure all sizes, each run in a new process.
+
+        In a shared process, memory freed by one run would hide what the next run allocates.
         """
         context = multiprocessing.get_context("fork")
-        found = []
+        points = []
         for size in self.sizes:
             with context.Pool(1, maxtasksperchild=1) as pool:
                 values = sorted(pool.map(self.measure, [size] * self.repeats, chunksize=1))
-            found.append(Point(size, values[len(values) // 2]))
-        return found
+            points.append(Point(size, values[len(values) // 2]))
+        return points
 
 
 def mean_ms(run: Callable[[], float], times: int) -> float:
-    """Return the mean processor time of a run in milliseconds, after one that does not count."""
+    """Return the mean processor time of a run in milliseconds, after one warm-up run."""
     run()
     return sum(run() for _ in range(times)) / times * 1000
 
 
-def spent_s(run: Callable[[], object]) -> float:
+def cpu_s(run: Callable[[], object]) -> float:
     """Return the processor time of one call in seconds."""
     gc.collect()
-    begun = time.process_time()
+    start = time.process_time()
     run()
-    return time.process_time() - begun
+    return time.process_time() - start
 
 
 # --- workers and their reports ---
 
 
 def report_value(tasks: int) -> dict:
-    """Return a worker's report as it comes over the wire."""
+    """Return the decoded body of a worker's report."""
     return {
         "box": "n-000231",
         "addr": "10.1.0.232:9000",
@@ -106,14 +114,14 @@
 
 
 def report_bytes(tasks: float) -> float:
-    """Bytes of one report and its answer, with the packets round them."""
+    """Bytes of one report and its answer, with HTTP and packet headers."""
     body = encode(report_value(int(tasks)))
     answer = render(200, encode({"baton": 41, "orders": []}))
     return len(REQUEST_HEAD) + len(body) + len(answer) + PACKET_BYTES
 
 
 def report_parse_ms(tasks: float) -> float:
-    """Processor time to read a report and to write its answer."""
+    """Processor time to decode a report and to encode its answer."""
     body = encode(report_value(int(tasks)))
 
     def run() -> None:
@@ -121,29 +129,29 @@
             parse_heartbeat(decode(body))
             encode(answer_body(("orders", 41, [])))
 
-    return spent_s(run) / 300 * 1000
+    return cpu_s(run) / 300 * 1000
 
 
 def keeper_report_ms(machines: float) -> float:
-    """Processor time of the core for a report that changes what runs."""
-    found, _ = cost.heartbeats(int(machines), 300, SEED)
-    return found.get_mean_value() / 1000
+    """Processor time of the core for a report that changes the running tasks."""
+    times_us, _ = cost.heartbeats(int(machines), 300, SEED)
+    return times_us.get_mean_value() / 1000
 
 
 def machines_mb(machines: float) -> float:
-    """Memory of all that is known of machines that peers hear."""
+    """Memory of the views of machines that report to peers."""
     before = cost.resident_mb()
     bench = cost.Bench(int(machines), False, SEED)
-    held = cost.resident_mb() - before
+    used_mb = cost.resident_mb() - before
     assert len(bench.core.context.machines) == machines
-    return held
+    return used_mb
 
 
-# --- controllers among themselves ---
+# --- messages between controllers ---
 
 
 def view_message(number: int, sequence: int, tasks: int = 3) -> MachineView:
-    """Return the news of a machine that a keeper sends its peers."""
+    """Return the view of a machine that its manager sends to peers."""
     rows = [[f"job-{412_000 + task}/3", 2, "running", "", False] for task in range(tasks)]
     return MachineView(
         41,
@@ -162,12 +170,12 @@
 
 
 def view_bytes(tasks: float) -> float:
-    """Bytes of the news of one machine to one peer."""
+    """Bytes of the view of one machine, sent to one peer."""
     return len(cbor2.dumps(encode_message(view_message(231, 88, int(tasks)))))
 
 
 def views_ms(views: float) -> float:
-    """Processor time to take so many changed machines from a peer, decoded and applied."""
+    """Processor time to decode and apply a batch of changed views from a peer."""
     bench = cost.Bench(int(views), False, SEED)
     body = encode_batch("h1", [view_message(number, 10) for number in range(int(views))], 0)
 
@@ -176,13 +184,15 @@
         command = messages.ReceivePeerMessages(None, batch.sender, batch.messages, batch.since)
         bench.core.step(bench.now, [command])
 
-    return spent_s(run) * 1000
+    return cpu_s(run) * 1000
 
 
 def peer_sends(controllers: float) -> float:
-    """Messages that a controller sends for each report that changes what runs."""
+    """Messages that a controller sends for each report that changes the running tasks."""
     core = Controller(cell_settings(2, 3, int(controllers)), random.Random(SEED), 0)
-    core.step(0.0, [messages.UpdateMachineTypes([cost.TYPE]), messages.LoadSnapshot([], 0, 0.0)])
+    core.step(
+        0.0, [messages.UpdateMachineTypes([cost.MACHINE_TYPE]), messages.LoadSnapshot([], 0, 0.0)]
+    )
     core.context.term = core.context.incarnation = 1
     sent = 0
     for sequence in range(1, 21):
@@ -203,7 +213,7 @@
 
 
 def heartbeat_bytes(machines: float) -> float:
-    """Bytes of the heartbeat that names the machines which a controller hears, to one peer."""
+    """Bytes of the message to one peer that lists the machines which report to a controller."""
     names = [f"n-{number:06}" for number in range(int(machines))]
     return len(cbor2.dumps(encode_message(MachinesAlive(names))))
 
@@ -212,45 +222,45 @@
 
 
 def sampling_ms(machines: float) -> float:
-    """A tick with 200 jobs that look for room on idle machines."""
+    """Processor time of a tick in which 200 jobs search for capacity on idle machines."""
     return cost.burst(int(machines), 200, 20, SEED).get_mean_value() / 1000
 
 
 def waiting_ms(jobs: float) -> float:
-    """A tick with so many jobs that wait at full machines."""
+    """Processor time of a tick with waiting jobs while all machines are full."""
     return cost.waiting(430, int(jobs), 20, SEED).get_mean_value() / 1000
 
 
-class GangPlacing(NamedTuple):
-    """What it takes to place a gang: processor time in milliseconds, changes of chunks."""
+class GangPlacement(NamedTuple):
+    """The cost of placing a gang: processor time, and changes of records of task blocks."""
 
-    spent_ms: float
+    cpu_ms: float
     changes: int
 
 
-def place_gang(tasks: int) -> GangPlacing:
+def place_gang(tasks: int) -> GangPlacement:
     """Submit a gang with a worker for each task, and wait until all tasks run."""
     cell = Cell(tasks, run_s=1000.0)
     cell.run(5.0)
-    spent_s, changes = cell.spent_s, cell.changes["t"]
+    cpu_s_before, changes_before = cell.cpu_s, cell.changes["t"]
     cell.submit(cpu_job("team-0", tasks, 60.0, "gang"))
     cell.run(4.0)
-    assert cell.starts == tasks, f"{cell.starts} of {tasks} tasks began"
-    return GangPlacing((cell.spent_s - spent_s) * 1000, cell.changes["t"] - changes)
+    assert cell.starts == tasks, f"{cell.starts} of {tasks} tasks started"
+    return GangPlacement((cell.cpu_s - cpu_s_before) * 1000, cell.changes["t"] - changes_before)
 
 
 def gang_ms(tasks: float) -> float:
     """Processor time from a gang's submission until all of its tasks are bound."""
-    return place_gang(int(tasks)).spent_ms
+    return place_gang(int(tasks)).cpu_ms
 
 
 def gang_changes(tasks: float) -> float:
-    """Changes of the records that bind a gang: one for each chunk of its tasks."""
+    """Changes of the records that bind a gang: one for each block of its tasks."""
     return place_gang(int(tasks)).changes
 
 
-class Load(NamedTuple):
-    """What a load on one controller came to, a second."""
+class LoadRates(NamedTuple):
+    """Rates per second that a load causes on one controller."""
 
     starts: float
     changes: float
@@ -258,86 +268,87 @@
     event_bytes: float
 
 
-def run_load(starts: float, tasks: int, teams: int = 4) -> Load:
-    """Jobs of so many tasks each, at so many task starts a second, on 430 workers."""
+def run_load(starts: float, tasks: int, teams: int = 4) -> LoadRates:
+    """Run jobs of `tasks` tasks each, at `starts` task starts per second, on 430 workers."""
     seconds = 15.0
     cell = Cell(430, teams=teams, run_s=5.0)
     cell.run(4.0)
-    before = (cell.starts, cell.changes.total(), cell.spent_s, cell.event_bytes)
-    made = [cpu_job(team, tasks, 5.0) for team in team_names(teams)]
-    cell.run(seconds + 6.0, steady(starts / tasks, seconds, made, random.Random(SEED)))
-    after = (cell.starts, cell.changes.total(), cell.spent_s, cell.event_bytes)
+    before = (cell.starts, cell.changes.total(), cell.cpu_s, cell.event_bytes)
+    specs = [cpu_job(team, tasks, 5.0) for team in team_names(teams)]
+    cell.run(seconds + 6.0, steady_arrivals(starts / tasks, seconds, specs, random.Random(SEED)))
+    after = (cell.starts, cell.changes.total(), cell.cpu_s, cell.event_bytes)
     planned = round(starts / tasks * seconds) * tasks
-    assert cell.starts - before[0] == planned, f"{cell.starts - before[0]} of {planned} began"
-    return Load(*((now - then) / seconds for now, then in zip(after, before, strict=True)))
+    assert cell.starts - before[0] == planned, f"{cell.starts - before[0]} of {planned} started"
+    return LoadRates(*((now - then) / seconds for now, then in zip(after, before, strict=True)))
 
 
 def alike_starts(offered: float) -> float:
-    """Starts a second that are reached, of so many jobs of one task that come a second: the mean
-    of the last ten seconds of twenty in which they come.
+    """Starts per second that are reached when `offered` one-task jobs arrive per second.
+
+    Jobs arrive for twenty seconds; the result is the mean of the last ten.
     """
     cell = Cell(430, run_s=5.0)
     cell.run(4.0)
-    made = [cpu_job(team, 1, 5.0) for team in team_names(4)]
-    cell.run(10.0, steady(offered, 10.0, made, random.Random(SEED)))
+    specs = [cpu_job(team, 1, 5.0) for team in team_names(4)]
+    cell.run(10.0, steady_arrivals(offered, 10.0, specs, random.Random(SEED)))
     before = cell.starts
-    cell.run(10.0, steady(offered, 10.0, made, random.Random(SEED + 1)))
+    cell.run(10.0, steady_arrivals(offered, 10.0, specs, random.Random(SEED + 1)))
     return (cell.starts - before) / 10.0
 
 
 def single_task_changes(starts: float) -> float:
-    """Changes a second of the records, from submission to end, for jobs of one task."""
+    """Changes of records per second, from submission to end, for jobs of one task."""
     return run_load(starts, 1).changes
 
 
 def array_changes(starts: float) -> float:
-    """Changes a second of the records for arrays of ten tasks."""
+    """Changes of records per second for arrays of ten tasks."""
     return run_load(starts, 10).changes
 
 
 def load_cores(starts: float) -> float:
-    """Cores that the core needs for so many starts a second, of arrays of ten tasks."""
+    """Processor cores that the core needs at a start rate, for arrays of ten tasks."""
     return run_load(starts, 10).cores
 
 
 def hot_team_cores(starts: float) -> float:
-    """Cores for so many starts a second of one team's arrays of ten tasks."""
+    """Processor cores needed at a start rate, for one team's arrays of ten tasks."""
     return run_load(starts, 10, teams=1).cores
 
 
 def event_bytes(starts: float) -> float:
-    """Bytes a second that a watch brings to one controller, for arrays of ten tasks."""
+    """Bytes per second that a watch sends to one controller, for arrays of ten tasks."""
     return run_load(starts, 10).event_bytes
 
 
 def teams_ms(teams: float) -> float:
-    """A tick of a controller that owns so many teams, each with one job that waits."""
+    """Processor time of a tick if a controller owns all teams and each has one waiting job."""
     cell = Cell(100, teams=int(teams))
     cell.run(4.0)
     for name in team_names(int(teams)):
         cell.submit(cpu_job(name, 200, 1000.0))
     cell.run(4.0)
-    before = cell.spent_s
+    before = cell.cpu_s
     cell.run(4.0)
-    return (cell.spent_s - before) / 40 * 1000
+    return (cell.cpu_s - before) / 40 * 1000
 
 
 def zones_ms(zones: float) -> float:
-    """A tick with 200 jobs that look for room on 990 idle machines in so many zones."""
-    names, kind = cost.ZONES, cost.TYPE
+    """Processor time of a tick in which 200 jobs search 990 idle machines by zones."""
+    old_zones, old_type = cost.ZONES, cost.MACHINE_TYPE
     cost.ZONES = zone_names(int(zones))
-    cost.TYPE = msgspec.structs.replace(kind, zones=cost.ZONES)
+    cost.MACHINE_TYPE = msgspec.structs.replace(old_type, zones=cost.ZONES)
     try:
         return cost.burst(990, 200, 20, SEED).get_mean_value() / 1000
     finally:
-        cost.ZONES, cost.TYPE = names, kind
+        cost.ZONES, cost.MACHINE_TYPE = old_zones, old_type
 
 
 # --- fleet ---
 
 
 def fleet_pass_ms(machines: float) -> float:
-    """The pass over the fleet that comes once a second, with 200 jobs waiting."""
+    """Processor time of the fleet pass, due once per second, with 200 waiting jobs."""
     return cost.fleet_pass(int(machines), 200, 5, SEED).get_mean_value() / 1000
 
 
@@ -345,7 +356,7 @@
 
 
 def submission(number: int) -> bytes:
-    """Return a submission as it comes over the wire."""
+    """Return the encoded body of a submission."""
     return encode(
         {
             "id": f"job-{number:06}",
@@ -373,7 +384,7 @@
 
 
 def submissions_ms(count: float) -> float:
-    """Processor time to read and take so many submissions, up to their transactions."""
+    """Processor time to decode and accept submissions, up to their transactions."""
     cell = Cell(1)
     cell.run(4.0)
     bodies = [submission(number) for number in range(int(count))]
@@ -385,11 +396,11 @@
             commands.append(messages.SubmitJob(None, parse_job_id(value), parse_job(value), ""))
         cell.core.step(cell.now, commands)
 
-    return spent_s(run) * 1000
+    return cpu_s(run) * 1000
 
 
 def queries_ms(count: float) -> float:
-    """Processor time of so many questions about unfinished jobs, up to their answers."""
+    """Processor time of status queries on unfinished jobs, up to their answers."""
     cell = Cell(1)
     cell.run(4.0)
     for number in range(int(count)):
@@ -402,15 +413,15 @@
         cell.pending += [messages.QueryJob(None, f"job-{number}") for number in range(int(count))]
         cell.run(0.2)
 
-    idle = spent_s(lambda: cell.run(0.2))
-    return max(0.0, spent_s(run) - idle) * 1000
+    idle = cpu_s(lambda: cell.run(0.2))
+    return max(0.0, cpu_s(run) - idle) * 1000
 
 
 # --- records ---
 
 
 def history_rows(count: int) -> list[tuple]:
-    """Return the records of so many finished jobs."""
+    """Return the records of `count` finished jobs."""
     return [
         (job_key(f"job-{number}"), encode_job("done", "team-0", None, number, 10), number + 1)
         for number in range(count)
@@ -418,10 +429,10 @@
 
 
 def history_s(jobs: float) -> float:
-    """Processor time in which a controller takes the list of its records at a start."""
+    """Processor time in which a starting controller loads the records of finished jobs."""
     rows = history_rows(int(jobs))
     core = Controller(cell_settings(4, 3, 1), random.Random(SEED), 0)
-    return spent_s(lambda: core.step(0.0, [messages.LoadSnapshot(rows, len(rows), 0.0)]))
+    return cpu_s(lambda: core.step(0.0, [messages.LoadSnapshot(rows, len(rows), 0.0)]))
 
 
 def history_mb(jobs: float) -> float:
@@ -440,7 +451,7 @@
 
 
 def live_rows(tasks: int) -> list[tuple]:
-    """Return the records of running tasks, ten to a job."""
+    """Return the records of running tasks, ten per job."""
     rows: list[tuple] = []
     for number in range(tasks // 10):
         spec: JobSpec = cpu_job("team-0", 10, 60.0)
@@ -481,7 +492,7 @@
 FLEET_SIZES = (500, 1000, 2000, 4300)
 TASK_SIZES = (0, 2, 4, 8, 16)
 START_SIZES = (20, 40, 80, 160)
-# Beyond this one controller does not start jobs of one task as they come: `alike_starts`.
+# At higher rates one controller starts one-task jobs slower than they arrive (`alike_starts`).
 SINGLE_SIZES = (5, 10, 20, 40)
 OFFERED_SIZES = (20, 40, 80, 160, 320)
 HISTORY_SIZES = (15_250, 30_500, 61_000, 122_000, 244_000)
--- a/tools/cost.py
+++ b/tools/cost.py
@@ -1,8 +1,8 @@
-"""What a controller's work costs as the fleet grows: real time on one core of this machine.
+"""Measure the processor time of a controller as the fleet grows, on one core of this machine.
 
-One controller is driven step by step with no sockets: a stub grants its lease and accepts all its
-transactions. Machines report to a peer (so that jobs keep waiting, as in a burst) or to the
-controller itself. Times are in milliseconds of processor time.
+One controller is stepped without sockets; a stub grants its lease and accepts all transactions.
+Machines report either to a peer, so that jobs keep waiting as in a burst, or to the controller
+itself. Times are in milliseconds of processor time.
 """
 
 import random
@@ -37,15 +37,15 @@
 )
 
 ZONES = ["a", "b", "c"]
-TYPE = MachineType("big", 48.0, 4.0, 288.0, 120.0, 0.4, 10.0, 3.0, 30.0, ZONES)
-IMAGES = 12
+MACHINE_TYPE = MachineType("big", 48.0, 4.0, 288.0, 120.0, 0.4, 10.0, 3.0, 30.0, ZONES)
+IMAGE_COUNT = 12
 REPORT_S = 2.5
-# Times are recorded in microseconds, up to a minute, to three digits.
-HIGHEST_US = 60_000_000
+# Longest recorded time: one minute, in microseconds. Histograms keep three significant digits.
+MAX_TIME_US = 60_000_000
 
 
 def job_spec(rng: random.Random, number: int) -> JobSpec:
-    """Return a job of one of the classes that the deployments have."""
+    """Return a random job of a kind and size that occurs in deployments."""
     kind, tasks, cpus, gpus = rng.choice(
         (("array", 35, 10.0, 1.0), ("gang", 4, 21.0, 2.0), ("service", 4, 8.0, 1.0))
     )
@@ -58,7 +58,7 @@
         cpus=cpus,
         gpus=gpus,
         memory_gb=43.0,
-        image=f"i{number % IMAGES}",
+        image=f"i{number % IMAGE_COUNT}",
         image_gb=4.0,
         types=None,
         zone=None,
@@ -73,9 +73,12 @@
 
 
 class Bench:
-    """One controller and the stub round it."""
+    """One controller and stubs of the services around it.
 
-    def __init__(self, machines: int, kept: bool, seed: int) -> None:
+    If `managed` is set, machines report to this controller, otherwise to its peer.
+    """
+
+    def __init__(self, machines: int, managed: bool, seed: int) -> None:
         self.rng = random.Random(seed)
         settings = Settings(
             "h0",
@@ -93,21 +96,24 @@
             peers=[Peer("h1", "10.0.0.2:81")],
         )
         self.core = Controller(settings, random.Random(seed), 0)
-        self.now, self.revision, self.kept = 0.0, 0, kept
+        self.now, self.revision, self.managed = 0.0, 0, managed
         self.sent: list[PeerMessage] = []
-        self.names = [f"n-{number:06}" for number in range(machines)]
-        self.sequence = dict.fromkeys(self.names, 0)
-        self.tasks: dict[str, dict] = {name: {} for name in self.names}
-        self.step([messages.UpdateMachineTypes([TYPE]), messages.LoadSnapshot([], 0, 0.0)])
-        self.settle(2.0)
-        self.step(self.word(name) for name in self.names)
+        self.machine_names = [f"n-{number:06}" for number in range(machines)]
+        self.sequence = dict.fromkeys(self.machine_names, 0)
+        self.tasks: dict[str, dict] = {name: {} for name in self.machine_names}
+        self.step([messages.UpdateMachineTypes([MACHINE_TYPE]), messages.LoadSnapshot([], 0, 0.0)])
+        self.advance(2.0)
+        self.step(self.report(name) for name in self.machine_names)
 
     def step(self, commands: Iterable[messages.Command]) -> float:
-        """Make one step; return its processor time in seconds. The stub answers at once."""
+        """Run one step; return its processor time in seconds.
+
+        The stub answers at once; the time of the steps that take its answers is included.
+        """
         batch = list(commands)
         start = time.process_time()
         effects = self.core.step(self.now, batch)
-        spent = time.process_time() - start
+        cpu_s = time.process_time() - start
         answers: list[messages.Command] = []
         for effect in effects:
             match effect:
@@ -123,26 +129,26 @@
                     answers.append(messages.OperationDone(operation, 503, "no capacity"))
                 case messages.SendToPeer(_, message):
                     self.sent.append(message)
-        return spent + (self.step(answers) if answers else 0.0)
+        return cpu_s + (self.step(answers) if answers else 0.0)
 
-    def settle(self, seconds: float) -> None:
-        """Let that much time pass."""
+    def advance(self, seconds: float) -> None:
+        """Run ticks for some seconds of simulated time."""
         for _ in range(int(seconds * 10)):
             self.tick()
 
     def tick(self) -> float:
-        """Pass a tenth of a second with current records; return the step's processor time."""
+        """Advance 0.1 s with records and machines up to date; return the step's processor time."""
         self.now += 0.1
         for machine in self.core.context.machines.values():
             machine.last_heartbeat_at = self.now
         return self.step([messages.ApplyWatchEvents([], self.revision, self.now)])
 
-    def word(self, name: str) -> messages.Command:
-        """Return a report, or a peer's word of one."""
+    def report(self, name: str) -> messages.Command:
+        """Return a machine's report, or a peer's view of the machine if it reports to the peer."""
         number = int(name[2:])
         self.sequence[name] += 1
         zone, spot = ZONES[number % 3], number % 5 == 0
-        if self.kept:
+        if self.managed:
             return messages.ReceiveHeartbeat(
                 number,
                 Heartbeat(
@@ -158,7 +164,7 @@
                     dict(self.tasks[name]),
                 ),
             )
-        images = [[f"i{(number + step) % IMAGES}", 4.0] for step in range(3)]
+        images = [[f"i{(number + step) % IMAGE_COUNT}", 4.0] for step in range(3)]
         return messages.ReceivePeerMessages(
             number,
             "h1",
@@ -180,10 +186,10 @@
             ],
         )
 
-    def fill(self) -> None:
-        """Give each machine one service that takes all of it."""
+    def fill_machines(self) -> None:
+        """Bind to each machine one service that uses all its resources."""
         rows: list[tuple[str, Any, int]] = []
-        for number, name in enumerate(self.names):
+        for number, name in enumerate(self.machine_names):
             self.revision += 1
             spec = JobSpec(
                 job_class="l",
@@ -191,9 +197,9 @@
                 kind="service",
                 priority=3,
                 tasks=1,
-                cpus=TYPE.cpus,
-                gpus=TYPE.gpus,
-                memory_gb=TYPE.memory_gb,
+                cpus=MACHINE_TYPE.cpus,
+                gpus=MACHINE_TYPE.gpus,
+                memory_gb=MACHINE_TYPE.memory_gb,
                 image="i0",
                 image_gb=4.0,
                 types=None,
@@ -214,8 +220,8 @@
             rows.append((block_key(job_id, 0), encode_block(block, 2), self.revision))
         self.step([messages.ApplyWatchEvents(rows, self.revision, self.now)])
 
-    def submit(self, jobs: int) -> None:
-        """Add jobs to the records, of the classes that the deployments have."""
+    def submit_jobs(self, jobs: int) -> None:
+        """Add jobs to the records, of kinds and sizes that occur in deployments."""
         rows: list[tuple[str, Any, int]] = []
         for number in range(jobs):
             self.revision += 1
@@ -230,46 +236,48 @@
         self.step([messages.ApplyWatchEvents(rows, self.revision, self.now)])
 
 
-def measure(run: Callable[[], float], times: int) -> HdrHistogram:
-    """Return the distribution of so many runs after a first one, in microseconds."""
+def measure(run: Callable[[], float], count: int) -> HdrHistogram:
+    """Return the distribution of `count` runs in microseconds, after one warm-up run."""
     run()
-    found = HdrHistogram(1, HIGHEST_US, 3)
-    for _ in range(times):
-        found.record_value(max(1, int(run() * 1e6)))
-    return found
+    times_us = HdrHistogram(1, MAX_TIME_US, 3)
+    for _ in range(count):
+        times_us.record_value(max(1, int(run() * 1e6)))
+    return times_us
 
 
 def burst(machines: int, jobs: int, ticks: int, seed: int) -> HdrHistogram:
-    """Ticks with jobs waiting and idle machines at a peer: what sampling costs."""
+    """Measure ticks with waiting jobs and idle machines at a peer: the cost of sampling."""
     bench = Bench(machines, False, seed)
-    bench.submit(jobs)
+    bench.submit_jobs(jobs)
     bench.core.autoscaler.tick = lambda: None  # type: ignore[method-assign]
     return measure(bench.tick, ticks)
 
 
 def waiting(machines: int, jobs: int, ticks: int, seed: int) -> HdrHistogram:
-    """Ticks while jobs wait, all machines are full, the cloud has no more and nothing changes; the
-    fleet's pass that comes once a second and the looks of the safety net are counted.
+    """Measure ticks while jobs wait, all machines are full and the cloud has no capacity.
+
+    Nothing changes meanwhile. The fleet pass, once per second, and the retries that guard against
+    missed changes are included.
     """
     bench = Bench(machines, False, seed)
-    bench.fill()
-    bench.submit(jobs)
-    bench.settle(20.0)
+    bench.fill_machines()
+    bench.submit_jobs(jobs)
+    bench.advance(20.0)
     return measure(bench.tick, ticks)
 
 
 def quiet(machines: int, ticks: int, seed: int) -> HdrHistogram:
-    """Ticks with nothing to do."""
+    """Measure ticks with nothing to do."""
     bench = Bench(machines, False, seed)
     bench.core.autoscaler.tick = lambda: None  # type: ignore[method-assign]
     return measure(bench.tick, ticks)
 
 
 def fleet_pass(machines: int, jobs: int, passes: int, seed: int) -> HdrHistogram:
-    """The pass over the fleet that comes once a second, with jobs waiting."""
+    """Measure the fleet pass, which runs once per second, with waiting jobs."""
     bench = Bench(machines, False, seed)
-    bench.submit(jobs)
-    bench.settle(1.0)
+    bench.submit_jobs(jobs)
+    bench.advance(1.0)
     assert FLEET in bench.core.context.held_roles
 
     def run() -> float:
@@ -286,8 +294,9 @@
 
 
 def load(records: int, seed: int) -> tuple[float, float]:
-    """Return the seconds in which a controller takes a list of all records, as after its start,
-    and the megabytes that it holds them in: of ten jobs nine are over, one has 35 tasks bound.
+    """Return the seconds to load all records, as after a start, and the memory used in MB.
+
+    Of ten jobs, nine are done and one has 35 bound tasks.
     """
     rng = random.Random(seed)
     rows: list[tuple[str, Any, int]] = []
@@ -307,18 +316,21 @@
             rows.append((block_key(job_id, 0), encode_block(block, 2), number + 1))
     bench = Bench(0, False, seed)
     before = resident_mb()
-    spent = bench.step([messages.LoadSnapshot(rows, records + 1, bench.now)])
-    return spent, resident_mb() - before
+    cpu_s = bench.step([messages.LoadSnapshot(rows, records + 1, bench.now)])
+    return cpu_s, resident_mb() - before
 
 
 def resident_mb() -> float:
-    """Return the memory of this process in megabytes."""
+    """Return the resident memory of this process in megabytes."""
     pages = int(Path("/proc/self/statm").read_text().split()[1])
     return pages * resource.getpagesize() / 1e6
 
 
 def heartbeats(machines: int, count: int, seed: int) -> tuple[HdrHistogram, float]:
-    """Reports that change what runs on a machine of ours; also bytes to one peer for each."""
+    """Measure reports that change the running tasks of a managed machine.
+
+    Also return the bytes sent to the one peer for each report.
+    """
     bench = Bench(machines, True, seed)
     bench.sent.clear()
     serial = 0
@@ -326,36 +338,43 @@
     def run() -> float:
         nonlocal serial
         serial += 1
-        name = bench.rng.choice(bench.names)
+        name = bench.rng.choice(bench.machine_names)
         bench.tasks[name] = {(f"job-{serial}/0", 1): ("running", "", False)}
-        return bench.step([bench.word(name)])
+        return bench.step([bench.report(name)])
 
-    found = measure(run, count)
-    return found, sum(len(cbor2.dumps(encode_message(message))) for message in bench.sent) / count
+    times_us = measure(run, count)
+    return times_us, sum(
+        len(cbor2.dumps(encode_message(message))) for message in bench.sent
+    ) / count
 
 
 @click.command(help=__doc__)
 @click.option(
     "--machines", "sizes", type=int, multiple=True, default=(600, 2000, 6000), show_default=True
 )
-@click.option("--jobs", default=200, show_default=True, help="Jobs that wait.")
-@click.option("--ticks", default=40, show_default=True, help="Ticks, passes and reports / 10.")
+@click.option("--jobs", default=200, show_default=True, help="Waiting jobs.")
+@click.option(
+    "--ticks",
+    default=40,
+    show_default=True,
+    help="Ticks per measurement; ten times as many reports, a quarter of the fleet passes.",
+)
 @click.option(
     "--records",
     type=int,
     multiple=True,
     default=(1000, 10_000),
     show_default=True,
-    help="Jobs in the records that a controller takes at its start.",
+    help="Jobs in the records that a controller loads at its start.",
 )
 @click.option(
     "--waiting",
-    "lines",
+    "waiting_counts",
     type=int,
     multiple=True,
     default=(4000, 40_000),
     show_default=True,
-    help="Jobs that wait in a full fleet.",
+    help="Jobs waiting while the fleet is full.",
 )
 @click.option("--seed", default=1, show_default=True)
 def main(
@@ -363,31 +382,33 @@
     jobs: int,
     ticks: int,
     records: tuple[int, ...],
-    lines: tuple[int, ...],
+    waiting_counts: tuple[int, ...],
     seed: int,
 ) -> None:
-    """Print the table."""
-    click.echo("machines  what          mean ms  median ms  p99 ms")
+    """Print the table of processor times."""
+    click.echo("machines  measured      mean ms  median ms  p99 ms")
 
-    def show(size: int, what: str, found: HdrHistogram) -> None:
+    def show(size: int, label: str, times_us: HdrHistogram) -> None:
         click.echo(
-            f"{size:8}  {what:12} {found.get_mean_value() / 1000:8.3f} "
-            f"{found.get_value_at_percentile(50) / 1000:10.3f} "
-            f"{found.get_value_at_percentile(99) / 1000:7.3f}"
+            f"{size:8}  {label:12} {times_us.get_mean_value() / 1000:8.3f} "
+            f"{times_us.get_value_at_percentile(50) / 1000:10.3f} "
+            f"{times_us.get_value_at_percentile(99) / 1000:7.3f}"
         )
 
     for size in sizes:
         show(size, "burst tick", burst(size, jobs, ticks, seed))
         show(size, "quiet tick", quiet(size, ticks, seed))
         show(size, "fleet pass", fleet_pass(size, jobs, max(1, ticks // 4), seed))
-        found, sent = heartbeats(size, ticks * 10, seed)
-        show(size, "report", found)
-        click.echo(f"{size:8}  bytes to a peer for each changed report: {sent:.0f}")
-    for count in lines:
+        times_us, sent_bytes = heartbeats(size, ticks * 10, seed)
+        show(size, "report", times_us)
+        click.echo(f"{size:8}  bytes to a peer for each changed report: {sent_bytes:.0f}")
+    for count in waiting_counts:
         show(sizes[0], f"{count} wait", waiting(sizes[0], count, ticks, seed))
     for count in records:
-        spent, held = load(count, seed)
-        click.echo(f"{count:8}  records taken after a start: {spent * 1000:.0f} ms, {held:.1f} MB")
+        cpu_s, memory_mb = load(count, seed)
+        click.echo(
+            f"{count:8}  records loaded at a start: {cpu_s * 1000:.0f} ms, {memory_mb:.1f} MB"
+        )
 
 
 if __name__ == "__main__":
