--- a/tests/fakes/checks.py
+++ b/tests/fakes/checks.py
@@ -15,18 +15,18 @@
         self.teams = {team.name: team for team in teams}
         self.cores: dict[str, Controller | None] = {}
         self.refusals: dict[str, int] = {}
-        self.told: dict[str, str] = {}
-        self.answered: dict[str, float] = {}
+        self.reported_state: dict[str, str] = {}
+        self.answered_at: dict[str, float] = {}
         self.cancelled_at: dict[str, float] = {}
         self.cancel_requested: set[str] = set()
         self.starts = 0
         self.start_log: list[tuple[float, str, int, str]] = []
         # When a start command was last issued, by task and attempt; and starts after their job's
         # cancellation was confirmed, with the seconds from then to the command and the start.
-        self.given: dict[tuple[str, int], float] = {}
+        self.start_commanded_at: dict[tuple[str, int], float] = {}
         self.late_starts: list[tuple[str, float, float]] = []
 
-    def needs(self, job_id: str) -> set[str]:
+    def all_dependencies(self, job_id: str) -> set[str]:
         """Return the direct and indirect dependencies of a job."""
         found: set[str] = set()
         stack = [job_id]
@@ -38,35 +38,35 @@
         return found
 
     def check_answer(
-        self, job_id: str, status: int, answer: tuple, before: str | None, sent: float
+        self, job_id: str, status: int, answer: tuple, previous: str | None, sent: float
     ) -> None:
         """Check an answer against what the user had been told when the request was sent."""
         if status in (400, 404, 422):
-            assert before is None, f"forgotten: {job_id}"
+            assert previous is None, f"forgotten: {job_id}"
             self.refusals[job_id] = status
         if status not in (200, 201):
             return
-        self.answered[job_id] = self.now
+        self.answered_at[job_id] = self.now
         assert job_id in self.specs, f"invented: {job_id}"
         state = answer[2]
-        if before in ("done", "cancelled"):
-            assert state == before, f"went_back: {job_id} from {before} to {state}"
+        if previous in ("done", "cancelled"):
+            assert state == previous, f"went_back: {job_id} from {previous} to {state}"
         if state == "done":
             for index in range(self.specs[job_id].tasks):
                 assert f"{job_id}/{index}" in self.completed, f"not_done: {job_id}/{index}"
         if state in ("queued", "running"):
             # Stricter than the rule, which allows cancel_s: no user may get an older answer.
-            for name in self.needs(job_id):
+            for name in self.all_dependencies(job_id):
                 assert sent <= self.cancelled_at.get(name, sent), f"orphaned: {job_id} by {name}"
         if state == "cancelled":
-            assert self.cancel_requested & {job_id, *self.needs(job_id)}, (
+            assert self.cancel_requested & {job_id, *self.all_dependencies(job_id)}, (
                 f"went_back: {job_id} was never cancelled"
             )
             self.cancelled_at.setdefault(job_id, self.now)
-        if self.told.get(job_id) not in ("done", "cancelled"):
-            news = state if state in ("done", "cancelled") else "accepted"
-            if news != self.told.get(job_id):
-                self.told[job_id] = news
+        if self.reported_state.get(job_id) not in ("done", "cancelled"):
+            new_state = state if state in ("done", "cancelled") else "accepted"
+            if new_state != self.reported_state.get(job_id):
+                self.reported_state[job_id] = new_state
                 self.on_new_state(job_id)
 
     def on_new_state(self, job_id: str) -> None:
@@ -85,11 +85,11 @@
                 continue
             worker.advance()
             for (task, _), row in worker.tasks.items():
-                at = self.cancelled_at.get(task.partition("/")[0])
+                confirmed_at = self.cancelled_at.get(task.partition("/")[0])
                 assert (
                     row[0] not in deployment.PLACED
-                    or at is None
-                    or self.now - at <= deployment.CANCEL_S
+                    or confirmed_at is None
+                    or self.now - confirmed_at <= deployment.CANCEL_S
                 ), f"ran_cancelled: {task}"
 
     def check_start_commands(self, label: str, orders: list[dict]) -> None:
@@ -98,12 +98,12 @@
         for order in orders:
             if order["verb"] == "launch":
                 job_id = order["piece"].partition("/")[0]
-                self.given[(order["piece"], order["try"])] = self.now
+                self.start_commanded_at[(order["piece"], order["try"])] = self.now
                 assert core is None or not core.agents.cancellations.is_cancelled(job_id), (
                     f"start given though cancelled: {order['piece']}"
                 )
 
-    def placed(self) -> list[tuple[FakeWorker, str, int]]:
+    def placed_tasks(self) -> list[tuple[FakeWorker, str, int]]:
         """Return the tasks that are placed on a machine by the rules: also while they wait for
         their gang, save a checkpoint, hang or can't be reached."""
         found = []
@@ -117,7 +117,7 @@
                 ]
         return found
 
-    def live(self) -> list[tuple[FakeWorker, str, int]]:
+    def running_tasks(self) -> list[tuple[FakeWorker, str, int]]:
         found = []
         for worker in self.workers.values():
             if not worker.dead:
@@ -129,7 +129,7 @@
                 ]
         return found
 
-    def started(self, worker: FakeWorker, key: tuple[str, int]) -> None:
+    def on_start(self, worker: FakeWorker, key: tuple[str, int]) -> None:
         """Check the rules at the moment a start command is executed."""
         task, attempt = key
         job_id = task.partition("/")[0]
@@ -137,10 +137,18 @@
             missing = {f"{name}/{i}" for i in range(self.specs[name].tasks)} - self.completed
             assert not missing, f"too_early: {task} before {sorted(missing)[0]}"
         self.check_place(worker, task)
-        at = self.cancelled_at.get(job_id)
-        assert at is None or self.now - at <= deployment.CANCEL_S, f"ran_cancelled: {task}"
-        if at is not None and at < self.now:
-            self.late_starts.append((task, self.given.get(key, at) - at, self.now - at))
+        confirmed_at = self.cancelled_at.get(job_id)
+        assert confirmed_at is None or self.now - confirmed_at <= deployment.CANCEL_S, (
+            f"ran_cancelled: {task}"
+        )
+        if confirmed_at is not None and confirmed_at < self.now:
+            self.late_starts.append(
+                (
+                    task,
+                    self.start_commanded_at.get(key, confirmed_at) - confirmed_at,
+                    self.now - confirmed_at,
+                )
+            )
         self.starts += 1
         self.start_log.append((self.now, task, attempt, worker.name))
 
@@ -148,16 +156,16 @@
         """Check the placement rules, when a task is started and when it has its image."""
         job_id = task.partition("/")[0]
         job = self.specs[job_id]
-        others = [row for row in self.placed() if row[:2] != (worker, task)]
+        others = [row for row in self.placed_tasks() if row[:2] != (worker, task)]
         assert task not in [t for _, t, _ in others], f"ran_twice: {task}"
-        mates = [self.specs[t.partition("/")[0]] for _, t, _ in others]
-        mates = [mate for mate in mates if mate.team == job.team]
+        team_specs = [self.specs[t.partition("/")[0]] for _, t, _ in others]
+        team_specs = [spec for spec in team_specs if spec.team == job.team]
         limit = self.teams[job.team]
-        for used, most in (
-            (job.cpus + sum(s.cpus for s in mates), limit.cpus_max),
-            (job.gpus + sum(s.gpus for s in mates), limit.gpus_max),
+        for used, maximum in (
+            (job.cpus + sum(s.cpus for s in team_specs), limit.cpus_max),
+            (job.gpus + sum(s.gpus for s in team_specs), limit.gpus_max),
         ):
-            assert not most or used <= most + 1e-6, f"quota: {job.team} {used}"
+            assert not maximum or used <= maximum + 1e-6, f"quota: {job.team} {used}"
         zones = [w.zone for w, t, _ in others if t.partition("/")[0] == job_id]
         assert job.zone in (None, worker.zone), f"wrong_place: {task}"
         assert job.spot or not worker.spot, f"wrong_place: {task}"
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -37,8 +37,8 @@
         if self.cloud_down:
             return 503, None
         if isinstance(operation, messages.ListInstances):
-            seen = [rows for at, rows in self.history if at <= self.now - 2.0]
-            return 200, seen[-1] if seen else []
+            visible = [rows for at, rows in self.history if at <= self.now - 2.0]
+            return 200, visible[-1] if visible else []
         if isinstance(operation, messages.ReturnInstances):
             for name in operation.names:
                 if name in self.workers:
@@ -47,10 +47,10 @@
         assert isinstance(operation, messages.RentInstances)
         request, zone, spot = operation.name, operation.zone, operation.spot
         if request not in self.requests:
-            left = self.capacity - sum(1 for w in self.workers.values() if not w.dead)
-            if left <= 0:
+            available = self.capacity - sum(1 for w in self.workers.values() if not w.dead)
+            if available <= 0:
                 return 503, "no capacity"
-            names = [f"m{len(self.workers) + i}" for i in range(min(operation.count, left))]
+            names = [f"m{len(self.workers) + i}" for i in range(min(operation.count, available))]
             self.requests[request] = names
             for name in names:
                 self.workers[name] = FakeWorker(self, name, zone, spot)
--- a/tests/fakes/consistency.py
+++ b/tests/fakes/consistency.py
@@ -14,42 +14,42 @@
     for name, free in replica.changes.free_resources.items():
         counted = count_free_resources(context, context.machines[name])
         assert astuple(free) == pytest.approx(astuple(counted)), name
-    check_index(core)
+    check_machine_index(core)
     used: dict[str, float] = {}
-    mine: dict[str, float] = {}
-    ending: dict[str, float] = {}
+    buffered: dict[str, float] = {}
+    preemptible: dict[str, float] = {}
     for job in replica.jobs.values():
-        bound = job.resources.gpus * len(job.bindings())
-        used[job.team] = used.get(job.team, 0.0) + bound
-        ending[job.team] = ending.get(job.team, 0.0) + (0.0 if job.service else bound)
-        mine[job.team] = mine.get(job.team, 0.0) + job.resources.gpus * len(
+        gpus = job.resources.gpus * len(job.bindings())
+        used[job.team] = used.get(job.team, 0.0) + gpus
+        preemptible[job.team] = preemptible.get(job.team, 0.0) + (0.0 if job.service else gpus)
+        buffered[job.team] = buffered.get(job.team, 0.0) + job.resources.gpus * len(
             core.scheduler.buffer.bindings(job)
         )
     for team in context.teams:
         assert replica.usage.by_team.get(team, (0, 0))[1] == pytest.approx(used.get(team, 0)), team
         assert sum(
             at[1] for at in replica.usage.preemptible.get(team, {}).values()
-        ) == pytest.approx(ending.get(team, 0)), team
+        ) == pytest.approx(preemptible.get(team, 0)), team
         if team in context.held_roles:
-            assert core.scheduler.buffer.team_usage(team)[1] == pytest.approx(mine.get(team, 0)), (
-                team
-            )
+            assert core.scheduler.buffer.team_usage(team)[1] == pytest.approx(
+                buffered.get(team, 0)
+            ), team
 
 
-def check_index(core: Controller) -> None:
+def check_machine_index(core: Controller) -> None:
     """Compare where the index has each machine with what an index made anew says."""
     context, index = core.context, core.scheduler.index
     index.refresh()
-    fresh = MachineIndex(context)
+    rebuilt_index = MachineIndex(context)
     context.replica.changes.stale_machines.update(context.machines)
     unresponsive = set(context.unresponsive)
-    fresh.refresh()
+    rebuilt_index.refresh()
     context.unresponsive = unresponsive
 
     def named(index: MachineIndex, sets: dict) -> dict:
         return {key: {index.machines[n].name for n in ids} for key, ids in sets.items() if ids}
 
-    quiet = {n for n, m in context.machines.items() if not is_schedulable(context, m)}
+    unschedulable = {n for n, m in context.machines.items() if not is_schedulable(context, m)}
     for attr in (
         "classes",
         "kinds",
@@ -57,7 +57,11 @@
         "preemptible_by_priority",
         "preemptible_by_team",
     ):
-        kept, anew = (named(i, getattr(i, attr)) for i in (index, fresh))
+        maintained, rebuilt = (named(i, getattr(i, attr)) for i in (index, rebuilt_index))
         if attr != "image_holders":  # one that fell silent leaves when it is drawn
-            kept = {key: names - quiet for key, names in kept.items() if names - quiet}
-        assert kept == anew, attr
+            maintained = {
+                key: names - unschedulable
+                for key, names in maintained.items()
+                if names - unschedulable
+            }
+        assert maintained == rebuilt, attr
--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -31,7 +31,7 @@
 def settings_for(
     label: str,
     count: int = 3,
-    coming: UpcomingLimits | None = None,
+    upcoming_limits: UpcomingLimits | None = None,
     teams: tuple[Team, ...] = TEAMS,
 ) -> Settings:
     """Return the settings of one controller of a small deployment."""
@@ -45,7 +45,7 @@
             ZONES,
             list(teams),
             WorkerTimings(REPORT_S, LEASE_S, GANG_WAIT_S, 3.0, CANCEL_S),
-            StoreLimits(1000, 1000, 8, 12, coming or UpcomingLimits()),
+            StoreLimits(1000, 1000, 8, 12, upcoming_limits or UpcomingLimits()),
             CloudLimits(5, 2),
             count,
         ),
@@ -53,7 +53,7 @@
     )
 
 
-def spec(kind: str = "array", tasks: int = 1, team: str = "red", **more: Any) -> JobSpec:
+def spec(kind: str = "array", tasks: int = 1, team: str = "red", **overrides: Any) -> JobSpec:
     """Return a job of small tasks."""
     fields: dict[str, Any] = dict(
         job_class="l",
@@ -76,4 +76,4 @@
         save_s=0.0,
         deadline_s=None,
     )
-    return JobSpec(**{**fields, **more})
+    return JobSpec(**{**fields, **overrides})
--- a/tests/fakes/network.py
+++ b/tests/fakes/network.py
@@ -17,8 +17,8 @@
         self.serial = 0
         self.cuts: set[frozenset[str]] = set()
         self.one_way: set[tuple[str, str]] = set()  # (from, to): messages are delayed
-        self.loss = self.twice = self.slow = 0.0
-        self.state_slow = 0.0  # maximum delay of messages of the store, in seconds
+        self.loss_rate = self.duplicate_rate = self.slow_rate = 0.0
+        self.store_delay_s = 0.0  # maximum delay of messages of the store, in seconds
         self.muted: set[str] = set()  # machines that reach no controller but receive commands
 
     def after(self, seconds: float, run: Callable[[], None]) -> None:
@@ -35,52 +35,55 @@
     def delay(self) -> float:
         return self.rng.uniform(0.001, 0.01)
 
-    def cut(self, a: str, b: str) -> bool:
+    def is_cut(self, a: str, b: str) -> bool:
         return frozenset((a, b)) in self.cuts or (a, b) in self.one_way
 
-    def carry(self, a: str, b: str, run: Callable[[], None]) -> None:
+    def deliver(self, a: str, b: str, run: Callable[[], None]) -> None:
         """Deliver a message: soon, much later (partition, slow link), twice or never."""
-        if self.cut(a, b):
+        if self.is_cut(a, b):
             self.after(self.rng.uniform(1.0, 40.0), run)
-        elif self.state_slow and "state" in (a, b):
-            self.after(self.rng.uniform(0.0, self.state_slow), run)
-        elif self.rng.random() < self.slow:
+        elif self.store_delay_s and "state" in (a, b):
+            self.after(self.rng.uniform(0.0, self.store_delay_s), run)
+        elif self.rng.random() < self.slow_rate:
             self.after(self.rng.uniform(1.0, 30.0), run)
-        elif self.rng.random() >= self.loss:
+        elif self.rng.random() >= self.loss_rate:
             self.after(self.delay(), run)
-            if self.rng.random() < self.twice:
+            if self.rng.random() < self.duplicate_rate:
                 self.after(self.rng.uniform(0.01, 5.0), run)
 
-    def ask(
+    def call(
         self,
         a: str,
         b: str,
         serve: Callable[[], Any],
-        done: Callable[[Any], None],
-        lost: Any,
+        on_answer: Callable[[Any], None],
+        timeout_answer: Any,
         timeout: float,
-        when: Callable[[Callable[[], None]], None] = lambda run: run(),
+        defer: Callable[[Callable[[], None]], None] = lambda run: run(),
     ) -> None:
-        """Send a request, served once and perhaps late, and pass its answer or `lost` on time-out
-        to `done`; `when` lets the server defer serving it."""
+        """Send a request that is served at most once and perhaps late.
+
+        Passes the answer to `on_answer`, or `timeout_answer` after `timeout` seconds; `defer` lets
+        the server postpone the work.
+        """
         state = {"open": True, "served": False}
 
         def answer(value: Any) -> None:
             if state["open"]:
                 state["open"] = False
-                done(value)
+                on_answer(value)
 
         def at_server() -> None:
             if not state["served"]:
                 state["served"] = True
-                when(reply)
+                defer(reply)
 
         def reply() -> None:
             value = serve()
-            self.carry(b, a, lambda: answer(value))
+            self.deliver(b, a, lambda: answer(value))
 
-        self.after(timeout, lambda: answer(lost))
-        self.carry(a, b, at_server)
+        self.after(timeout, lambda: answer(timeout_answer))
+        self.deliver(a, b, at_server)
 
     def mute(self, names: list[str], seconds: float) -> None:
         """Block messages from machines to controllers, but not commands sent to them."""
--- a/tests/fakes/objectives.py
+++ b/tests/fakes/objectives.py
@@ -50,9 +50,11 @@
         """
         job = self.specs[job_id]
         if (
-            self.told.get(job_id) != "accepted"
-            or job_id in self.broken
-            or any(self.told.get(name) != "done" for name in self.needs(job_id))
+            self.reported_state.get(job_id) != "accepted"
+            or job_id in self.failing_jobs
+            or any(
+                self.reported_state.get(name) != "done" for name in self.all_dependencies(job_id)
+            )
         ):
             return False
         unfinished = self.unfinished_tasks()
@@ -101,23 +103,23 @@
                 specs = [self.spec_of(task) for other, task in unfinished if other is worker]
                 by_zone[worker.zone] = by_zone.get(worker.zone, 0) + count_fitting(job, specs)
         if job.spread:
-            most = (job.tasks + 1) // 2
-            by_zone = {zone: min(fit, most - zones.count(zone)) for zone, fit in by_zone.items()}
+            limit = (job.tasks + 1) // 2
+            by_zone = {zone: min(fit, limit - zones.count(zone)) for zone, fit in by_zone.items()}
         return max(by_zone.values(), default=0) if job.one_zone else sum(by_zone.values())
 
-    def unresponsive(self, seconds: float = 90.0) -> set[str]:
+    def unanswered_jobs(self, seconds: float = 90.0) -> set[str]:
         """Ask for every job ever accepted, and return those about which no question was answered
         for 75 s."""
         found: set[str] = set()
-        begun, end = self.now, self.now + seconds
+        query_start, end = self.now, self.now + seconds
         while self.now < end:
-            for job_id in self.told:
+            for job_id in self.reported_state:
                 self.query(job_id)
             self.run(5)
             found |= {
                 job_id
-                for job_id in self.told
-                if self.now - max(begun, self.answered.get(job_id, 0.0)) >= 75
+                for job_id in self.reported_state
+                if self.now - max(query_start, self.answered_at.get(job_id, 0.0)) >= 75
             }
         return found
 
@@ -139,9 +141,9 @@
         jobs = {
             j: s
             for j, s in self.specs.items()
-            if j in self.told
-            and j not in self.broken
-            and self.told[j] != "cancelled"
+            if j in self.reported_state
+            and j not in self.failing_jobs
+            and self.reported_state[j] != "cancelled"
             and self.submitted[j] <= self.now - begin_s
         }
         for job_id, job in jobs.items():
@@ -149,7 +151,7 @@
             groups.setdefault(f"team {job.team}", []).append(job_id)
             if job.tasks == max(s.tasks for s in jobs.values() if s.job_class == job.job_class):
                 groups.setdefault(f"largest {job.job_class}", []).append(job_id)
-        bad = []
+        violations = []
         for name, ids in sorted(groups.items()):
             begun = [
                 j
@@ -157,12 +159,12 @@
                 if (at := self.begun_at(j)) is not None and at - self.submitted[j] <= begin_s
             ]
             if 2 * len(begun) < len(ids):
-                bad.append(f"{name}: {len(begun)} of {len(ids)}")
+                violations.append(f"{name}: {len(begun)} of {len(ids)}")
             elif name.startswith("largest") and len(begun) < len(ids):
-                bad.append(f"{name}: late {sorted(set(ids) - set(begun))[0]}")
-        return bad
+                violations.append(f"{name}: late {sorted(set(ids) - set(begun))[0]}")
+        return violations
 
-    def unfinished(self, seconds: float) -> set[str]:
+    def unfinished_jobs(self, seconds: float) -> set[str]:
         """Cancel services, go on, ask for every job; return those not told done or cancelled."""
         for job_id, job in self.specs.items():
             if job.kind == "service":
@@ -171,4 +173,4 @@
         for job_id in self.specs:
             self.query(job_id)
         self.run(8)
-        return {j for j in self.specs if self.told.get(j) not in ("done", "cancelled")}
+        return {j for j in self.specs if self.reported_state.get(j) not in ("done", "cancelled")}
--- a/tests/fakes/simulation.py
+++ b/tests/fakes/simulation.py
@@ -23,18 +23,18 @@
 from tests.fakes.store import FakeStore
 
 
-def make_old(core: Controller) -> None:
+def behave_as_first_version(core: Controller) -> None:
     """Let a controller behave as the first version does where records are concerned: it neither
     says what it can read nor takes note of the format."""
     core.leadership.format.tick = lambda: None  # type: ignore[method-assign]
     core.scheduler.buffer.strictest_value_bytes = value_limit(core.context.facts.store)
     replica, apply = core.context.replica, core.context.replica.apply
 
-    def old_apply(key: str, value: Any, mod_revision: int) -> None:
+    def apply_known_records(key: str, value: Any, mod_revision: int) -> None:
         if key.partition("/")[2].partition("/")[0] not in ("version", "format"):
             apply(key, value, mod_revision)
 
-    replica.apply = old_apply  # type: ignore[method-assign]
+    replica.apply = apply_known_records  # type: ignore[method-assign]
 
 
 class Simulation(Objectives):
@@ -44,38 +44,39 @@
         self,
         seed: int = 1,
         count: int = 3,
-        coming: UpcomingLimits | None = None,
-        old: tuple[str, ...] = (),
-        parts: tuple = (),
+        upcoming_limits: UpcomingLimits | None = None,
+        first_version: tuple[str, ...] = (),
+        subsystems: tuple = (),
         scheduling: SchedulingOptions | None = None,
         teams: tuple[Team, ...] = deployment.TEAMS,
-        formats: int | None = None,
+        known_format: int | None = None,
     ) -> None:
         labels = [f"h{i}" for i in range(count)]
         super().__init__(seed, labels, teams)
-        self.parts = parts
+        self.subsystems = subsystems
         self.scheduling = scheduling or SchedulingOptions()
-        self.coming = coming
-        self.old = set(old)
+        self.upcoming_limits = upcoming_limits
+        self.first_version = set(first_version)
         # The latest format that a controller of an earlier version knows, by its label.
-        self.formats: dict[str, int] = {}
-        if formats is not None:
-            self.formats = {f"h{i}": formats for i in range(count)}
+        self.known_formats: dict[str, int] = {}
+        if known_format is not None:
+            self.known_formats = {f"h{i}": known_format for i in range(count)}
         self.incarnations: dict[str, int] = dict.fromkeys(labels, 0)
         self.frozen: dict[str, list[tuple]] = {}
-        self.stuck: set[str] = set()  # controllers whose watch brings nothing for now
+        self.stalled_watches: set[str] = set()  # controllers whose watch brings nothing for now
         self.late_copy_share = 0.0  # share of reports of which a copy comes much later
         # share of reports of which a copy comes to whoever next wins a role
         self.stale_heartbeat_share = 0.0
         self.stale_heartbeats: list[Heartbeat] = []
-        self.late_writes = 0.0  # share of transactions carried out 2 to 12 s later, unanswered
-        self.lost_answers = 0.0  # share of transactions carried out at once, unanswered
-        self.recount = False
-        # By who asked, its life and the peer: the life that the peer last answered with.
+        # Shares of transactions that get no answer: carried out 2 to 12 s later, or at once.
+        self.late_write_share = 0.0
+        self.lost_answer_share = 0.0
+        self.verify_counts = False
+        # By sender, its incarnation and peer: the incarnation in the peer's last answer.
         self.peer_incarnations: dict[tuple[str, int, str], int] = {}
-        self.state = FakeStore(self)
+        self.store = FakeStore(self)
         self.boot_all()
-        self.list_machines()
+        self.tick_environment()
 
     def boot_all(self) -> None:
         for label in self.labels:
@@ -84,29 +85,31 @@
     def boot(self, label: str) -> None:
         self.incarnations[label] += 1
         incarnation = self.incarnations[label]
-        core = Controller(self.settings(label), random.Random(self.rng.random()), 0, self.parts)
-        if label in self.old:
-            make_old(core)
-        if label in self.formats:
-            core.context.replica.known_format = self.formats[label]
+        core = Controller(
+            self.settings(label), random.Random(self.rng.random()), 0, self.subsystems
+        )
+        if label in self.first_version:
+            behave_as_first_version(core)
+        if label in self.known_formats:
+            core.context.replica.known_format = self.known_formats[label]
         self.cores[label] = core
         if not self.cloud_down:
             self.command(label, messages.UpdateMachineTypes([deployment.TYPE]))
-        self.follow(label, incarnation, None)
+        self.poll_watch(label, incarnation, None)
         self.tick(label, incarnation)
 
     def settings(self, label: str) -> Settings:
         """Return a controller's settings."""
-        conf = deployment.settings_for(
-            label, len(self.labels), self.coming, tuple(self.teams.values())
+        settings = deployment.settings_for(
+            label, len(self.labels), self.upcoming_limits, tuple(self.teams.values())
         )
-        return msgspec.structs.replace(conf, scheduling=self.scheduling)
+        return msgspec.structs.replace(settings, scheduling=self.scheduling)
 
-    def crash(self, label: str, back: float | None = 3.0) -> None:
+    def crash(self, label: str, restart_s: float | None = 3.0) -> None:
         self.cores[label] = None
         self.incarnations[label] += 1
-        if back is not None:
-            self.after(back, lambda: self.boot(label) if self.cores[label] is None else None)
+        if restart_s is not None:
+            self.after(restart_s, lambda: self.boot(label) if self.cores[label] is None else None)
 
     def freeze(self, label: str, seconds: float) -> None:
         """Let a controller stand still while its clock runs on; what comes waits for it."""
@@ -122,27 +125,30 @@
         """Return what a controller hears of the time of day at a tick."""
         return []
 
-    def follow(self, label: str, incarnation: int, since: int | None) -> None:
+    def poll_watch(self, label: str, incarnation: int, since: int | None) -> None:
         """Stand in for the watch: news every 20 ms while the state service can be reached."""
         if self.incarnations[label] != incarnation:
             return
-        state, asked = self.state, self.now
+        store, sent_at = self.store, self.now
         if not (
-            state.down or label in state.refused or self.cut(label, "state") or label in self.stuck
+            store.down
+            or label in store.refused
+            or self.is_cut(label, "state")
+            or label in self.stalled_watches
         ):
-            state.expire()
+            store.expire()
             if since is None:
-                rows = [(k, v[0], v[1]) for k, v in state.rows.items()]
-                self.command(label, messages.LoadSnapshot(rows, state.revision, asked))
+                rows = [(k, v[0], v[1]) for k, v in store.rows.items()]
+                self.command(label, messages.LoadSnapshot(rows, store.revision, sent_at))
             else:
-                start = len(state.log)
-                while start and state.log[start - 1][2] > since:
+                start = len(store.log)
+                while start and store.log[start - 1][2] > since:
                     start -= 1
-                events = state.log[start:]
-                self.command(label, messages.ApplyWatchEvents(events, state.revision, asked))
-            since = state.revision
-        late = self.rng.uniform(0.0, self.state_slow) if self.state_slow else 0.0
-        self.after(0.02 + late, lambda: self.follow(label, incarnation, since))
+                events = store.log[start:]
+                self.command(label, messages.ApplyWatchEvents(events, store.revision, sent_at))
+            since = store.revision
+        delay = self.rng.uniform(0.0, self.store_delay_s) if self.store_delay_s else 0.0
+        self.after(0.02 + delay, lambda: self.poll_watch(label, incarnation, since))
 
     def command(self, label: str, command: messages.Command) -> None:
         self.step(label, [command])
@@ -156,7 +162,7 @@
             return
         for effect in core.step(self.now, commands):
             self.carry_out(label, incarnation, effect)
-        if self.recount:
+        if self.verify_counts:
             check_counts(core)
 
     def carry_out(self, label: str, incarnation: int, effect: messages.Effect) -> None:
@@ -166,10 +172,10 @@
             effect.request(effect.status, effect.body)
             return
         if isinstance(effect, messages.SendToPeer):
-            self.send(label, incarnation, effect.controller_id, effect.message)
+            self.send_to_peer(label, incarnation, effect.controller_id, effect.message)
             return
 
-        def done(value: tuple) -> None:
+        def complete(value: tuple) -> None:
             if self.incarnations[label] == incarnation:
                 self.command(label, messages.OperationDone(effect.operation, *value))
 
@@ -178,65 +184,65 @@
             self.check_start_commands(label, commands)
             worker = self.workers.get(addr)
             if worker is not None:
-                self.ask(
+                self.call(
                     label,
                     addr,
                     lambda: (
-                        worker.orders(effect.fencing_token, effect.agent_epoch, commands)
+                        worker.receive_commands(effect.fencing_token, effect.agent_epoch, commands)
                         if not worker.dead
                         else ("lost", None)
                     ),
-                    done,
+                    complete,
                     ("lost", None),
                     2.0,
                     worker.run_when_awake,
                 )
         elif isinstance(effect, messages.CloudOperation):
-            self.ask(label, "cloud", lambda: self.cloud(effect), done, (0, None), 5.0)
+            self.call(label, "cloud", lambda: self.cloud(effect), complete, (0, None), 5.0)
         else:
-            self.to_state(label, effect, done)
+            self.send_to_store(label, effect, complete)
 
-    def to_state(
-        self, label: str, effect: messages.StoreOperation, done: Callable[[tuple], None]
+    def send_to_store(
+        self, label: str, effect: messages.StoreOperation, complete: Callable[[tuple], None]
     ) -> None:
         """Carry an operation to the state service; some are carried out late and unanswered."""
 
         def serve() -> tuple[int, Any]:
-            return self.state.serve(label, effect)
+            return self.store.serve(label, effect)
 
         transaction = isinstance(effect, messages.Transaction)
-        if transaction and self.late_writes and self.rng.random() < self.late_writes:
+        if transaction and self.late_write_share and self.rng.random() < self.late_write_share:
             self.after(self.rng.uniform(2.0, 12.0), serve)
-            self.after(constants.STORE_TIMEOUT_S, lambda: done((0, None)))
-        elif transaction and self.lost_answers and self.rng.random() < self.lost_answers:
+            self.after(constants.STORE_TIMEOUT_S, lambda: complete((0, None)))
+        elif transaction and self.lost_answer_share and self.rng.random() < self.lost_answer_share:
             self.after(self.delay(), serve)
-            self.after(constants.STORE_TIMEOUT_S, lambda: done((0, None)))
+            self.after(constants.STORE_TIMEOUT_S, lambda: complete((0, None)))
         else:
-            self.ask(label, "state", serve, done, (0, None), constants.STORE_TIMEOUT_S)
+            self.call(label, "state", serve, complete, (0, None), constants.STORE_TIMEOUT_S)
 
-    def send(self, label: str, incarnation: int, peer: str, message: PeerMessage) -> None:
-        asked, mine = self.now, self.cores[label]
-        since = mine.agents.cancellations.revision if mine is not None else -1
+    def send_to_peer(self, label: str, incarnation: int, peer: str, message: PeerMessage) -> None:
+        sent_at, sender = self.now, self.cores[label]
+        since = sender.agents.cancellations.revision if sender is not None else -1
 
         def serve() -> Any:
             if self.cores.get(peer) is None:
                 return None
-            box: list[tuple] = []
+            answers: list[tuple] = []
             self.command(
                 peer,
                 messages.ReceivePeerMessages(
-                    lambda *a: box.append(a),
+                    lambda *a: answers.append(a),
                     label,
                     [decode_message(encode_message(message))],
                     since,
                 ),
             )
-            return box[0][1] if box else None
+            return answers[0][1] if answers else None
 
-        def done(word: Any) -> None:
+        def complete(answer: Any) -> None:
             if self.incarnations[label] != incarnation:
                 return
-            if word is None:
+            if answer is None:
                 if isinstance(message, MachineView):
                     self.after(
                         0.5,
@@ -246,17 +252,18 @@
                         ),
                     )
                 return
-            new = self.peer_incarnations.get((label, incarnation, peer)) != word[2]
-            self.peer_incarnations[(label, incarnation, peer)] = word[2]
+            restarted = self.peer_incarnations.get((label, incarnation, peer)) != answer[2]
+            self.peer_incarnations[(label, incarnation, peer)] = answer[2]
             self.command(
-                label, messages.PeerAnswered(peer, word[2], word[3], word[4], asked, word[5])
+                label,
+                messages.PeerAnswered(peer, answer[2], answer[3], answer[4], sent_at, answer[5]),
             )
-            if new:
+            if restarted:
                 self.command(label, messages.PeerRestarted(peer))
 
-        self.ask(label, peer, serve, done, None, 2.0)
+        self.call(label, peer, serve, complete, None, 2.0)
 
-    def written(self, key: str, value: Any) -> None:
+    def on_write(self, key: str, value: Any) -> None:
         """The state service wrote a key: of a role, its holder gets the reports kept for it."""
         if key.startswith("ox/own/"):
             heartbeats, self.stale_heartbeats = self.stale_heartbeats, []
@@ -268,8 +275,8 @@
                     ),
                 )
 
-    def list_machines(self) -> None:
+    def tick_environment(self) -> None:
         """Let the cloud's list go on, twice a second, and look for cancelled tasks."""
         self.record_machines()
         self.check_cancelled()
-        self.after(0.5, self.list_machines)
+        self.after(0.5, self.tick_environment)
--- a/tests/fakes/store.py
+++ b/tests/fakes/store.py
@@ -26,7 +26,7 @@
         self.too_large = 0
 
     def put(self, key: str, value: Any, lease: int | None) -> None:
-        self.sim.written(key, value)
+        self.sim.on_write(key, value)
         self.rows[key] = (value, self.revision, lease)
         self.log.append((key, value, self.revision))
 
--- a/tests/fakes/tasks.py
+++ b/tests/fakes/tasks.py
@@ -10,9 +10,9 @@
     def __init__(self, seed: int, labels: list[str]) -> None:
         super().__init__(seed, labels)
         self.specs: dict[str, JobSpec] = {}
-        self.broken: set[str] = set()  # jobs that fail on every machine
+        self.failing_jobs: set[str] = set()  # jobs that fail on every machine
         self.completed: set[str] = set()
-        self.fetches = False  # whether images take their time, 1 GB a second
+        self.simulate_fetches = False  # whether images take their time, 1 GB a second
 
     def run_s(self, task: str) -> float:
         job = self.specs[task.partition("/")[0]]
@@ -30,12 +30,12 @@
             and r[0] in ("waiting", "running")
         ]
         if job.kind != "gang" or len(rows) == job.tasks:
-            for one in rows if job.kind == "gang" else [row]:
-                one[0], one[2] = "running", self.now + self.run_s(key[0])
+            for entry in rows if job.kind == "gang" else [row]:
+                entry[0], entry[2] = "running", self.now + self.run_s(key[0])
         elif row[2] <= self.now:
             row[:2] = ["exited", "alone"]
 
-    def finish(self, key: tuple[str, int], row: list, sick: bool) -> None:
+    def finish(self, key: tuple[str, int], row: list, fails_tasks: bool) -> None:
         """End a task; a gang's tasks complete together or not at all."""
         job_id = key[0].partition("/")[0]
         job = self.specs[job_id]
@@ -48,11 +48,17 @@
                 for (task, attempt), r in w.tasks.items()
                 if task.startswith(job_id + "/") and attempt == key[1] and r[0] == "running"
             ]
-        whole = len(rows) == (job.tasks if job.kind == "gang" else 1)
-        why = "error" if sick or job_id in self.broken else "done" if whole else "peers"
-        for one in rows if why == "done" else [row]:
-            one[:2] = ["exited", why]
-        if why == "done":
+        complete = len(rows) == (job.tasks if job.kind == "gang" else 1)
+        reason = (
+            "error"
+            if fails_tasks or job_id in self.failing_jobs
+            else "done"
+            if complete
+            else "peers"
+        )
+        for entry in rows if reason == "done" else [row]:
+            entry[:2] = ["exited", reason]
+        if reason == "done":
             self.completed.update(
                 f"{job_id}/{i}"
                 for i in range(job.tasks)
--- a/tests/fakes/users.py
+++ b/tests/fakes/users.py
@@ -14,7 +14,8 @@
 
     def __init__(self, seed: int, labels: list[str], teams: tuple[Team, ...]) -> None:
         super().__init__(seed, labels, teams)
-        self.close = 0.0  # share of state changes after which all controllers are queried
+        # Share of state changes after which all controllers are queried.
+        self.query_burst_share = 0.0
         self.submitted: dict[str, float] = {}
 
     def command(self, label: str, command: messages.Command) -> None:
@@ -24,7 +25,7 @@
     def submit(self, job_id: str, job: JobSpec) -> None:
         self.specs[job_id] = job
         self.submitted.setdefault(job_id, self.now)
-        self._user(
+        self._request_until_answered(
             job_id,
             lambda rid: messages.SubmitJob(rid, job_id, job, ""),
             lambda s, a: s in (200, 201, 400, 422),
@@ -32,27 +33,31 @@
 
     def cancel(self, job_id: str) -> None:
         self.cancel_requested.add(job_id)
-        self._user(job_id, lambda rid: messages.CancelJob(rid, job_id), lambda s, a: s == 200)
+        self._request_until_answered(
+            job_id, lambda rid: messages.CancelJob(rid, job_id), lambda s, a: s == 200
+        )
 
     def query(self, job_id: str) -> None:
-        self._user(job_id, lambda rid: messages.QueryJob(rid, job_id), lambda s, a: True)
+        self._request_until_answered(
+            job_id, lambda rid: messages.QueryJob(rid, job_id), lambda s, a: True
+        )
 
-    def tell(
+    def send_request(
         self, label: str, command: type[messages.Command], job_id: str, *fields: Any
     ) -> list[tuple[int, tuple]]:
         """Ask one controller once as a user, with all checks; return its answers as they come."""
         answers: list[tuple[int, tuple]] = []
-        before, sent = self.told.get(job_id), self.now
+        previous, sent = self.reported_state.get(job_id), self.now
 
-        def answered(status: int, answer: tuple) -> None:
+        def on_answer(status: int, answer: tuple) -> None:
             answers.append((status, answer))
-            self.check_answer(job_id, status, answer, before, sent)
+            self.check_answer(job_id, status, answer, previous, sent)
 
-        self.command(label, command(answered, job_id, *fields))
+        self.command(label, command(on_answer, job_id, *fields))
         return answers
 
     def on_new_state(self, job_id: str) -> None:
-        if self.close and self.rng.random() < self.close:
+        if self.query_burst_share and self.rng.random() < self.query_burst_share:
             self.query_all_controllers(job_id)
 
     def query_all_controllers(self, job_id: str) -> None:
@@ -61,34 +66,34 @@
         for label in self.labels * 2:
             self.after(
                 self.rng.uniform(0.001, 0.02),
-                lambda label=label: self.tell(label, messages.QueryJob, job_id),
+                lambda label=label: self.send_request(label, messages.QueryJob, job_id),
             )
         for label in self.labels:
             self.after(
                 self.rng.uniform(0.001, 0.02),
-                lambda label=label: self.tell(
+                lambda label=label: self.send_request(
                     label, messages.SubmitJob, job_id, self.specs[job_id], ""
                 ),
             )
-        if self.told[job_id] == "accepted" and self.rng.random() < 0.25:
+        if self.reported_state[job_id] == "accepted" and self.rng.random() < 0.25:
             self.after(self.rng.uniform(0.001, 0.02), lambda: self.cancel(job_id))
 
-    def _user(self, job_id: str, make: Callable, enough: Callable) -> None:
+    def _request_until_answered(self, job_id: str, make: Callable, is_final: Callable) -> None:
         label = self.rng.choice(self.labels)
         state = {"open": True}
-        before, sent = self.told.get(job_id), self.now
+        previous, sent = self.reported_state.get(job_id), self.now
 
-        def answered(status: int, answer: tuple) -> None:
-            self.check_answer(job_id, status, answer, before, sent)
+        def on_answer(status: int, answer: tuple) -> None:
+            self.check_answer(job_id, status, answer, previous, sent)
             if state["open"]:
                 state["open"] = False
-                if not enough(status, answer):
-                    self.after(1.0, lambda: self._user(job_id, make, enough))
+                if not is_final(status, answer):
+                    self.after(1.0, lambda: self._request_until_answered(job_id, make, is_final))
 
-        def again() -> None:
+        def retry() -> None:
             if state["open"]:
                 state["open"] = False
-                self.after(1.0, lambda: self._user(job_id, make, enough))
+                self.after(1.0, lambda: self._request_until_answered(job_id, make, is_final))
 
-        self.after(5.0, again)
-        self.command(label, make(answered))
+        self.after(5.0, retry)
+        self.command(label, make(on_answer))
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -18,22 +18,22 @@
         self.sim, self.name, self.zone, self.spot = sim, name, zone, spot
         self.agent_epoch, self.sequence, self.fencing_token = 1, 0, 0
         self.tasks: dict[tuple[str, int], list] = {}
-        self.node = sim.rng.randrange(len(sim.labels))
-        self.lease_from = sim.now
+        self.controller_index = sim.rng.randrange(len(sim.labels))
+        self.lease_renewed_at = sim.now
         self.dead = False
         self.images: set[str] = set()
-        self.sick = False
-        self.taken_at: float | None = None
-        self.waiting = 0
-        self.reported_token = -1e9
+        self.fails_tasks = False
+        self.reclaim_at: float | None = None
+        self.heartbeat_turn = 0
+        self.early_heartbeat_at = -1e9
         self.up = False
         self.hung_since = self.hung_until = -1.0
-        self.held: list[Callable[[], None]] = []  # messages that arrived while it hung
+        self.queued_messages: list[Callable[[], None]] = []  # messages that arrived while it hung
 
     def start(self) -> None:
         if not self.dead:
             self.up = True
-            self.lease_from = self.sim.now
+            self.lease_renewed_at = self.sim.now
             self.heartbeat()
 
     def snapshot(self) -> Heartbeat:
@@ -60,11 +60,11 @@
         return heartbeat
 
     def notice_s(self) -> float | None:
-        return None if self.taken_at is None else max(0.0, self.taken_at - self.sim.now)
+        return None if self.reclaim_at is None else max(0.0, self.reclaim_at - self.sim.now)
 
-    def take(self, seconds: float) -> None:
+    def reclaim(self, seconds: float) -> None:
         """Let the cloud reclaim the machine after a notice of this many seconds."""
-        self.taken_at = self.sim.now + seconds
+        self.reclaim_at = self.sim.now + seconds
         self.sim.after(seconds, lambda: self.sim.kill(self.name))
 
     @property
@@ -88,30 +88,30 @@
             row[2] += self.sim.now - self.hung_since
         self.advance()
         self.sim.check_cancelled()
-        held, self.held = self.held, []
-        for run in held:
+        queued, self.queued_messages = self.queued_messages, []
+        for run in queued:
             run()
 
     def run_when_awake(self, run: Callable[[], None]) -> None:
         """Run a callback now, or when the machine resumes."""
         if self.hung:
-            self.held.append(run)
+            self.queued_messages.append(run)
         else:
             run()
 
     @property
     def lease_expired(self) -> bool:
         """Whether the lease expired, so that its tasks are killed before anything else."""
-        return self.sim.now - self.lease_from > deployment.LEASE_S
+        return self.sim.now - self.lease_renewed_at > deployment.LEASE_S
 
     def advance(self) -> None:
         if self.hung:
             return
         now = self.sim.now
-        if now - self.lease_from > deployment.LEASE_S:
+        if now - self.lease_renewed_at > deployment.LEASE_S:
             self.tasks.clear()
             self.agent_epoch += 1
-            self.lease_from = now
+            self.lease_renewed_at = now
         for key, row in list(self.tasks.items()):
             job = self.sim.specs[key[0].partition("/")[0]]
             if row[0] == "fetching" and row[2] <= now:
@@ -123,56 +123,60 @@
             if row[0] == "saving" and row[2] <= now:
                 row[:2] = ["exited", "stopped"]
             if row[0] == "running" and row[2] <= now:
-                self.sim.finish(key, row, self.sick)
+                self.sim.finish(key, row, self.fails_tasks)
 
     def heartbeat(self) -> None:
         """Send a heartbeat and schedule the next; an answer counts within `ANSWER_S`."""
         if self.dead:
             return
         if self.hung:
-            self.held.append(self.heartbeat)
+            self.queued_messages.append(self.heartbeat)
             return
-        sim, label = self.sim, self.sim.labels[self.node]
+        sim, label = self.sim, self.sim.labels[self.controller_index]
         heartbeat, sent = self.snapshot(), sim.now
-        self.waiting += 1
-        turn = self.waiting
+        self.heartbeat_turn += 1
+        sent_turn = self.heartbeat_turn
 
-        def answered(status: int, answer: tuple) -> None:
-            if self.dead or turn != self.waiting or sim.now - sent > deployment.ANSWER_S:
+        def on_answer(status: int, answer: tuple) -> None:
+            if (
+                self.dead
+                or sent_turn != self.heartbeat_turn
+                or sim.now - sent > deployment.ANSWER_S
+            ):
                 return
-            self.waiting += 1
+            self.heartbeat_turn += 1
             self.advance()
-            before = self.fencing_token
+            previous_token = self.fencing_token
             if (
                 status == 200
                 and answer[0] == "orders"
                 and heartbeat.agent_epoch == self.agent_epoch
             ):
                 if answer[1] >= self.fencing_token:
-                    self.lease_from = sent
-                    self.obey(answer[1], answer[2])
+                    self.lease_renewed_at = sent
+                    self.apply_commands(answer[1], answer[2])
             elif status == 421 and answer[1] in sim.labels:
-                self.node = sim.labels.index(answer[1])
+                self.controller_index = sim.labels.index(answer[1])
             elif status != 200:
-                self.node = (self.node + 1) % len(sim.labels)
-            # A higher token is reported sooner, at most once in half a lease.
-            token_rose = self.fencing_token > before
-            sooner = token_rose and sim.now - self.reported_token > deployment.LEASE_S / 2
-            if sooner:
-                self.reported_token = sim.now
+                self.controller_index = (self.controller_index + 1) % len(sim.labels)
+            # A higher token is reported early, at most once in half a lease.
+            token_rose = self.fencing_token > previous_token
+            early = token_rose and sim.now - self.early_heartbeat_at > deployment.LEASE_S / 2
+            if early:
+                self.early_heartbeat_at = sim.now
             sim.after(
-                0.5 if sooner else deployment.REPORT_S * sim.rng.uniform(0.75, 1.25),
+                0.5 if early else deployment.REPORT_S * sim.rng.uniform(0.75, 1.25),
                 self.heartbeat,
             )
 
-        def lost() -> None:
-            if turn == self.waiting and not self.dead:
-                self.waiting += 1
-                self.node = (self.node + 1) % len(sim.labels)
+        def on_timeout() -> None:
+            if sent_turn == self.heartbeat_turn and not self.dead:
+                self.heartbeat_turn += 1
+                self.controller_index = (self.controller_index + 1) % len(sim.labels)
                 sim.after(1.0, self.heartbeat)
 
         if self.name in sim.muted:  # no connection to any controller
-            sim.after(0.01, lambda: self.run_when_awake(lost))
+            sim.after(0.01, lambda: self.run_when_awake(on_timeout))
             return
         if (
             sim.stale_heartbeat_share
@@ -187,37 +191,39 @@
                 sim.rng.uniform(0.5, 4 * deployment.LEASE_S),
                 lambda: sim.command(other, messages.ReceiveHeartbeat(lambda *a: None, heartbeat)),
             )
-        sim.after(deployment.ANSWER_S, lambda: self.run_when_awake(lost))
-        sim.carry(
+        sim.after(deployment.ANSWER_S, lambda: self.run_when_awake(on_timeout))
+        sim.deliver(
             self.name,
             label,
             lambda: sim.command(
                 label,
                 messages.ReceiveHeartbeat(
-                    lambda *a: sim.carry(
-                        label, self.name, lambda: self.run_when_awake(lambda: answered(*a))
+                    lambda *a: sim.deliver(
+                        label, self.name, lambda: self.run_when_awake(lambda: on_answer(*a))
                     ),
                     heartbeat,
                 ),
             ),
         )
 
-    def orders(self, fencing_token: int, agent_epoch: int, orders: list) -> tuple[str, Heartbeat]:
+    def receive_commands(
+        self, fencing_token: int, agent_epoch: int, orders: list
+    ) -> tuple[str, Heartbeat]:
         self.advance()
         if fencing_token < self.fencing_token or agent_epoch != self.agent_epoch:
             return "refused", self.snapshot()
-        self.obey(fencing_token, orders)
+        self.apply_commands(fencing_token, orders)
         return "ok", self.snapshot()
 
-    def obey(self, fencing_token: int, orders: list) -> None:
+    def apply_commands(self, fencing_token: int, orders: list) -> None:
         self.fencing_token = max(self.fencing_token, fencing_token)
         for order in orders:
             key = (order["piece"], order["try"])
             if order["verb"] == "launch" and key not in self.tasks:
-                self.sim.started(self, key)
+                self.sim.on_start(self, key)
                 self.tasks[key] = ["running", "", self.sim.now + self.sim.run_s(key[0])]
                 job = self.sim.specs[key[0].partition("/")[0]]
-                if self.sim.fetches:
+                if self.sim.simulate_fetches:
                     fetch = 0.0 if job.image in self.images else job.image_gb
                     self.tasks[key] = ["fetching", "", self.sim.now + fetch]
             elif order["verb"] == "halt" and self.tasks.get(key, [""])[0] not in ("", "exited"):
--- a/tests/helpers/clusters.py
+++ b/tests/helpers/clusters.py
@@ -5,7 +5,7 @@
 from tests.fakes import Simulation, spec
 
 # Limits of CPUs that bind before those of GPUs for one team, and the other way for the other.
-TIGHT = (
+MIXED_QUOTAS = (
     Team("red", cpus_max=6, gpus=4, gpus_max=8),
     Team("blue", cpus_max=20, gpus=2, gpus_max=6),
 )
@@ -22,7 +22,7 @@
     """Query a job and return the state its user was told after this many seconds."""
     sim.query(job_id)
     sim.run(seconds)
-    return sim.told[job_id]
+    return sim.reported_state[job_id]
 
 
 def running_machines(sim: Simulation) -> list[str]:
@@ -40,32 +40,38 @@
         sim.submit(f"job-{number}", spec("array", 8, team, estimate_s=run_s, zone=zone))
     sim.run(12)
     assert len(running_machines(sim)) >= 2
-    assert len(sim.live()) >= 12
+    assert len(sim.running_tasks()) >= 12
     return sim
 
 
-def leader(sim: Simulation) -> str:
+def busiest_controller(sim: Simulation) -> str:
     """Return the controller that most machines report to."""
     return max(
         (label for label, core in sim.cores.items() if core is not None),
-        key=lambda label: len(workers_of(sim, label)),
+        key=lambda label: len(machines_reporting_to(sim, label)),
     )
 
 
-def workers_of(sim: Simulation, label: str) -> list[str]:
+def machines_reporting_to(sim: Simulation, label: str) -> list[str]:
     """Return the machines that report to a controller."""
-    return [name for name in running_machines(sim) if sim.labels[sim.workers[name].node] == label]
+    return [
+        name
+        for name in running_machines(sim)
+        if sim.labels[sim.workers[name].controller_index] == label
+    ]
 
 
-def running(sim: Simulation, job_id: str) -> list[str]:
+def machines_running(sim: Simulation, job_id: str) -> list[str]:
     """Return the machines that run tasks of a job."""
-    return [worker.name for worker, task, _ in sim.live() if task.startswith(job_id + "/")]
+    return [
+        worker.name for worker, task, _ in sim.running_tasks() if task.startswith(job_id + "/")
+    ]
 
 
-def cancel_at(sim: Simulation, label: str, job_id: str) -> None:
+def cancel_through(sim: Simulation, label: str, job_id: str) -> None:
     """Cancel a job through one controller, which confirms it."""
     sim.cancel_requested.add(job_id)
-    answers = sim.tell(label, messages.CancelJob, job_id)
+    answers = sim.send_request(label, messages.CancelJob, job_id)
     sim.run(0.06)
     assert [status for status, _ in answers] == [200]
 
@@ -73,23 +79,23 @@
 def move_workers_to(sim: Simulation, label: str) -> None:
     """Let all machines send their heartbeats to one controller."""
     for worker in sim.workers.values():
-        worker.node = sim.labels.index(label)
+        worker.controller_index = sim.labels.index(label)
     sim.run(3)
-    assert workers_of(sim, label) == running_machines(sim)
+    assert machines_reporting_to(sim, label) == running_machines(sim)
 
 
 def check_recovered(sim: Simulation, seconds: float = 150.0) -> None:
     """End all faults and check that every job is answered and finishes."""
     sim.cuts.clear()
     sim.one_way.clear()
-    sim.stuck.clear()
-    sim.state.refused = set()
-    sim.late_writes = sim.state_slow = sim.late_copy_share = 0.0
-    assert sim.unresponsive() == set()
-    assert sim.unfinished(seconds) == set()
+    sim.stalled_watches.clear()
+    sim.store.refused = set()
+    sim.late_write_share = sim.store_delay_s = sim.late_copy_share = 0.0
+    assert sim.unanswered_jobs() == set()
+    assert sim.unfinished_jobs(seconds) == set()
 
 
-def holder(sim: Simulation, role: str) -> str:
+def role_holder(sim: Simulation, role: str) -> str:
     """Return the controller that holds a role."""
     return next(
         (
@@ -102,16 +108,16 @@
 
 
 # A service and an array of four tasks each fill two teams' limits; the third has none.
-FULL = (Team("red", gpus=4, gpus_max=8), Team("blue", gpus=4, gpus_max=8), Team("green"))
+FILLED_QUOTAS = (Team("red", gpus=4, gpus_max=8), Team("blue", gpus=4, gpus_max=8), Team("green"))
 
 
 def teams_at_quota(count: int, seed: int = 1, run_s: float = 300.0) -> Simulation:
     """Return a deployment with both teams at their limits, by a service and an array each."""
-    sim = Simulation(seed, count, teams=FULL)
+    sim = Simulation(seed, count, teams=FILLED_QUOTAS)
     sim.run(12)
     for number, team in enumerate(("red", "blue")):
         sim.submit(f"job-{number}", spec("service", 4, team, priority=3))
         sim.submit(f"job-{number + 2}", spec("array", 4, team, estimate_s=run_s))
     sim.run(14)
-    assert len(sim.live()) == 16
+    assert len(sim.running_tasks()) == 16
     return sim
--- a/tests/helpers/faults.py
+++ b/tests/helpers/faults.py
@@ -16,36 +16,36 @@
     Simulation,
     spec,
 )
-from tests.helpers.clusters import TIGHT
+from tests.helpers.clusters import MIXED_QUOTAS
 
 
 def run_with_random_faults(
-    seed: int, seconds: float = 150.0, recount: bool = False, count: int = 3
+    seed: int, seconds: float = 150.0, verify_counts: bool = False, count: int = 3
 ) -> Simulation:
     """Submit random jobs under random faults, then end all faults."""
-    sim = Simulation(seed, count, teams=TIGHT if seed % 2 else TEAMS)
-    sim.recount = recount
-    sim.loss, sim.twice, sim.slow = 0.01, 0.01, 0.005
-    dice = random.Random(seed)
+    sim = Simulation(seed, count, teams=MIXED_QUOTAS if seed % 2 else TEAMS)
+    sim.verify_counts = verify_counts
+    sim.loss_rate, sim.duplicate_rate, sim.slow_rate = 0.01, 0.01, 0.005
+    rng = random.Random(seed)
     sim.run(5)
     for number in range(int(seconds / 5)):
-        kind = dice.choice(["array", "array", "gang", "service"])
-        tasks = dice.choice([1, 2, 3, 6]) if kind != "service" else dice.choice([1, 2])
+        kind = rng.choice(["array", "array", "gang", "service"])
+        tasks = rng.choice([1, 2, 3, 6]) if kind != "service" else rng.choice([1, 2])
         sim.submit(
             f"job-{number}",
             spec(
                 kind,
                 tasks,
-                dice.choice(["red", "blue"]),
-                one_zone=dice.random() < 0.3 and kind != "service",  # spread in one zone: never
+                rng.choice(["red", "blue"]),
+                one_zone=rng.random() < 0.3 and kind != "service",  # spread in one zone: never
                 spread=kind == "service",
-                spot=dice.random() < 0.3,
-                estimate_s=dice.uniform(2, 12),
+                spot=rng.random() < 0.3,
+                estimate_s=rng.uniform(2, 12),
             ),
         )
-        if dice.random() < 0.3:
-            sim.after(dice.uniform(0, 20), lambda n=number: sim.cancel(f"job-{n}"))
-        trouble = dice.choice(
+        if rng.random() < 0.3:
+            sim.after(rng.uniform(0, 20), lambda n=number: sim.cancel(f"job-{n}"))
+        fault = rng.choice(
             [
                 "none",
                 "crash",
@@ -75,109 +75,113 @@
                 "now",
             ]
         )
-        if trouble == "crash":
-            sim.crash(dice.choice(sim.labels), dice.uniform(1, 6))
-        elif trouble == "all" and dice.random() < 0.5:
+        if fault == "crash":
+            sim.crash(rng.choice(sim.labels), rng.uniform(1, 6))
+        elif fault == "all" and rng.random() < 0.5:
             for label in sim.labels:
-                sim.crash(label, dice.uniform(1, 4))
-        elif trouble == "state":
-            sim.state.outage(dice.uniform(1, 8))
-        elif trouble == "refused":
-            sim.state.refused = {dice.choice(sim.labels)}
-            sim.after(dice.uniform(2, 12), lambda: setattr(sim.state, "refused", set()))
-        elif trouble in ("cut", "peers", "machine"):
+                sim.crash(label, rng.uniform(1, 4))
+        elif fault == "state":
+            sim.store.outage(rng.uniform(1, 8))
+        elif fault == "refused":
+            sim.store.refused = {rng.choice(sim.labels)}
+            sim.after(rng.uniform(2, 12), lambda: setattr(sim.store, "refused", set()))
+        elif fault in ("cut", "peers", "machine"):
             ends = {
-                "cut": [dice.choice(sim.labels), "state"],
-                "peers": dice.sample(sim.labels, 2),
-            }.get(trouble)
+                "cut": [rng.choice(sim.labels), "state"],
+                "peers": rng.sample(sim.labels, 2),
+            }.get(fault)
             if ends is None and sim.workers:
-                name = dice.choice(sorted(sim.workers))
-                pairs = [frozenset((label, name)) for label in sim.labels]
+                name = rng.choice(sorted(sim.workers))
+                links = [frozenset((label, name)) for label in sim.labels]
             else:
-                pairs = [frozenset(ends or ("x", "y"))]
-            sim.cuts.update(pairs)
-            sim.after(dice.uniform(2, 20), lambda p=pairs: sim.cuts.difference_update(p))
-        elif trouble == "die" and sim.workers:
-            sim.kill(dice.choice(sorted(sim.workers)))
-        elif trouble == "deaf" and sim.workers:
+                links = [frozenset(ends or ("x", "y"))]
+            sim.cuts.update(links)
+            sim.after(rng.uniform(2, 20), lambda p=links: sim.cuts.difference_update(p))
+        elif fault == "die" and sim.workers:
+            sim.kill(rng.choice(sorted(sim.workers)))
+        elif fault == "deaf" and sim.workers:
             names = sorted(sim.workers)
-            sim.drop_inbound(dice.sample(names, min(3, len(names))), dice.uniform(2, 30))
-        elif trouble == "copies":
-            sim.late_copy_share = dice.choice([0.0, 0.1, 0.4])
-        elif trouble == "alone":
-            sim.isolate(dice.choice(sim.labels), dice.uniform(2, 30))
-        elif trouble == "blink":  # back at once, one or all, maybe twice in a row
-            for label in sim.labels if dice.random() < 0.2 else dice.sample(sim.labels, 1):
-                sim.crash(label, dice.uniform(0.05, 0.5))
-                if dice.random() < 0.5:
+            sim.drop_inbound(rng.sample(names, min(3, len(names))), rng.uniform(2, 30))
+        elif fault == "copies":
+            sim.late_copy_share = rng.choice([0.0, 0.1, 0.4])
+        elif fault == "alone":
+            sim.isolate(rng.choice(sim.labels), rng.uniform(2, 30))
+        elif fault == "blink":  # back at once, one or all, maybe twice in a row
+            for label in sim.labels if rng.random() < 0.2 else rng.sample(sim.labels, 1):
+                sim.crash(label, rng.uniform(0.05, 0.5))
+                if rng.random() < 0.5:
                     sim.after(
-                        dice.uniform(0.3, 1.5),
-                        lambda la=label: sim.crash(la, dice.uniform(0.05, 0.5)),
+                        rng.uniform(0.3, 1.5),
+                        lambda la=label: sim.crash(la, rng.uniform(0.05, 0.5)),
                     )
-        elif trouble == "broken":
-            sim.broken.add(f"job-{number}")
-            sim.after(dice.uniform(10, 60), lambda n=number: sim.cancel(f"job-{n}"))
-        elif trouble == "boots":
-            sim.boot_s = dice.choice(
+        elif fault == "broken":
+            sim.failing_jobs.add(f"job-{number}")
+            sim.after(rng.uniform(10, 60), lambda n=number: sim.cancel(f"job-{n}"))
+        elif fault == "boots":
+            sim.boot_s = rng.choice(
                 [
                     lambda: 0.05,
                     lambda: sim.rng.uniform(3.0, 15.0),
                     lambda: sim.rng.choice([None, 2.0]),
                 ]
             )
-        elif trouble == "freeze":
-            label = dice.choice(sim.labels)
+        elif fault == "freeze":
+            label = rng.choice(sim.labels)
             if label not in sim.frozen and sim.cores[label] is not None:
-                sim.freeze(label, dice.uniform(1, 15))
-        elif trouble == "late":
-            sim.late_writes = dice.choice([0.0, 0.1, 0.4])
-        elif trouble == "slow":
-            sim.state_slow = dice.uniform(0.2, 3.0)
-            sim.after(dice.uniform(2, 12), lambda: setattr(sim, "state_slow", 0.0))
-        elif trouble in ("hang", "mute") and sim.workers:
+                sim.freeze(label, rng.uniform(1, 15))
+        elif fault == "late":
+            sim.late_write_share = rng.choice([0.0, 0.1, 0.4])
+        elif fault == "slow":
+            sim.store_delay_s = rng.uniform(0.2, 3.0)
+            sim.after(rng.uniform(2, 12), lambda: setattr(sim, "store_delay_s", 0.0))
+        elif fault in ("hang", "mute") and sim.workers:
             names = sorted(sim.workers)
-            names = dice.sample(names, min(3, len(names)))
-            if trouble == "mute":
-                sim.mute(names, dice.uniform(2, 30))
-            for name in names if trouble == "hang" else ():
-                sim.workers[name].hang(dice.uniform(0.5, 2.5 * LEASE_S))
-        elif trouble == "answers":
-            sim.lost_answers = dice.choice([0.0, 0.1, 0.4])
-        elif trouble == "next":
-            sim.stale_heartbeat_share = dice.choice([0.0, 0.1, 0.4])
-        elif trouble == "close":
-            sim.close = dice.choice([0.0, 0.3, 1.0])
-        elif trouble == "now":  # what runs is called off, and its machines hang
-            for worker, task, _ in dice.sample(sim.live(), min(3, len(sim.live()))):
+            names = rng.sample(names, min(3, len(names)))
+            if fault == "mute":
+                sim.mute(names, rng.uniform(2, 30))
+            for name in names if fault == "hang" else ():
+                sim.workers[name].hang(rng.uniform(0.5, 2.5 * LEASE_S))
+        elif fault == "answers":
+            sim.lost_answer_share = rng.choice([0.0, 0.1, 0.4])
+        elif fault == "next":
+            sim.stale_heartbeat_share = rng.choice([0.0, 0.1, 0.4])
+        elif fault == "close":
+            sim.query_burst_share = rng.choice([0.0, 0.3, 1.0])
+        elif fault == "now":  # what runs is called off, and its machines hang
+            for worker, task, _ in rng.sample(
+                sim.running_tasks(), min(3, len(sim.running_tasks()))
+            ):
                 sim.cancel(task.partition("/")[0])
-                sim.after(dice.uniform(0, 0.3), lambda w=worker: w.hang(dice.uniform(1, 15)))
-            if dice.random() < 0.5:
-                sim.crash(dice.choice(sim.labels), dice.uniform(0.05, 4))
-        elif trouble == "gap":  # one refused, cancelled by another, then out for all
-            sim.state.refused = {dice.choice(sim.labels)}
+                sim.after(rng.uniform(0, 0.3), lambda w=worker: w.hang(rng.uniform(1, 15)))
+            if rng.random() < 0.5:
+                sim.crash(rng.choice(sim.labels), rng.uniform(0.05, 4))
+        elif fault == "gap":  # one refused, cancelled by another, then out for all
+            sim.store.refused = {rng.choice(sim.labels)}
             for _ in range(3):
-                sim.cancel(f"job-{dice.randrange(number + 1)}")
+                sim.cancel(f"job-{rng.randrange(number + 1)}")
             sim.after(
-                dice.uniform(0.2, 3), lambda: sim.state.outage(dice.uniform(0.5, 2) * CANCEL_S)
+                rng.uniform(0.2, 3), lambda: sim.store.outage(rng.uniform(0.5, 2) * CANCEL_S)
             )
-            sim.after(4.0, lambda: setattr(sim.state, "refused", set()))
-        elif trouble == "cloud":
+            sim.after(4.0, lambda: setattr(sim.store, "refused", set()))
+        elif fault == "cloud":
             sim.cloud_down = True
-            sim.after(dice.uniform(2, 20), lambda: setattr(sim, "cloud_down", False))
+            sim.after(rng.uniform(2, 20), lambda: setattr(sim, "cloud_down", False))
         for _ in range(3):
-            sim.query(f"job-{dice.randrange(number + 1)}")
+            sim.query(f"job-{rng.randrange(number + 1)}")
             sim.run(5 / 3)
-    sim.loss = sim.twice = sim.slow = sim.late_copy_share = sim.late_writes = sim.state_slow = 0.0
-    sim.lost_answers = sim.stale_heartbeat_share = 0.0
+    sim.loss_rate = sim.duplicate_rate = sim.slow_rate = sim.late_copy_share = (
+        sim.late_write_share
+    ) = sim.store_delay_s = 0.0
+    sim.lost_answer_share = sim.stale_heartbeat_share = 0.0
     sim.muted.clear()
     sim.cuts.clear()
     sim.one_way.clear()
     sim.boot_s = lambda: 2.0
-    sim.state.refused, sim.cloud_down = set(), False
+    sim.store.refused, sim.cloud_down = set(), False
     return sim
 
 
-def moved(
+def record_heartbeat(
     context: Context, machine: Machine, manager: str, agent_epoch: int = 1, fencing_token: int = 0
 ) -> None:
     """Record the next heartbeat of a machine as a controller's view of it."""
@@ -201,8 +205,16 @@
 class QuickRestart(Simulation):
     """Restarts controllers at the n-th operation that any of them sends to the store."""
 
-    def __init__(self, at: int, who: int, back: float, served: bool, count: int = 3) -> None:
-        self.at, self.who, self.back, self.served, self.calls = at, who, back, served, 0
+    def __init__(
+        self, at: int, crashes: int, restart_s: float, served: bool, count: int = 3
+    ) -> None:
+        self.at, self.crashes, self.restart_s, self.served, self.calls = (
+            at,
+            crashes,
+            restart_s,
+            served,
+            0,
+        )
         self.armed = False
         super().__init__(7, count)
 
@@ -212,36 +224,36 @@
             if self.calls == self.at:
                 if self.served:  # it is carried out, and its answer finds nobody
                     super().carry_out(label, incarnation, effect)
-                others = [one for one in self.labels if one != label]
-                for one in [label, *others][: self.who]:
-                    self.crash(one, self.back)
+                others = [other for other in self.labels if other != label]
+                for crashed in [label, *others][: self.crashes]:
+                    self.crash(crashed, self.restart_s)
                 if not self.served:  # carried out late, when its sender is back
-                    self.after(self.back + 0.3, lambda: self.state.serve(label, effect))
+                    self.after(self.restart_s + 0.3, lambda: self.store.serve(label, effect))
                 return
         super().carry_out(label, incarnation, effect)
 
 
-def reset(sim: Simulation, name: str, label: str) -> None:
+def reconnect(sim: Simulation, name: str, label: str) -> None:
     """A machine's connection is reset, and it reports to another controller."""
     worker = sim.workers[name]
-    worker.waiting += 1
-    worker.node = sim.labels.index(label)
+    worker.heartbeat_turn += 1
+    worker.controller_index = sim.labels.index(label)
     worker.heartbeat()
 
 
 def partition_machines(sim: Simulation, names: list[str], seconds: float) -> None:
     """Partition machines from all controllers; messages are delayed."""
-    pairs = {frozenset((label, name)) for label in sim.labels for name in names}
-    sim.cuts |= pairs
-    sim.after(seconds, lambda: sim.cuts.difference_update(pairs))
+    links = {frozenset((label, name)) for label in sim.labels for name in names}
+    sim.cuts |= links
+    sim.after(seconds, lambda: sim.cuts.difference_update(links))
 
 
-class DelayedStarts(Simulation):
+class DelayedCommands(Simulation):
     """Delays direct commands of one kind by some seconds, while armed."""
 
     def __init__(self, seed: int, verb: str, seconds: float, count: int = 3) -> None:
         self.verb, self.seconds, self.armed = verb, seconds, False
-        self.held: list[float] = []
+        self.delayed_at: list[float] = []
         super().__init__(seed, count)
 
     def carry_out(self, label: str, incarnation: int, effect: messages.Effect) -> None:
@@ -250,12 +262,14 @@
             and isinstance(effect, messages.SendWorkerCommands)
             and any(order["verb"] == self.verb for order in effect.commands)
         ):
-            self.held.append(self.now)
+            self.delayed_at.append(self.now)
             worker = self.workers[effect.addr]
 
             def arrive() -> None:
                 if not worker.dead:
-                    worker.orders(effect.fencing_token, effect.agent_epoch, effect.commands)
+                    worker.receive_commands(
+                        effect.fencing_token, effect.agent_epoch, effect.commands
+                    )
 
             self.after(self.seconds, arrive)
             self.after(
@@ -276,27 +290,27 @@
         self.sent: list[tuple[str, messages.Transaction]] = []
         super().__init__(seed, count)
 
-    def to_state(
+    def send_to_store(
         self, label: str, effect: messages.StoreOperation, done: Callable[[tuple], None]
     ) -> None:
         if isinstance(effect, messages.Transaction) and effect.writes:
             self.sent.append((label, effect))
-        super().to_state(label, effect, done)
+        super().send_to_store(label, effect, done)
 
 
-def kinds(writes: list) -> set[str]:
+def record_kinds(writes: list) -> set[str]:
     """Return the kinds of records that a transaction changes."""
     return {write[0].split("/")[1] for write in writes}
 
 
-def inject_fault(sim: Simulation, how: str, names: list[str], seconds: float) -> None:
+def inject_fault(sim: Simulation, fault: str, names: list[str], seconds: float) -> None:
     """Make machines unreachable by the named kind of fault."""
-    if how == "hang":
+    if fault == "hang":
         for name in names:
             sim.workers[name].hang(seconds)
-    elif how == "mute":
+    elif fault == "mute":
         sim.mute(names, seconds)
-    elif how == "deaf":
+    elif fault == "deaf":
         sim.drop_inbound(names, seconds)
     else:
         partition_machines(sim, names, seconds)
--- a/tests/helpers/samples.py
+++ b/tests/helpers/samples.py
@@ -1,6 +1,6 @@
 """Samples of messages and settings."""
 
-GOOD = {
+SUBMISSION = {
     "id": "job-000412",
     "lane": "train",
     "owner": "vision",
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -20,7 +20,7 @@
 from oakmux.schedules.dav import tokens
 from oakmux.transport.http_server import Request, ServerProtocol
 from oakmux.transport.request_router import RequestRouter
-from tests.timed import Timed
+from tests.timed import ScheduleSimulation
 
 DATA = Path(__file__).parent / "data"
 
@@ -50,12 +50,12 @@
 
 async def main(folder: str) -> None:
     """Serve until killed."""
-    sim = Timed(datetime.now(UTC).isoformat())
+    sim = ScheduleSimulation(datetime.now(UTC).isoformat())
     sim.run(12)
     sim.start = int(time.time()) - int(sim.now)
-    status, body = sim.template()
+    status, body = sim.put_template()
     assert status == 200, body
-    sim.template("blue/t")
+    sim.put_template("blue/t")
 
     def offer(command: Any) -> bool:
         request = command.request
--- a/tests/recorded.py
+++ b/tests/recorded.py
@@ -501,7 +501,7 @@
 def play(seed: int, count: int, rest_s: float) -> RecordedSimulation:
     """Play jobs of all kinds, with one crash, one cancellation, one machine lost."""
     sim = RecordedSimulation(seed, count)
-    sim.fetches = True
+    sim.simulate_fetches = True
     sim.run(12)
     sim.submit("job-1", spec("array", 20, estimate_s=6.0))
     sim.submit("job-2", spec("gang", 3, "blue", one_zone=True, checkpoint_s=2.0, save_s=0.5))
@@ -514,7 +514,7 @@
     sim.run(12)
     sim.submit("job-6", spec("array", 90, "blue", gpus=0.0, cpus=0.1, memory_gb=0.1))
     sim.run(1)
-    sim.kill(min(worker.name for worker, _, _ in sim.live()))
+    sim.kill(min(worker.name for worker, _, _ in sim.running_tasks()))
     sim.run(rest_s)
     for job_id in list(sim.specs):
         sim.query(job_id)
@@ -557,7 +557,7 @@
         "count": sim.count,
         "kinds": dict(sorted(sim.kinds.items())),
         "first": dict(sorted(sim.first.items())),
-        "told": dict(sorted(sim.told.items())),
+        "told": dict(sorted(sim.reported_state.items())),
     }
 
 
@@ -983,7 +983,7 @@
     sim.submit("job-2", spec("array", 5, "red", gpus=2.0))
     sim.run(3)
     (machine,) = [worker for worker in sim.workers.values() if worker.up and not worker.dead]
-    label = sim.labels[machine.node]
+    label = sim.labels[machine.controller_index]
     if to_owner:
         (label,) = [
             name for name, core in sim.cores.items() if core and "red" in core.context.held_roles
--- a/tests/test_autoscaling.py
+++ b/tests/test_autoscaling.py
@@ -27,7 +27,7 @@
     for number in range(3, 6):
         sim.submit(f"job-{number}", spec("service", 1, "blue"))
     sim.run(300)
-    assert sum(1 for _, task, _ in sim.live() if task.endswith("/0")) == 3
+    assert sum(1 for _, task, _ in sim.running_tasks() if task.endswith("/0")) == 3
     assert len([w for w in sim.workers.values() if not w.dead]) == 1
 
 
@@ -42,7 +42,7 @@
         assert sum(not w.dead for w in sim.workers.values()) <= 4
     assert boot_s is not None or len(sim.workers) > 4
     sim.boot_s = lambda: 2.0
-    assert sim.unfinished(60) == set()
+    assert sim.unfinished_jobs(60) == set()
     sim.run(60)
     assert all(w.dead for w in sim.workers.values())  # none is paid for to the end of time
 
--- a/tests/test_backfill.py
+++ b/tests/test_backfill.py
@@ -187,7 +187,7 @@
     sim.run(80)
     started = [at for at, task, _, _ in sim.start_log if task.startswith("job-100/")]
     assert started
-    assert sim.unfinished(150) == set()
+    assert sim.unfinished_jobs(150) == set()
 
 
 def test_only_preemptible_or_short_work_goes_to_reserved_machines():
@@ -296,7 +296,7 @@
     sim.submit("job-1", spec("array", 8, "blue", estimate_s=3.0))
     sim.run(8)
     names = [name for name, worker in sim.workers.items() if not worker.dead]
-    sim.state.outage(2 * constants.IDLE_KEEP_S)
+    sim.store.outage(2 * constants.IDLE_KEEP_S)
     sim.run(2 * constants.IDLE_KEEP_S + 8)
     assert not any(sim.workers[name].dead for name in names)
     sim.run(constants.IDLE_KEEP_S + 10)
--- a/tests/test_binding_batches.py
+++ b/tests/test_binding_batches.py
@@ -16,7 +16,7 @@
 from oakmux.core.state.replica import Replica
 from tests.fakes import LEASE_S, Simulation, spec
 from tests.helpers.clusters import check_recovered
-from tests.helpers.faults import RepeatedTransactions, kinds
+from tests.helpers.faults import RepeatedTransactions, record_kinds
 from tools.capacity.cell import Cell, cpu_job
 
 # The writes of pages at which troubles strike, by the number of controllers.
@@ -27,7 +27,7 @@
     """Return a deployment that has machines and writes pages."""
     sim = Simulation(seed, count)
     sim.run(12)
-    assert sim.state.rows[FORMAT_KEY][0][0] == FORMAT
+    assert sim.store.rows[FORMAT_KEY][0][0] == FORMAT
     return sim
 
 
@@ -50,12 +50,12 @@
 
 def owner(sim: Simulation, team: str) -> str:
     """Return the label of a team's owner."""
-    return sim.state.rows[f"ox/own/{team}"][0][0]
+    return sim.store.rows[f"ox/own/{team}"][0][0]
 
 
 def pages(sim: Simulation) -> dict[str, tuple[list, int]]:
     """Return all pages by their key, with their stamps."""
-    return {key: row[:2] for key, row in sim.state.rows.items() if key.startswith("ox/p/")}
+    return {key: row[:2] for key, row in sim.store.rows.items() if key.startswith("ox/p/")}
 
 
 def row(job_id: str, machine: str = "m1", attempt: int = 1, tasks: int = 1) -> list:
@@ -69,8 +69,8 @@
 
 def test_jobs_submitted_together_share_transactions():
     sim = settled()
-    before, changes = sim.state.revision, Counter[str]()
-    put, drop = sim.state.put, sim.state.drop
+    before, changes = sim.store.revision, Counter[str]()
+    put, drop = sim.store.put, sim.store.drop
 
     def counted(key: str, *rest: Any) -> None:
         changes[key.split("/")[1]] += 1
@@ -80,9 +80,9 @@
         changes["-" + key.split("/")[1]] += 1
         drop(key)
 
-    sim.state.put, sim.state.drop = counted, dropped
+    sim.store.put, sim.store.drop = counted, dropped
     swarm(sim, 60, 4.0)
-    assert sim.unfinished(40) == set()
+    assert sim.unfinished_jobs(40) == set()
     assert before
     assert sim.starts == 60
     assert changes["j"] == 120
@@ -106,9 +106,9 @@
     for page in found.values():
         assert page.reserved == sum(reserved_bytes(row.tasks) for row in page.rows.values())
         assert page.reserved <= min(constants.BATCH_BYTES, least)
-    own = [key for key in sim.state.rows if key.startswith("ox/t/")]
+    own = [key for key in sim.store.rows if key.startswith("ox/t/")]
     assert {key.split("/")[2] for key in own} <= {"job-100"}  # too many tasks for a page
-    assert sim.state.too_large == 0
+    assert sim.store.too_large == 0
 
 
 # Guards the sum behind BATCH_ROW_BYTES: a page that outgrew its value could never be written.
@@ -125,7 +125,7 @@
 
 def test_a_batch_at_the_smallest_value_limit_still_holds_a_job():
     sim = Simulation(1)
-    sim.coming = None
+    sim.upcoming_limits = None
     sim.run(12)
     buffer = sim.cores[owner(sim, "red")].scheduler.buffer
     assert reserved_bytes(constants.BATCH_JOB_TASKS) <= buffer.batches.limit
@@ -208,7 +208,7 @@
 @pytest.mark.parametrize("count", [3, 7])
 def test_each_batch_write_is_conditional_and_harmless_when_repeated(count):
     sim = RepeatedTransactions(3, count)
-    sim.late_writes = 0.15
+    sim.late_write_share = 0.15
     sim.run(12)
     names = swarm(sim, 40, 12.0)
     for step in range(6):
@@ -217,7 +217,7 @@
         if step in (2, 4):
             sim.crash(owner(sim, "red"), 0.5)
     sim.run(40)
-    written = [row for row in sim.sent if "p" in kinds(row[1].writes)]
+    written = [row for row in sim.sent if "p" in record_kinds(row[1].writes)]
     assert len(written) > 10
     for _, transaction in written:
         guarded = {key for key, _ in transaction.conditions}
@@ -230,10 +230,10 @@
     check_jobs_are_guarded(sim.sent)
     for core in sim.cores.values():  # nobody writes any more, but all that was sent comes again
         core.step = lambda now, commands: []  # type: ignore[method-assign]
-    before = {key: row[:2] for key, row in sim.state.rows.items()}
+    before = {key: row[:2] for key, row in sim.store.rows.items()}
     for label, transaction in [*written, *reversed(written)]:
-        sim.state.serve(label, transaction)
-    assert {key: row[:2] for key, row in sim.state.rows.items()} == before
+        sim.store.serve(label, transaction)
+    assert {key: row[:2] for key, row in sim.store.rows.items()} == before
 
 
 def test_a_row_is_not_bound_once_its_job_was_cancelled_elsewhere():
@@ -244,18 +244,19 @@
     sim.submit("job-2", small(estimate_s=60.0))
     while not replica.jobs.get("job-2") or not replica.jobs.get("job-1"):
         sim.run(0.01)
-    sim.stuck = {mine}  # it hears of nothing that others write
+    sim.stalled_watches = {mine}  # it hears of nothing that others write
     sim.cancel_requested.add("job-1")
     other = next(label for label in sim.labels if label != mine)
-    answers = sim.tell(other, messages.CancelJob, "job-1")
+    answers = sim.send_request(other, messages.CancelJob, "job-1")
     sim.run(0.05)
     assert [status for status, _ in answers] == [200]
     sim.run(2)
     assert not core.context.replica.jobs["job-1"].bindings()
-    sim.stuck = set()
+    sim.stalled_watches = set()
     sim.run(8)
-    assert [task for _, task, _ in sim.live()] == ["job-2/0"]  # not held up for good by the other
-    assert sim.told["job-1"] == "cancelled"
+    # Not held up for good by the other.
+    assert [task for _, task, _ in sim.running_tasks()] == ["job-2/0"]
+    assert sim.reported_state["job-1"] == "cancelled"
 
 
 class InterruptedWrites(Simulation):
@@ -266,16 +267,16 @@
         self.hit = ""
         super().__init__(seed, count)
 
-    def to_state(self, label: str, effect: messages.StoreOperation, done: Any) -> None:
+    def send_to_store(self, label: str, effect: messages.StoreOperation, done: Any) -> None:
         pages_in = isinstance(effect, messages.Transaction) and any(
             write[0].startswith("ox/p/") for write in effect.writes
         )
         if not (self.armed and pages_in and not self.hit):
-            super().to_state(label, effect, done)
+            super().send_to_store(label, effect, done)
             return
         self.left -= 1
         if self.left:
-            super().to_state(label, effect, done)
+            super().send_to_store(label, effect, done)
             return
         self.hit = label
         self.after(0.0, lambda: self.strike(label, effect, done))
@@ -285,7 +286,7 @@
         label_back = 3.0 if "back" in self.how else 0.1
 
         def serve() -> Any:
-            return self.state.serve(label, effect)
+            return self.store.serve(label, effect)
 
         if "at once" in self.how:
             serve()
@@ -297,8 +298,8 @@
             self.freeze(label, LEASE_S + 2.0)
             self.after(LEASE_S + 2.5, lambda: done((0, None)))
         elif "refused" in self.how:
-            self.state.refused = {label}
-            self.after(12.0, lambda: setattr(self.state, "refused", set()))
+            self.store.refused = {label}
+            self.after(12.0, lambda: setattr(self.store, "refused", set()))
             self.after(1.5, lambda: done((503, None)))
         elif "all end" in self.how:
             for name in self.labels:
@@ -351,7 +352,7 @@
     names = swarm(sim, 24, 6.0, estimate_s=8.0)
     sim.run(3)
     for _ in range(4):
-        sim.crash(owner(sim, "red") if "ox/own/red" in sim.state.rows else sim.labels[0], 1.0)
+        sim.crash(owner(sim, "red") if "ox/own/red" in sim.store.rows else sim.labels[0], 1.0)
         sim.cancel(sim.rng.choice(names))
         sim.run(gap + constants.CONTROLLER_LEASE_S * (gap > 1))
     sim.run(15)
@@ -365,7 +366,7 @@
 def roll(sim: Simulation, *labels: str, gap: float) -> None:
     """Replace controllers of the version before, one after the other."""
     for label in labels:
-        sim.formats.pop(label, None)
+        sim.known_formats.pop(label, None)
         sim.crash(label, 1.0)
         sim.run(gap)
 
@@ -373,51 +374,51 @@
 @pytest.mark.parametrize("count", [3, 7])
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_rolling_upgrade_switches_to_batches_once_all_controllers_can_read_them(count, seed):
-    sim = Simulation(seed, count, formats=FORMAT_COMPACT)
+    sim = Simulation(seed, count, known_format=FORMAT_COMPACT)
     dice = random.Random(seed)
     sim.run(12)
-    assert sim.state.rows[FORMAT_KEY][0] == [FORMAT_COMPACT, 64]
+    assert sim.store.rows[FORMAT_KEY][0] == [FORMAT_COMPACT, 64]
     names = swarm(sim, 12, 4.0, estimate_s=60.0)
     for label in sim.labels:
         sim.run(1)
         assert not pages(sim)
-        assert sim.state.rows[FORMAT_KEY][0][0] == FORMAT_COMPACT
+        assert sim.store.rows[FORMAT_KEY][0][0] == FORMAT_COMPACT
         sim.cancel(dice.choice(names))
         roll(sim, label, gap=4.0)
     sim.run(3)
-    assert sim.state.rows[FORMAT_KEY][0] == [FORMAT, 64]
-    kept = {key for key in sim.state.rows if key.startswith("ox/t/")}
+    assert sim.store.rows[FORMAT_KEY][0] == [FORMAT, 64]
+    kept = {key for key in sim.store.rows if key.startswith("ox/t/")}
     assert kept  # what the version before wrote stays where it is until it is over
     swarm(sim, 12, 3.0, first=50, estimate_s=5.0)
     sim.run(4)
     assert pages(sim)
     check_recovered(sim)
-    assert not [key for key in sim.state.rows if key.startswith("ox/t/")]
+    assert not [key for key in sim.store.rows if key.startswith("ox/t/")]
 
 
 def test_a_rollback_before_the_switch_keeps_the_earlier_records():
-    sim = Simulation(2, formats=FORMAT_COMPACT)
+    sim = Simulation(2, known_format=FORMAT_COMPACT)
     sim.run(12)
     roll(sim, "h0", "h1", gap=4.0)
     names = swarm(sim, 8, 2.0, estimate_s=10.0)
     for label in ("h0", "h1"):
-        sim.formats[label] = FORMAT_COMPACT
+        sim.known_formats[label] = FORMAT_COMPACT
         sim.crash(label, 1.0)
         sim.run(4)
     assert not pages(sim)
-    assert sim.state.rows[FORMAT_KEY][0] == [FORMAT_COMPACT, 64]
+    assert sim.store.rows[FORMAT_KEY][0] == [FORMAT_COMPACT, 64]
     check_recovered(sim)
-    assert all(sim.told[name] == "done" for name in names)
+    assert all(sim.reported_state[name] == "done" for name in names)
 
 
 def test_a_controller_that_cannot_read_batches_serves_nothing_once_they_are_written():
     sim = settled()
-    sim.formats["h0"] = FORMAT_COMPACT
+    sim.known_formats["h0"] = FORMAT_COMPACT
     sim.crash("h0", 1.0)
     sim.run(10)
     swarm(sim, 6, 1.0)
     sim.run(5)
-    answers = sim.tell("h0", messages.QueryJob, "job-1")
+    answers = sim.send_request("h0", messages.QueryJob, "job-1")
     assert [status for status, _ in answers] == [503]
     check_recovered(sim)
 
--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -11,33 +11,33 @@
 from oakmux.core.state.replica import Replica
 from tests.fakes import CANCEL_S, LEASE_S, Simulation, spec
 from tests.helpers.clusters import (
+    busiest_controller,
     busy_cluster,
-    cancel_at,
+    cancel_through,
     check_recovered,
-    holder,
     idle_cluster,
-    leader,
+    machines_reporting_to,
+    machines_running,
     move_workers_to,
-    running,
+    role_holder,
     running_machines,
     teams_at_quota,
-    workers_of,
 )
-from tests.helpers.faults import DelayedStarts, inject_fault, reset
+from tests.helpers.faults import DelayedCommands, inject_fault, reconnect
 
 
 def test_cancelled_job_stops_and_stays_cancelled():
     sim = idle_cluster()
     sim.submit("job-1", spec("service", 2))
     sim.run(10)
-    assert len(sim.live()) == 2
+    assert len(sim.running_tasks()) == 2
     sim.cancel("job-1")
     sim.run(CANCEL_S)
-    assert not sim.live()
+    assert not sim.running_tasks()
     sim.query("job-1")
     sim.submit("job-1", sim.specs["job-1"])
     sim.run(2)
-    assert sim.told["job-1"] == "cancelled"
+    assert sim.reported_state["job-1"] == "cancelled"
 
 
 def test_cancelled_tasks_on_an_unreachable_machine_end_in_time():
@@ -48,8 +48,8 @@
     sim.drop_inbound(running_machines(sim), 100.0)
     sim.cancel("job-1")
     sim.run(CANCEL_S + 2)  # the fakes check it as well
-    assert sim.told["job-1"] == "cancelled"
-    assert not sim.live()
+    assert sim.reported_state["job-1"] == "cancelled"
+    assert not sim.running_tasks()
 
 
 @pytest.mark.parametrize("count", [3, 7])
@@ -57,18 +57,18 @@
     sim = busy_cluster(count, run_s=300.0)
     old = sim.labels[0]
     move_workers_to(sim, old)
-    sim.state.refused = {old}
+    sim.store.refused = {old}
     sim.run(1)
-    cancel_at(sim, sim.labels[1], "job-0")
+    cancel_through(sim, sim.labels[1], "job-0")
     sim.run(0.4)
-    sim.state.outage(2 * CANCEL_S)
-    sim.state.refused = set()
-    others = [task for _, task, _ in sim.live() if task.startswith("job-1/")]
+    sim.store.outage(2 * CANCEL_S)
+    sim.store.refused = set()
+    others = [task for _, task, _ in sim.running_tasks() if task.startswith("job-1/")]
     sim.run(CANCEL_S + 2)  # the fakes check that no task of job-0 is left by then
-    assert not running(sim, "job-0")
+    assert not machines_running(sim, "job-0")
     # it could be, and was, answered for all the while
-    assert workers_of(sim, old) == running_machines(sim)
-    assert [task for _, task, _ in sim.live() if task.startswith("job-1/")] == others
+    assert machines_reporting_to(sim, old) == running_machines(sim)
+    assert [task for _, task, _ in sim.running_tasks() if task.startswith("job-1/")] == others
     check_recovered(sim, 350)
 
 
@@ -85,17 +85,17 @@
     for job_id in ("job-0", "job-1"):
         sim.cancel(job_id)
     sim.run(4)
-    sim.stuck = {other}
+    sim.stalled_watches = {other}
     sim.submit("job-5", spec("array", 4, estimate_s=300.0))
     sim.run(2)
-    assert len(running(sim, "job-5")) == 4
-    sim.state.refused = {old}
-    sim.stuck = {*sim.labels} - {old}  # its news reaches nobody any more
-    cancel_at(sim, other, "job-5")
-    sim.state.outage(2 * CANCEL_S)
-    sim.state.refused, sim.stuck = set(), set()
+    assert len(machines_running(sim, "job-5")) == 4
+    sim.store.refused = {old}
+    sim.stalled_watches = {*sim.labels} - {old}  # its news reaches nobody any more
+    cancel_through(sim, other, "job-5")
+    sim.store.outage(2 * CANCEL_S)
+    sim.store.refused, sim.stalled_watches = set(), set()
     sim.run(CANCEL_S + 2)
-    assert workers_of(sim, old) == running_machines(sim)
+    assert machines_reporting_to(sim, old) == running_machines(sim)
     check_recovered(sim)
 
 
@@ -116,31 +116,31 @@
         sim.crash(theirs, 0.2)
     sim.run(8)
     move_workers_to(sim, theirs)
-    sim.state.refused = {ours}
+    sim.store.refused = {ours}
     sim.run(8)  # what it owned has gone to others
     sim.submit("job-1", spec("array", 3, estimate_s=300.0))
     sim.run(3)
-    names = running(sim, "job-1")
+    names = machines_running(sim, "job-1")
     assert len(names) == 3
     assert job_of(sim, ours, "job-1") is None
     sim.cuts |= {frozenset((label, name)) for label in sim.labels[1:] for name in names}
-    cancel_at(sim, sim.labels[-1], "job-1")
-    sim.state.outage(2 * CANCEL_S)
+    cancel_through(sim, sim.labels[-1], "job-1")
+    sim.store.outage(2 * CANCEL_S)
     sim.run(1.7)  # nobody's records are fresh any more: we keep whom we have
     ruled = [sim.workers[name].fencing_token <= sim.cores[ours].context.term for name in names]
     before = {name: sim.workers[name].agent_epoch for name in names}
     for name in names:
-        reset(sim, name, ours)
+        reconnect(sim, name, ours)
     sim.run(CANCEL_S)
     # With a token above our term, a start that the other gave may be on its way as well: what is
     # true of the task that runs is not known of that one, and the lease has to end.
     for name, ours_counts in zip(names, ruled, strict=True):
         assert (sim.workers[name].agent_epoch == before[name]) == ours_counts
     if all(ruled):
-        assert workers_of(sim, ours) == running_machines(sim)
-        assert len(running(sim, "job-0")) == 1  # nor did its machine lose the lease
+        assert machines_reporting_to(sim, ours) == running_machines(sim)
+        assert len(machines_running(sim, "job-0")) == 1  # nor did its machine lose the lease
     sim.run(2.5 * CANCEL_S)
-    assert len(running(sim, "job-0")) == 1
+    assert len(machines_running(sim, "job-0")) == 1
     check_recovered(sim)
 
 
@@ -153,15 +153,15 @@
 def test_a_peer_that_restarts_after_confirming_a_cancellation_leaves_no_gap(who):
     sim = busy_cluster(run_s=300.0)
     move_workers_to(sim, "h0")
-    sim.state.refused = {"h0"}
+    sim.store.refused = {"h0"}
     sim.cuts |= {frozenset(("h0", "h1")), frozenset(("h0", "h2"))}
-    cancel_at(sim, "h1", "job-0")
+    cancel_through(sim, "h1", "job-0")
     for label in {"confirmer": ["h1"], "others": ["h2"], "all others": ["h1", "h2"]}[who]:
         sim.crash(label, 0.1)
     sim.run(1.5)  # back, with records of which the cancellation is a part
     sim.cuts.clear()
     sim.run(0.3)
-    sim.state.outage(2 * CANCEL_S)
+    sim.store.outage(2 * CANCEL_S)
     sim.run(CANCEL_S + 2)
     sim.run(CANCEL_S)
     check_recovered(sim, 350)
@@ -171,26 +171,26 @@
 def test_a_controller_that_confirms_and_crashes_before_telling_peers_leaves_no_lease_renewed(who):
     sim = busy_cluster(run_s=300.0)
     move_workers_to(sim, "h0")
-    sim.state.refused = {"h0"}
+    sim.store.refused = {"h0"}
     sim.run(1)
     sim.cuts |= {frozenset(("h0", "h1"))}
-    sim.stuck = {"h2"}  # nor does the third hear of it, whatever it goes on saying to us
-    cancel_at(sim, "h1", "job-0")
-    sim.state.outage(2 * CANCEL_S)
+    sim.stalled_watches = {"h2"}  # nor does the third hear of it, whatever it goes on saying to us
+    cancel_through(sim, "h1", "job-0")
+    sim.store.outage(2 * CANCEL_S)
     for label in sim.labels[1:][:who]:
         sim.crash(label, 0.1)  # it can't load its records, and so speaks for nobody
     sim.cuts.clear()
     sim.run(1.7)
     for name in running_machines(sim):
-        reset(sim, name, "h0")
+        reconnect(sim, name, "h0")
     sim.run(CANCEL_S + 2)
     check_recovered(sim, 350)
 
 
-def with_highest_term(label: str) -> "DelayedStarts":
+def with_highest_term(label: str) -> "DelayedCommands":
     """Return a deployment that can hold up starts, all of whose machines report to a controller
     whose term is above all others'."""
-    sim = DelayedStarts(6, "launch", 2 * CANCEL_S)
+    sim = DelayedCommands(6, "launch", 2 * CANCEL_S)
     sim.capacity = 2
     sim.run(8)
     sim.crash(label, 0.2)
@@ -208,18 +208,18 @@
     sim.armed = True
     sim.submit("job-1", spec("array", 2, estimate_s=1.0, gpus=1.0))
     sim.run(0.6)
-    assert sim.held
-    assert not running(sim, "job-1")
+    assert sim.delayed_at
+    assert not machines_running(sim, "job-1")
     sim.cuts |= {frozenset(("h1", name)) for name in running_machines(sim)}
-    cancel_at(sim, "h2", "job-1")
-    sim.state.outage(3 * CANCEL_S)
+    cancel_through(sim, "h2", "job-1")
+    sim.store.outage(3 * CANCEL_S)
     if not there:  # the controller that gave it is gone as well
         sim.crash("h1", 3 * CANCEL_S)
     sim.run(1.7)
     for name in running_machines(sim):
-        reset(sim, name, "h2")
+        reconnect(sim, name, "h2")
     sim.run(2 * CANCEL_S + 5)  # the fakes check that no start comes later than that
-    assert all(sim.now - at > 2 * CANCEL_S for at in sim.held)
+    assert all(sim.now - at > 2 * CANCEL_S for at in sim.delayed_at)
     check_recovered(sim)
 
 
@@ -295,26 +295,26 @@
     # It was bound after the state service had refused us, given by a controller with a newer term
     # and held up on its way; its worker comes to us in an outage. No newer term is to be had.
     sim = with_highest_term("h1")
-    sim.state.refused = {"h2"}
+    sim.store.refused = {"h2"}
     sim.armed = True
     sim.submit("job-1", spec("array", 2, estimate_s=1.0, gpus=1.0))
     sim.run(1.2)
-    assert sim.held
-    assert not running(sim, "job-1")
+    assert sim.delayed_at
+    assert not machines_running(sim, "job-1")
     replica = sim.cores["h2"].context.replica
     assert "job-1" not in replica.jobs or not replica.jobs["job-1"].bindings()
     sim.cuts |= {frozenset(("h1", name)) for name in running_machines(sim)}
-    cancel_at(sim, "h0", "job-1")
+    cancel_through(sim, "h0", "job-1")
     sim.run(0.5)  # the word is passed on
-    sim.state.outage(3 * CANCEL_S)
-    sim.state.refused = set()
+    sim.store.outage(3 * CANCEL_S)
+    sim.store.refused = set()
     if not there:
         sim.crash("h1", 3 * CANCEL_S)
     sim.run(1.7)
     for name in running_machines(sim):
-        reset(sim, name, "h2")
+        reconnect(sim, name, "h2")
     sim.run(2 * CANCEL_S + 5)  # the fakes check that no start comes later than that
-    assert all(sim.now - at > 2 * CANCEL_S for at in sim.held)
+    assert all(sim.now - at > 2 * CANCEL_S for at in sim.delayed_at)
     check_recovered(sim)
 
 
@@ -330,7 +330,7 @@
             spec("array", 2, "red" if step % 2 else "blue", priority=2, estimate_s=30.0),
         )
     sim.run(4)
-    owner = holder(sim, "red")
+    owner = role_holder(sim, "red")
     if how == "yield":
         core = sim.cores[owner]
         core.leadership.roles._rebalance(
@@ -338,11 +338,13 @@
         )
         sim.step(owner, [])
     elif how == "expiry":
-        sim.state.refused = {owner}
-        sim.after(8.0, sim.state.refused.clear)
+        sim.store.refused = {owner}
+        sim.after(8.0, sim.store.refused.clear)
     elif how == "keeper":
         for name in running_machines(sim):
-            reset(sim, name, next(label for label in sim.labels if label != leader(sim)))
+            reconnect(
+                sim, name, next(label for label in sim.labels if label != busiest_controller(sim))
+            )
     else:
         for label in sim.labels if how == "all" else [owner]:
             sim.crash(label, 0.3)
@@ -352,7 +354,7 @@
             sim.cancel("job-2")
         sim.run(0.2 if step < 10 else 2.0)
     sim.run(CANCEL_S)
-    assert not [task for _, task, _ in sim.placed() if int(task[4:].partition("/")[0]) >= 10]
+    assert not [task for _, task, _ in sim.placed_tasks() if int(task[4:].partition("/")[0]) >= 10]
     check_recovered(sim, 350)
 
 
@@ -370,13 +372,13 @@
         sim.run(0.02)
         inject_fault(sim, how, names, seconds)
         if falls:
-            sim.crash(leader(sim), 0.3)
+            sim.crash(busiest_controller(sim), 0.3)
         sim.submit("job-9", spec("array", 4, "red", priority=2, estimate_s=5.0))
         sim.run(seconds + 1)
         sim.cloud_down = False
         sim.run(CANCEL_S)
-        assert not running(sim, "job-2")
-        assert not running(sim, "job-1")
+        assert not machines_running(sim, "job-2")
+        assert not machines_running(sim, "job-1")
         check_recovered(sim, 350)
 
 
@@ -390,8 +392,8 @@
         old = sim.labels[0]
         move_workers_to(sim, old)
         begun = sim.now + 1.0
-        sim.after(1.0, lambda sim=sim, old=old: sim.state.refused.add(old))
-        sim.after(2.0, lambda sim=sim: sim.state.outage(1.6 * CANCEL_S))
+        sim.after(1.0, lambda sim=sim, old=old: sim.store.refused.add(old))
+        sim.after(2.0, lambda sim=sim: sim.store.outage(1.6 * CANCEL_S))
         sim.run(max(0.0, 1.0 + moment))
         for job_id in ("job-0", "job-1", "job-2"):
             sim.cancel(job_id)
@@ -399,6 +401,6 @@
         if moment >= 0.4:
             sim.crash(sim.labels[-1], 0.2)
         sim.run(begun + 1.6 * CANCEL_S + 12 - sim.now)
-        sim.state.refused.clear()
+        sim.store.refused.clear()
         sim.run(CANCEL_S)
         check_recovered(sim, 350)
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -14,9 +14,9 @@
 
 def quiet(seed: int = 1) -> Simulation:
     """Return a deployment that has settled and switched to the new format."""
-    sim = Simulation(seed, coming=COMING)
+    sim = Simulation(seed, upcoming_limits=COMING)
     sim.run(12)
-    sim.state.value_kb, sim.state.txn_ops = 2.0, 4
+    sim.store.value_kb, sim.store.txn_ops = 2.0, 4
     return sim
 
 
@@ -37,7 +37,7 @@
     for number in numbers:
         sim.query(f"job-{number}")
     sim.run(2.5)
-    return [sim.told[f"job-{number}"] for number in numbers]
+    return [sim.reported_state[f"job-{number}"] for number in numbers]
 
 
 def starts_of(sim: Simulation, number: int) -> list[float]:
@@ -64,7 +64,7 @@
     assert ask_all(sim, 1, 2, 3, 4, 5) == ["done"] * 5
     assert max(starts_of(sim, 1)) < min(starts_of(sim, 2))
     assert max(starts_of(sim, 4)) < min(starts_of(sim, 5))
-    assert sim.state.too_large == 0
+    assert sim.store.too_large == 0
 
 
 def test_a_job_starts_at_once_after_jobs_that_were_over():
@@ -146,10 +146,10 @@
 def test_a_cancellation_in_a_store_outage_reaches_all_dependents_afterwards():
     sim = quiet()
     pipeline(sim)
-    sim.state.outage(8)
+    sim.store.outage(8)
     sim.cancel("job-1")  # answered 503 and repeated until it is written
     sim.run(4)
-    assert sim.told["job-1"] == "accepted"
+    assert sim.reported_state["job-1"] == "accepted"
     sim.run(12)
     assert ask_all(sim, 1, 2, 3, 4, 5) == ["cancelled"] * 5
     assert not starts_of(sim, 2)
@@ -173,7 +173,7 @@
         sim.command(*commands[name])
     sim.run(1)
     assert sorted(status for status, _ in answers) == [200, 201]
-    sim.told.update({"job-1": "cancelled", "job-2": "accepted"})
+    sim.reported_state.update({"job-1": "cancelled", "job-2": "accepted"})
     sim.cancelled_at["job-1"] = sim.now
     assert ask_all(sim, 1, 2) == ["cancelled"] * 2
 
@@ -187,7 +187,7 @@
             next(label for label, core in sim.cores.items() if "red" in core.context.held_roles)
         )
     elif trouble == "state":
-        sim.state.outage(6)
+        sim.store.outage(6)
     else:
         sim.cuts.add(frozenset(("h0", "state")))
         sim.after(10, sim.cuts.clear)
@@ -224,7 +224,7 @@
     )
     sim.run(1)
     assert answers == [201, 201]
-    sim.state.down = True  # and what can't be decided now is answered so
+    sim.store.down = True  # and what can't be decided now is answered so
     sim.command(
         "h2",
         messages.SubmitJob(
@@ -293,7 +293,7 @@
     sim.run(12)
     sim.submit("job-1", spec("service", 1, "blue", gpus=4.0, cpus=4.0))
     sim.run(12)
-    assert {worker.spot for worker, _, _ in sim.live()} == {True, False}
+    assert {worker.spot for worker, _, _ in sim.running_tasks()} == {True, False}
     chain(sim, (3, dict(tasks=6, spot=True)))
     sim.run(3)
     used = [sim.workers[name].spot for _, task, _, name in sim.start_log if "job-3/" in task]
@@ -303,10 +303,10 @@
 def run_chains_with_random_faults(seed: int) -> Simulation:
     """Play pipelines through crashes, outages, cuts and cancellations."""
     sim = quiet(seed)
-    sim.loss, sim.twice, sim.slow = 0.01, 0.01, 0.005
+    sim.loss_rate, sim.duplicate_rate, sim.slow_rate = 0.01, 0.01, 0.005
     dice = random.Random(seed)
     for number in range(24):
-        others = [f"job-{n}" for n in range(number) if sim.told.get(f"job-{n}")]
+        others = [f"job-{n}" for n in range(number) if sim.reported_state.get(f"job-{n}")]
         names = tuple(dice.sample(others, min(len(others), dice.randrange(3))))
         sim.submit(
             f"job-{number}",
@@ -324,7 +324,7 @@
         if trouble == "crash":
             sim.crash(dice.choice(sim.labels), dice.uniform(1, 6))
         elif trouble == "state":
-            sim.state.outage(dice.uniform(1, 6))
+            sim.store.outage(dice.uniform(1, 6))
         elif trouble == "cut":
             pair = frozenset((dice.choice(sim.labels), "state"))
             sim.cuts.add(pair)
@@ -334,7 +334,7 @@
         for _ in range(4):
             sim.query(f"job-{dice.randrange(number + 1)}")
             sim.run(0.8)
-    sim.loss = sim.twice = sim.slow = 0.0
+    sim.loss_rate = sim.duplicate_rate = sim.slow_rate = 0.0
     sim.cuts.clear()
     return sim
 
@@ -342,7 +342,7 @@
 @pytest.mark.parametrize("seed", [11, 12, 13, 14])
 def test_rules_hold_for_dependencies_under_random_faults(seed):
     sim = run_chains_with_random_faults(seed)
-    assert sim.unfinished(200 + CANCEL_S) == set()
+    assert sim.unfinished_jobs(200 + CANCEL_S) == set()
     assert sim.starts > 10
 
 
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -9,16 +9,16 @@
 from oakmux.core.agents import reachability
 from tests.fakes import CANCEL_S, LEASE_S, REPORT_S, Simulation, spec
 from tests.helpers.clusters import (
+    busiest_controller,
     busy_cluster,
     check_recovered,
-    holder,
     idle_cluster,
-    leader,
     move_workers_to,
+    role_holder,
     running_machines,
     wait_for_state,
 )
-from tests.helpers.faults import QuickRestart, partition_machines, reset
+from tests.helpers.faults import QuickRestart, partition_machines, reconnect
 
 
 @pytest.mark.parametrize("crashed", [["h0"], ["h1", "h2"], ["h0", "h1", "h2"]])
@@ -33,17 +33,17 @@
     for job_id in ("job-1", "job-2"):
         sim.query(job_id)
     sim.run(2)
-    assert sim.told == {"job-1": "done", "job-2": "done"}
+    assert sim.reported_state == {"job-1": "done", "job-2": "done"}
 
 
 def test_a_dead_machine_is_returned_and_its_tasks_start_elsewhere():
     sim = idle_cluster()
     sim.submit("job-1", spec("service", 2))
     sim.run(10)
-    victim = sim.live()[0][0]
+    victim = sim.running_tasks()[0][0]
     victim.dead = True
     sim.run(10 * LEASE_S)
-    assert len(sim.live()) == 2
+    assert len(sim.running_tasks()) == 2
 
 
 def test_a_lost_answer_to_a_start_is_settled_by_a_newer_term():
@@ -76,7 +76,7 @@
         2.0,
     )
     sim.run(20)
-    [(worker, _, _)] = sim.live()
+    [(worker, _, _)] = sim.running_tasks()
     fleet = next(
         core.autoscaler for core in sim.cores.values() if "#fleet" in core.context.held_roles
     )
@@ -117,7 +117,7 @@
     sim = idle_cluster()
     sim.submit("job-1", spec("service", 1, "blue"))
     sim.run(20)
-    [(worker, _, _)] = sim.live()
+    [(worker, _, _)] = sim.running_tasks()
     sim.kill(worker.name)
     sim.run(lease_s - 2)
     assert not any(
@@ -141,7 +141,7 @@
     for job_id in ("job-1", "job-2", "job-3"):
         sim.query(job_id)
     sim.run(2)
-    assert sim.told == {"job-1": "done", "job-2": "done", "job-3": "cancelled"}
+    assert sim.reported_state == {"job-1": "done", "job-2": "done", "job-3": "cancelled"}
     assert sorted(len(core.context.held_roles) for core in sim.cores.values()) == [1, 1, 1]
 
 
@@ -167,10 +167,10 @@
         worker = sim.workers[sim.rng.choice(running_machines(sim))]
         worker.tasks.clear()  # a machine back at once: its tasks are gone, its session is new
         worker.agent_epoch += 1
-        worker.lease_from = sim.now
+        worker.lease_renewed_at = sim.now
         sim.run(2)
-    assert sim.unresponsive() == set()
-    assert sim.unfinished(60) == set()
+    assert sim.unanswered_jobs() == set()
+    assert sim.unfinished_jobs(60) == set()
 
 
 def test_a_controller_frozen_for_a_minute_acts_on_no_stale_state():
@@ -181,8 +181,8 @@
     sim.crash("h1", 5.0)
     sim.run(55)
     assert wait_for_state(sim, "job-7", 3) == "done"
-    assert sim.unresponsive() == set()
-    assert sim.unfinished(60) == set()
+    assert sim.unanswered_jobs() == set()
+    assert sim.unfinished_jobs(60) == set()
 
 
 class LostMessages(Simulation):
@@ -192,10 +192,10 @@
         self.at, self.passed, self.armed = at, 0, False
         super().__init__(seed, count)
 
-    def carry(self, a: str, b: str, run: Callable[[], None]) -> None:
+    def deliver(self, a: str, b: str, run: Callable[[], None]) -> None:
         self.passed += self.armed
         if not self.armed or self.passed != self.at:
-            super().carry(a, b, run)
+            super().deliver(a, b, run)
 
     def run_s(self, task: str) -> float:
         return 3.0 + 9.0 * int(task.partition("/")[2])
@@ -209,10 +209,10 @@
     sim.submit("job-2", spec("array", 2, "blue"))
     sim.run(4)
     sim.armed = True
-    sim.crash(holder(sim, "red"), 0.3)
+    sim.crash(role_holder(sim, "red"), 0.3)
     sim.run(8)
-    sim.crash(leader(sim), 0.1)
-    sim.crash(holder(sim, "blue"), 0.1)
+    sim.crash(busiest_controller(sim), 0.1)
+    sim.crash(role_holder(sim, "blue"), 0.1)
     sim.run(16)
     check_recovered(sim, 20)
     begun: dict[str, str] = {}
@@ -237,15 +237,15 @@
         sim.submit("job-1", spec("array", 4, estimate_s=25.0))
         sim.submit("job-2", spec("gang", 3, "blue", estimate_s=25.0))
         sim.run(5)
-        sim.state.refused = {"h0"}
+        sim.store.refused = {"h0"}
         sim.run(5)
-        sim.state.refused = set()
+        sim.store.refused = set()
         sim.armed = True
         sim.run(20)
         assert sim.calls >= at
         held = sorted(r for core in sim.cores.values() for r in core.context.held_roles)
         assert held == ["#fleet", "blue", "red"], (at, back)
-        assert sim.unfinished(60) == set()
+        assert sim.unfinished_jobs(60) == set()
 
 
 @pytest.mark.parametrize("how", ["cut", "deaf"])
@@ -255,7 +255,7 @@
     sim.cloud_down = True  # nor can the machines be returned
     move_workers_to(sim, sim.labels[0])
     names = running_machines(sim)
-    where = sorted((task, worker.name) for worker, task, _ in sim.live())
+    where = sorted((task, worker.name) for worker, task, _ in sim.running_tasks())
     starts = len(sim.start_log)
 
     def away(seconds: float) -> None:
@@ -268,18 +268,18 @@
     sim.crash(sim.labels[0], 20.0)
     sim.run(LEASE_S - 4 * REPORT_S + 0.1)
     for name in names:  # back before their leases end, with whom they reach first
-        reset(sim, name, sim.labels[1])
+        reconnect(sim, name, sim.labels[1])
     sim.run(8)
-    assert sorted((task, worker.name) for worker, task, _ in sim.live()) == where
+    assert sorted((task, worker.name) for worker, task, _ in sim.running_tasks()) == where
     assert len(sim.start_log) == starts
     away(3 * LEASE_S)
-    sim.crash(leader(sim), 0.2)
+    sim.crash(busiest_controller(sim), 0.2)
     sim.run(LEASE_S - 1)
     assert len(sim.start_log) == starts  # nothing elsewhere before it is proven gone
     sim.run(4 * LEASE_S)
     sim.cloud_down = False
     sim.run(20)
-    assert sorted(task for _, task, _ in sim.live()) == [task for task, _ in where]
+    assert sorted(task for _, task, _ in sim.running_tasks()) == [task for task, _ in where]
     check_recovered(sim, 350)
 
 
@@ -290,7 +290,7 @@
         sim = Simulation(at, 7 if at % 3 == 0 else 3)
         sim.boot_s = lambda sim=sim: sim.rng.uniform(0.05, 1.5)
         sim.run(6)
-        sim.late_writes, sim.lost_answers = 0.3, 0.2
+        sim.late_write_share, sim.lost_answer_share = 0.3, 0.2
         for number in range(6):
             sim.submit(
                 f"job-{number}",
@@ -302,9 +302,9 @@
                 ),
             )
         sim.run(at * 0.1)
-        sim.crash(holder(sim, "#fleet"), back)
+        sim.crash(role_holder(sim, "#fleet"), back)
         sim.run(1.0)
-        sim.crash(leader(sim), back)
+        sim.crash(busiest_controller(sim), back)
         sim.run(20)
         check_recovered(sim, 120)
 
@@ -320,6 +320,6 @@
     for label in sim.labels:
         sim.crash(label, seconds + sim.rng.uniform(0.0, 1.0))
     sim.run(seconds + 12)
-    assert sim.told["job-1"] == "cancelled"
+    assert sim.reported_state["job-1"] == "cancelled"
     assert sim.startable_jobs() == set()
     check_recovered(sim, 200)
--- a/tests/test_gang_scheduling.py
+++ b/tests/test_gang_scheduling.py
@@ -19,7 +19,7 @@
         "job-2", spec("gang", 2, "blue", one_zone=True, priority=2, gpus=2.0, estimate_s=300.0)
     )
     sim.run(15)
-    placed = [w for w, task, _ in sim.live() if task.startswith("job-2/")]
+    placed = [w for w, task, _ in sim.running_tasks() if task.startswith("job-2/")]
     assert len(placed) == 2
     assert {w.zone for w in placed} == {"a"}
 
@@ -42,7 +42,7 @@
 def test_a_gang_whose_image_fetch_outlasts_its_wait_does_not_restart_forever():
     # Those that had the image gave up after gang_wait_s, and the fetch was given up with them.
     sim = idle_cluster()
-    sim.fetches = True
+    sim.simulate_fetches = True
     sim.submit("job-1", spec("service", 1, "blue", gpus=4.0, image="x", image_gb=14.0))
     sim.run(40)
     sim.cancel("job-1")
@@ -69,7 +69,7 @@
     sim.submit("job-3", spec("gang", 2, "blue", one_zone=True, priority=2, gpus=3.0))
     sim.run(20)
     assert sim.start_log == before
-    assert len(sim.live()) == 13
+    assert len(sim.running_tasks()) == 13
 
 
 def test_simultaneous_urgent_gangs_all_get_capacity_in_a_full_fleet():
@@ -80,14 +80,14 @@
     sim.submit("job-1", spec("array", 8, "red"))
     sim.submit("job-2", spec("array", 4, "blue"))
     sim.run(14)
-    assert len(sim.live()) == 12
+    assert len(sim.running_tasks()) == 12
     for core in sim.cores.values():
         core.autoscaler.scale_out.rentals.rent = lambda *a: None
     for job_id in ("job-3", "job-4"):
         sim.submit(job_id, spec("gang", 2, "blue", cpus=3.0, priority=2))
         sim.run(0.3)
     sim.run(2)
-    started = {task for _, task, _ in sim.live() if task.startswith(("job-3/", "job-4/"))}
+    started = {task for _, task, _ in sim.running_tasks() if task.startswith(("job-3/", "job-4/"))}
     assert len(started) == 4
 
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -6,7 +6,7 @@
 from oakmux.core import messages
 from oakmux.transport.http_server import ServerProtocol
 from oakmux.transport.request_router import RequestRouter
-from tests.helpers.samples import GOOD
+from tests.helpers.samples import SUBMISSION
 
 
 class FakeTransport:
@@ -59,7 +59,7 @@
 
 
 def test_valid_requests_become_commands():
-    _, commands, _ = talk(post("/api/jobs", encode(GOOD)))
+    _, commands, _ = talk(post("/api/jobs", encode(SUBMISSION)))
     assert isinstance(commands[0], messages.SubmitJob)
     assert commands[0].job_id == "job-000412"
     _, commands, _ = talk(post("/api/jobs/job-7/cancel", b""))
--- a/tests/test_job_api.py
+++ b/tests/test_job_api.py
@@ -6,7 +6,13 @@
 from oakmux import constants
 from oakmux.core import messages
 from tests.fakes import CANCEL_S, TYPE, Simulation, spec
-from tests.helpers.clusters import busy_cluster, check_recovered, idle_cluster, leader, running
+from tests.helpers.clusters import (
+    busiest_controller,
+    busy_cluster,
+    check_recovered,
+    idle_cluster,
+    machines_running,
+)
 
 
 def test_jobs_of_every_kind_run_and_are_reported_done():
@@ -18,8 +24,8 @@
     for job_id in ("job-1", "job-2", "job-3"):
         sim.query(job_id)
     sim.run(1)
-    assert sim.told == {"job-1": "done", "job-2": "done", "job-3": "accepted"}
-    assert sum(t.startswith("job-3/") for _, t, _ in sim.live()) == 3
+    assert sim.reported_state == {"job-1": "done", "job-2": "done", "job-3": "accepted"}
+    assert sum(t.startswith("job-3/") for _, t, _ in sim.running_tasks()) == 3
     attempts = {attempt for _, task, attempt, _ in sim.start_log if task.startswith("job-2/")}
     assert len(attempts) == 1  # the tasks of a gang share an attempt
 
@@ -87,16 +93,16 @@
         ),
     )
     sim.run(3)
-    assert sim.told["job-7"] == "cancelled"
+    assert sim.reported_state["job-7"] == "cancelled"
     sim.cuts.clear()
-    before = sim.answered["job-7"]
+    before = sim.answered_at["job-7"]
     for number in range(60):
         sim.step(
             "h0",
             [
                 messages.QueryJob(
                     lambda s, a, n=number: sim.check_answer(
-                        f"job-{n}", s, a, sim.told.get(f"job-{n}"), sim.now
+                        f"job-{n}", s, a, sim.reported_state.get(f"job-{n}"), sim.now
                     ),
                     f"job-{number}",
                 )
@@ -104,28 +110,28 @@
             ],
         )
     sim.run(2)
-    assert sim.answered["job-7"] > before  # and the fakes compared what was said
+    assert sim.answered_at["job-7"] > before  # and the fakes compared what was said
 
 
 @pytest.mark.parametrize("count", [3, 7])
 def test_answers_are_never_stale_while_the_store_is_slow_refusing_or_down(count):
     sim = busy_cluster(count, run_s=20.0)
-    sim.state_slow = 0.6 * constants.STORE_TIMEOUT_S
+    sim.store_delay_s = 0.6 * constants.STORE_TIMEOUT_S
     for step in range(24):
         if step == 6:
-            sim.state_slow = 2 * constants.STORE_TIMEOUT_S
+            sim.store_delay_s = 2 * constants.STORE_TIMEOUT_S
         elif step == 10:
-            sim.state.refused = {leader(sim)}
+            sim.store.refused = {busiest_controller(sim)}
         elif step == 13:
-            sim.state.outage(1.3 * CANCEL_S)
-            sim.state_slow = 0.0
+            sim.store.outage(1.3 * CANCEL_S)
+            sim.store_delay_s = 0.0
         sim.submit(f"job-1{step}", spec("array", 2, "red", estimate_s=8.0))
         if step % 3 == 0:
             sim.cancel(f"job-1{step}")
         for number in range(step + 1):
             sim.query(f"job-1{number}")
         sim.run(2)
-    assert "cancelled" in sim.told.values()
+    assert "cancelled" in sim.reported_state.values()
     check_recovered(sim)
 
 
@@ -135,12 +141,12 @@
     # Must not happen: went_back, forgotten, a cancellation undone by a repeated submission.
     sim = Simulation(count, count)
     sim.run(12)
-    sim.close = 1.0
+    sim.query_burst_share = 1.0
     for step in range(16):
         label = sim.labels[step % count]
         if how == "watch behind":  # an instant, or for longer than a user waits
-            sim.stuck = {label, sim.labels[(step + 1) % count]}
-            sim.after(0.3 if step % 2 else 1.5, sim.stuck.clear)
+            sim.stalled_watches = {label, sim.labels[(step + 1) % count]}
+            sim.after(0.3 if step % 2 else 1.5, sim.stalled_watches.clear)
         elif how == "peers cut":
             pair = {frozenset((label, sim.labels[(step + 1) % count]))}
             sim.cuts |= pair
@@ -148,10 +154,10 @@
         elif how == "roles change" and step % 2:
             sim.crash(label, sim.rng.uniform(0.05, 1.0))
         elif how == "refused" and step % 3 == 0:
-            sim.state.refused = {label}
-            sim.after(3.0, sim.state.refused.clear)
+            sim.store.refused = {label}
+            sim.after(3.0, sim.store.refused.clear)
         elif how == "lost":
-            sim.lost_answers = 0.4
+            sim.lost_answer_share = 0.4
         sim.submit(
             f"job-{step}",
             spec(
@@ -166,8 +172,8 @@
         for number in range(step):
             sim.query(f"job-{number}")
         sim.run(2)
-    sim.close = sim.lost_answers = 0.0
-    assert {"done", "cancelled"} <= set(sim.told.values())
+    sim.query_burst_share = sim.lost_answer_share = 0.0
+    assert {"done", "cancelled"} <= set(sim.reported_state.values())
     check_recovered(sim, 60)
 
 
@@ -180,7 +186,7 @@
             sim = Simulation(5)
             sim.run(12)
             sim.submit("job-1", spec(kind, 2, estimate_s=3.0))
-            while "job-1/1" not in sim.completed and not sim.live():
+            while "job-1/1" not in sim.completed and not sim.running_tasks():
                 sim.run(0.01)
             end = max(row[2] for w in sim.workers.values() for row in w.tasks.values())
             sim.run(max(0.0, end - sim.now + late))
@@ -188,14 +194,16 @@
                 sim.cancel_requested.add("job-1")
             more = (sim.specs["job-1"], "") if command is messages.SubmitJob else ()
             for label in sim.labels:
-                sim.tell(label, command, "job-1", *more)
+                sim.send_request(label, command, "job-1", *more)
                 sim.run(0.004)
             for _ in range(30):  # the fakes compare each answer with what was told before
                 for label in sim.labels:
-                    sim.tell(label, messages.QueryJob, "job-1")
+                    sim.send_request(label, messages.QueryJob, "job-1")
                 sim.run(0.1)
             cancelled = command is messages.CancelJob
-            assert sim.told["job-1"] in (("done", "cancelled") if cancelled else ("done",))
+            assert sim.reported_state["job-1"] in (
+                ("done", "cancelled") if cancelled else ("done",)
+            )
             check_recovered(sim, 20)
 
 
@@ -214,11 +222,11 @@
         if number % 4 == 0:
             sim.after(sim.rng.uniform(0.0, 5.0), lambda n=number: sim.cancel(f"job-{n}"))
         if number == 120:
-            sim.crash(leader(sim), 2.0)
+            sim.crash(busiest_controller(sim), 2.0)
         if number == 160:
-            sim.late_writes = 0.1
+            sim.late_write_share = 0.1
         sim.run(0.25)
-    assert len(running(sim, "job-0")) == 2
+    assert len(machines_running(sim, "job-0")) == 2
     waits = [
         at - sim.submitted[f"job-{n}"]
         for n in range(1, 241)
@@ -227,7 +235,7 @@
     assert len(waits) >= 180
     assert sorted(waits)[len(waits) // 2] < 6.0
     assert max(waits) < 30.0
-    sim.late_writes = 0.0
+    sim.late_write_share = 0.0
     check_recovered(sim, 60)
 
 
@@ -250,7 +258,7 @@
     sim = Simulation(1)
     sim.run(8)
     for label in sim.labels:
-        answers = sim.tell(label, messages.SubmitJob, "job-1", job, "")
+        answers = sim.send_request(label, messages.SubmitJob, "job-1", job, "")
         sim.run(0.5)
         assert [status for status, _ in answers] == [422]
     sim.specs["job-1"] = spec()
@@ -258,15 +266,15 @@
     sim.run(1)
     for label in sim.labels:  # known by now: its state, whatever the body says
         answers = [
-            *sim.tell(label, messages.SubmitJob, "job-1", job, ""),
-            *sim.tell(label, messages.SubmitJob, "job-1", None, "pieces: missing"),
+            *sim.send_request(label, messages.SubmitJob, "job-1", job, ""),
+            *sim.send_request(label, messages.SubmitJob, "job-1", None, "pieces: missing"),
         ]
         sim.run(0.5)
-        assert sim.told["job-1"] == "accepted"
+        assert sim.reported_state["job-1"] == "accepted"
     sim.run(30)
     sim.cancel_requested.add("job-1")
     for label in sim.labels:  # a cancellation of what is done changes nothing
-        answers = sim.tell(label, messages.CancelJob, "job-1")
+        answers = sim.send_request(label, messages.CancelJob, "job-1")
         sim.run(0.5)
         assert [(status, answer[2]) for status, answer in answers] == [(200, "done")]
 
@@ -278,6 +286,6 @@
     sim.run(8)
     for zone, status in (("c", 422), ("b", 201)):
         sim.specs["job-1"] = spec(zone=zone)
-        answers = sim.tell("h0", messages.SubmitJob, "job-1", spec(zone=zone), "")
+        answers = sim.send_request("h0", messages.SubmitJob, "job-1", spec(zone=zone), "")
         sim.run(0.5)
         assert [row[0] for row in answers] == [status]
--- a/tests/test_late_messages.py
+++ b/tests/test_late_messages.py
@@ -11,14 +11,19 @@
 from oakmux.core.model import Heartbeat
 from tests.fakes import LEASE_S, FakeWorker, Simulation, spec
 from tests.helpers.clusters import (
+    busiest_controller,
     busy_cluster,
     check_recovered,
-    holder,
     idle_cluster,
-    leader,
+    role_holder,
     running_machines,
 )
-from tests.helpers.faults import DelayedStarts, RepeatedTransactions, kinds, partition_machines
+from tests.helpers.faults import (
+    DelayedCommands,
+    RepeatedTransactions,
+    partition_machines,
+    record_kinds,
+)
 
 
 def copy_of(sim: Simulation, name: str) -> Heartbeat:
@@ -43,7 +48,7 @@
     old = copy_of(sim, name)
     sim.run(80 + constants.TERMINATION_KEEP_S)
     assert sim.workers[name].dead
-    assert not any(key.startswith("ox/gone") for key in sim.state.rows)
+    assert not any(key.startswith("ox/gone") for key in sim.store.rows)
     for label in sim.labels:
         assert deliver(sim, label, old) == [503]
     sim.run(3)
@@ -61,14 +66,14 @@
     for label in sim.labels:
         sim.crash(label, 0.2)
     sim.run(0.8)
-    terms = sim.state.rows["ox/term"][0]
+    terms = sim.store.rows["ox/term"][0]
     for label in sim.labels:
         deliver(sim, label, old)
         machine = sim.cores[label].context.machines.get(name)
         assert machine is None or not reachability.is_reachable(machine)
     sim.run(3)
-    assert sim.state.rows["ox/term"][0] <= terms + count  # each raises its own at its start
-    assert sim.unfinished(100) == set()
+    assert sim.store.rows["ox/term"][0] <= terms + count  # each raises its own at its start
+    assert sim.unfinished_jobs(100) == set()
     assert not any(name in core.context.machines for core in sim.cores.values())
 
 
@@ -76,7 +81,7 @@
 @pytest.mark.parametrize("seconds", [3.0, LEASE_S - 1, 3 * LEASE_S])
 def test_a_worker_command_delayed_across_a_controller_change_breaks_no_rule(verb, seconds):
     for moved in (False, True):
-        sim = DelayedStarts(6, verb, seconds)
+        sim = DelayedCommands(6, verb, seconds)
         sim.capacity = 3
         sim.run(8)
         sim.submit("job-0", spec("service", 2, "blue"))
@@ -88,9 +93,9 @@
         sim.run(0.5)
         sim.submit("job-2", spec("gang", 2, "blue", estimate_s=4.0))
         sim.run(1)
-        assert sim.held
+        assert sim.delayed_at
         if moved:
-            sim.crash(leader(sim), 0.2)
+            sim.crash(busiest_controller(sim), 0.2)
         sim.run(seconds + 2)
         sim.armed = False
         check_recovered(sim, 60)
@@ -104,7 +109,7 @@
     sim.run(12)
     sent: dict[tuple, set[str]] = {}
     twice: list[tuple] = []
-    obey = FakeWorker.obey
+    obey = FakeWorker.apply_commands
 
     def noted(self: FakeWorker, fencing_token: int, orders: list) -> None:
         for order in orders:
@@ -114,14 +119,14 @@
             sent.setdefault(task, set()).add(order["verb"])
         obey(self, fencing_token, orders)
 
-    monkeypatch.setattr(FakeWorker, "obey", noted)
-    sim.slow = sim.twice = 0.05
+    monkeypatch.setattr(FakeWorker, "apply_commands", noted)
+    sim.slow_rate = sim.duplicate_rate = 0.05
     for step in range(12):
         sim.submit(f"job-2{step}", spec("array", 3, "red" if step % 2 else "blue", estimate_s=2.0))
         if step % 3 == 2:
             sim.crash(sim.rng.choice(sim.labels), 0.2)
         sim.run(3)
-    sim.slow = sim.twice = 0.0
+    sim.slow_rate = sim.duplicate_rate = 0.0
     check_recovered(sim, 60)
     assert sum("forget" in verbs for verbs in sent.values()) >= 20
     assert not twice
@@ -161,7 +166,7 @@
 @pytest.mark.parametrize("count", [3, 7])
 def test_each_kind_of_transaction_is_conditional_or_harmless_when_repeated(count):
     sim = RepeatedTransactions(5, count)
-    sim.late_writes = 0.1
+    sim.late_write_share = 0.1
     sim.run(12)
     for step in range(8):
         sim.submit(
@@ -179,13 +184,13 @@
         if step in (3, 5):
             sim.crash(sim.labels[step - 3], 0.5)
         if step == 6:
-            sim.state.refused = {sim.labels[1]}
-            sim.after(6.0, lambda: setattr(sim.state, "refused", set()))
+            sim.store.refused = {sim.labels[1]}
+            sim.after(6.0, lambda: setattr(sim.store, "refused", set()))
         sim.run(5)
     sim.submit("job-9", spec("array", 20, gpus=0.0, cpus=0.1))  # too large for a page
-    sim.kill(sim.live()[0][0].name)  # so that a machine is recorded as gone
+    sim.kill(sim.running_tasks()[0][0].name)  # so that a machine is recorded as gone
     sim.run(40)
-    seen = set().union(*(kinds(transaction.writes) for _, transaction in sim.sent))
+    seen = set().union(*(record_kinds(transaction.writes) for _, transaction in sim.sent))
     assert seen >= {"j", "t", "p", "own", "n", "term", "version", "format", "gone", "types"}
     for _, transaction in sim.sent:
         writes = transaction.writes
@@ -193,16 +198,18 @@
         guarded = {key for key, _ in transaction.conditions}
         assert keys <= guarded, keys
         # Who was replaced must not bind a task beside what its successor has bound (R quota).
-        assert not kinds(writes) & {"t", "p"} or any(k.startswith("ox/own/") for k in guarded)
+        assert not record_kinds(writes) & {"t", "p"} or any(
+            k.startswith("ox/own/") for k in guarded
+        )
     for core in sim.cores.values():  # nobody writes for a while, but what was sent comes again
         core.step = lambda now, commands: []  # type: ignore[method-assign]
-    rows = {k: v[:2] for k, v in sim.state.rows.items()}
+    rows = {k: v[:2] for k, v in sim.store.rows.items()}
     for label, transaction in [*sim.sent, *reversed(sim.sent)]:
-        if kinds(transaction.writes) & UNGUARDED:
-            assert len(kinds(transaction.writes) - UNGUARDED) == 0
+        if record_kinds(transaction.writes) & UNGUARDED:
+            assert len(record_kinds(transaction.writes) - UNGUARDED) == 0
             continue
-        sim.state.serve(label, transaction)
-    assert {k: v[:2] for k, v in sim.state.rows.items()} == rows
+        sim.store.serve(label, transaction)
+    assert {k: v[:2] for k, v in sim.store.rows.items()} == rows
 
 
 @pytest.mark.parametrize("kind", sorted(UNGUARDED))
@@ -211,19 +218,19 @@
     sim.run(12)
     sim.submit("job-1", spec("service", 4))
     sim.run(10)
-    sim.kill(sim.live()[0][0].name)
+    sim.kill(sim.running_tasks()[0][0].name)
     sim.run(70 + constants.TERMINATION_KEEP_S)
     sim.submit("job-2", spec("array", 4, "blue", estimate_s=60.0))
     sim.run(10)
     before = len(sim.start_log)
-    again = [row for row in sim.sent if kind in kinds(row[1].writes)]
+    again = [row for row in sim.sent if kind in record_kinds(row[1].writes)]
     assert again
     for label, transaction in again:
-        sim.state.serve(label, transaction)
+        sim.store.serve(label, transaction)
         sim.run(0.2)
     sim.run(20 + constants.TERMINATION_KEEP_S)
     assert len(sim.start_log) == before  # no role, machine or task was lost by it
-    gone = [key for key in sim.state.rows if key.startswith("ox/gone/")]
+    gone = [key for key in sim.store.rows if key.startswith("ox/gone/")]
     assert not gone
     assert sorted(sim.cores["h0"].context.replica.live_controllers) == sim.labels
     check_recovered(sim, 80)
@@ -233,7 +240,7 @@
 def test_late_writes_of_crashed_controllers_with_late_heartbeats_of_unreachable_machines(seed):
     sim = Simulation(seed, 7 if seed == 3 else 3)
     sim.run(10)
-    sim.late_writes, sim.late_copy_share = 0.25, 0.3
+    sim.late_write_share, sim.late_copy_share = 0.25, 0.3
     for step in range(14):
         sim.submit(
             f"job-{step}",
@@ -269,20 +276,20 @@
         self.kind, self.left, self.armed = kind, at, False
         super().__init__(5, count)
 
-    def to_state(
+    def send_to_store(
         self, label: str, effect: messages.StoreOperation, done: Callable[[tuple], None]
     ) -> None:
         if (
             self.armed
             and isinstance(effect, messages.Transaction)
-            and self.kind in kinds(effect.writes)
+            and self.kind in record_kinds(effect.writes)
         ):
             self.left -= 1
             if self.left == 0:
-                self.after(self.delay(), lambda: self.state.serve(label, effect))
+                self.after(self.delay(), lambda: self.store.serve(label, effect))
                 self.after(constants.STORE_TIMEOUT_S, lambda: done((0, None)))
                 return
-        super().to_state(label, effect, done)
+        super().send_to_store(label, effect, done)
 
 
 @pytest.mark.parametrize("kind", ["j", "t", "p", "own", "term", "n"])
@@ -294,9 +301,9 @@
     for at in {"j": (1, 2, 4, 7), "t": (1, 2, 3), "p": (1, 2, 3)}.get(kind, (1,)):
         sim = UnansweredTransactions(kind, at, count)
         sim.run(12)
-        sim.close = 1.0
+        sim.query_burst_share = 1.0
         sim.armed = True
-        sim.crash(holder(sim, "red"), 0.4)
+        sim.crash(role_holder(sim, "red"), 0.4)
         for step in range(5):
             sim.submit(
                 f"job-{step}",
@@ -315,7 +322,7 @@
             sim.run(2)
         sim.run(6)
         assert sim.left <= 0
-        sim.close = 0.0
+        sim.query_burst_share = 0.0
         attempts = [(task, attempt) for _, task, attempt, _ in sim.start_log]
         assert len(attempts) == len(set(attempts))
         check_recovered(sim, 40)
@@ -341,9 +348,9 @@
         if step == 3:
             sim.kill(running_machines(sim)[0])
     sim.run(50)
-    where = sorted((task, worker.name) for worker, task, _ in sim.live())
+    where = sorted((task, worker.name) for worker, task, _ in sim.running_tasks())
     starts = len(sim.start_log)
-    ended = {leader(sim), holder(sim, "red"), holder(sim, "#fleet")}
+    ended = {busiest_controller(sim), role_holder(sim, "red"), role_holder(sim, "#fleet")}
     for label in ended:
         sim.crash(label, 0.2)
     sim.run(0.2 + when)
@@ -352,7 +359,7 @@
             if sim.cores[label] is not None:
                 deliver(sim, label, heartbeat)
     sim.run(8)
-    left = sorted((task, worker.name) for worker, task, _ in sim.live())
+    left = sorted((task, worker.name) for worker, task, _ in sim.running_tasks())
     assert left == where
     assert len(sim.start_log) == starts
     check_recovered(sim, 350)
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -10,11 +10,11 @@
 from oakmux.core.state.records import TaskBlock
 from tests.fakes import LEASE_S, Simulation, spec
 from tests.helpers.clusters import (
+    busiest_controller,
     busy_cluster,
     check_recovered,
-    holder,
     idle_cluster,
-    leader,
+    role_holder,
     running_machines,
 )
 from tests.helpers.faults import QuickRestart
@@ -44,7 +44,8 @@
     sim.run(12)
     owner = next(label for label, core in sim.cores.items() if "red" in core.context.held_roles)
     worker = next(w for w in sim.workers.values() if not w.dead)
-    worker.node = (sim.labels.index(owner) + 1) % 3  # another controller keeps the machine
+    # Another controller keeps the machine.
+    worker.controller_index = (sim.labels.index(owner) + 1) % 3
     sim.run(2)
     for core in sim.cores.values():
         core.autoscaler.scale_out.rentals.rent = lambda *a: None  # one machine has to do
@@ -53,7 +54,7 @@
     sim.run(0.5)
     sim.crash(owner, 30.0)
     sim.run(constants.OFFER_HOLD_S - 1.5)
-    assert [task for _, task, _ in sim.live()] == ["job-2/0"]
+    assert [task for _, task, _ in sim.running_tasks()] == ["job-2/0"]
 
 
 @pytest.mark.parametrize("at", range(1, 25))
@@ -82,10 +83,10 @@
     sim.crash("h1", 0.1)
     sim.run(1.5)
     held_up = messages.Transaction(0, [], [old], constants.LEADERSHIP_WRITE_PRIORITY)
-    assert sim.state.serve("h1", held_up)[0] == 200
+    assert sim.store.serve("h1", held_up)[0] == 200
     sim.run(constants.CONTROLLER_LEASE_S + 6)
     assert "h1" in sim.cores["h0"].context.replica.live_controllers
-    assert sim.state.rows[controller_key("h1")][0] == sim.cores["h1"].context.incarnation
+    assert sim.store.rows[controller_key("h1")][0] == sim.cores["h1"].context.incarnation
 
 
 def test_a_role_holder_that_was_frozen_returns_no_machine_for_its_own_silence():
@@ -93,7 +94,7 @@
     sim = busy_cluster()
     holder = next(label for label, core in sim.cores.items() if FLEET in core.context.held_roles)
     names = running_machines(sim)
-    sim.state.outage(4 * LEASE_S)
+    sim.store.outage(4 * LEASE_S)
     sim.run(1)
     sim.freeze(holder, 4 * LEASE_S - 1)
     sim.after(4 * LEASE_S - 1.001, lambda: sim.frozen[holder].clear())  # its connections are gone
@@ -106,17 +107,17 @@
     sim = Simulation(2)
     sim.capacity = 2
     sim.run(10)
-    owner = holder(sim, "red")
+    owner = role_holder(sim, "red")
     core, other = sim.cores[owner], next(la for la in sim.labels if la != owner)
     core.scheduler.writer.write_after = sim.now + 1000.0
     sim.submit("job-1", spec("array", 1, estimate_s=300.0))
     while not core.scheduler.buffer.changed.get("job-1"):
         sim.run(0.2)
-    sim.stuck = {owner}
+    sim.stalled_watches = {owner}
     [binding] = core.scheduler.buffer.changed["job-1"][0].bindings.values()
     theirs = binding._replace(attempt=5, agent_epoch=binding.agent_epoch + 1)
     block = TaskBlock(0, 5, 0, {0: theirs})
-    state = sim.state
+    state = sim.store
     mine, _, lease = state.rows[role_key("red")]
     for key, value in (
         (role_key("red"), None),
@@ -130,7 +131,7 @@
             state.drop(key)
         else:
             state.put(key, value, lease)
-    sim.stuck = set()
+    sim.stalled_watches = set()
     sim.run(0.1)
     core.scheduler.writer.write_after = 0.0
     sim.run(2)
@@ -145,7 +146,7 @@
     sim = busy_cluster(count, run_s=400.0)
     sim.late_copy_share = 0.2
     if outage:
-        sim.after(30.0, lambda: sim.state.outage(20.0))
+        sim.after(30.0, lambda: sim.store.outage(20.0))
     for step in range(10):
         sim.submit(
             f"job-{step + 10}",
@@ -154,7 +155,7 @@
         if step % 3 == 0:
             sim.cancel(f"job-{step + 10}")
         sim.run(2.0)
-        sim.crash(leader(sim), 0.3 if step % 2 else 4.0)
+        sim.crash(busiest_controller(sim), 0.3 if step % 2 else 4.0)
         sim.run(10.0)
     sim.late_copy_share = 0.0
     begun: dict[str, tuple[str, int]] = {}
--- a/tests/test_message_validation.py
+++ b/tests/test_message_validation.py
@@ -5,14 +5,14 @@
 from oakmux.codec.cbor import MalformedError
 from oakmux.codec.users import parse_job, parse_job_id
 from oakmux.codec.workers import parse_heartbeat
-from tests.helpers.samples import GOOD
+from tests.helpers.samples import SUBMISSION
 
 
 def test_a_valid_submission_is_parsed():
-    job = parse_job(GOOD)
+    job = parse_job(SUBMISSION)
     assert (job.kind, job.priority, job.tasks, job.cpus, job.types) == ("gang", 2, 16, 8.0, ["g8"])
     assert [
-        parse_job({**GOOD, **more}).waits_on
+        parse_job({**SUBMISSION, **more}).waits_on
         for more in (
             {},
             {"waits_on": None},
@@ -48,13 +48,13 @@
 )
 def test_an_invalid_field_is_malformed(field, value):
     with pytest.raises(MalformedError):
-        parse_job({**GOOD, field: value})
+        parse_job({**SUBMISSION, field: value})
 
 
 @pytest.mark.parametrize("job_id", ["job-", "job-1x", "JOB-1", "job-1/2", 7, None, "job-1\n"])
 def test_an_invalid_job_id_is_malformed(job_id):
     with pytest.raises(MalformedError):
-        parse_job_id({**GOOD, "id": job_id})
+        parse_job_id({**SUBMISSION, "id": job_id})
 
 
 HEARTBEAT = {
--- a/tests/test_partitions.py
+++ b/tests/test_partitions.py
@@ -7,14 +7,14 @@
 from tests.fakes import CANCEL_S, LEASE_S, Simulation, spec
 from tests.helpers.clusters import (
     busy_cluster,
-    cancel_at,
+    cancel_through,
     check_recovered,
-    holder,
     idle_cluster,
+    machines_reporting_to,
     move_workers_to,
+    role_holder,
     running_machines,
     wait_for_state,
-    workers_of,
 )
 
 
@@ -22,7 +22,7 @@
     sim = idle_cluster()
     sim.submit("job-1", spec("service", 1))
     sim.run(10)
-    worker = sim.live()[0][0]
+    worker = sim.running_tasks()[0][0]
     sim.cloud_down = True  # it can't be returned either
     for label in sim.labels:
         sim.cuts.add(frozenset((label, worker.name)))
@@ -31,7 +31,7 @@
     sim.cuts.clear()
     sim.cloud_down = False
     sim.run(30)
-    assert len(sim.live()) == 1
+    assert len(sim.running_tasks()) == 1
 
 
 def test_a_controller_partitioned_from_the_store_hands_over_its_workers():
@@ -39,13 +39,13 @@
     sim.submit("job-1", spec("service", 3))
     sim.run(10)
     before = sim.start_log[:]
-    sim.state.refused = {"h0"}
+    sim.store.refused = {"h0"}
     sim.run(12)
-    assert all(w.node != 0 for w in sim.workers.values() if not w.dead)
+    assert all(w.controller_index != 0 for w in sim.workers.values() if not w.dead)
     assert sim.start_log == before
     sim.submit("job-2", spec("array", 2))
     sim.run(15)
-    sim.state.refused = set()
+    sim.store.refused = set()
     sim.run(10)
     assert wait_for_state(sim, "job-2", 2) == "done"
 
@@ -86,7 +86,7 @@
     assert not {name for *_, name in sim.start_log[starts:]} & set(there)
     sim.one_way.clear()
     sim.run(2 * CANCEL_S)
-    assert sim.unfinished(60) == set()
+    assert sim.unfinished_jobs(60) == set()
 
 
 @pytest.mark.parametrize("count", [3, 7])
@@ -103,8 +103,8 @@
     before = len(sim.start_log)
     sim.run(6)
     assert len(sim.start_log) > before  # as soon as their reports say so
-    assert sim.unresponsive() == set()
-    assert sim.unfinished(60) == set()
+    assert sim.unanswered_jobs() == set()
+    assert sim.unfinished_jobs(60) == set()
 
 
 @pytest.mark.parametrize(
@@ -118,17 +118,19 @@
     sim.one_way |= {(name, label) for name in running_machines(sim) for label in sim.labels[1:]}
     starts = len(sim.start_log)
     sim.run(0.3)
-    cancel_at(sim, "h1", "job-0")
+    cancel_through(sim, "h1", "job-0")
     sim.specs["job-7"] = sim.specs["job-8"] = spec("array", 2)
     late = [
-        sim.tell("h0", messages.SubmitJob, "job-7", spec("array", 2), ""),
-        sim.tell("h0", messages.QueryJob, "job-0"),
-        sim.tell("h0", messages.CancelJob, "job-1"),
+        sim.send_request("h0", messages.SubmitJob, "job-7", spec("array", 2), ""),
+        sim.send_request("h0", messages.QueryJob, "job-0"),
+        sim.send_request("h0", messages.CancelJob, "job-1"),
     ]
     sim.cancel_requested.add("job-1")
     sim.submit("job-8", spec("array", 2))
     sim.run(seconds - 0.4)
-    assert not {name for *_, name in sim.start_log[starts:]} & set(workers_of(sim, "h0"))
+    assert not {name for *_, name in sim.start_log[starts:]} & set(
+        machines_reporting_to(sim, "h0")
+    )
     assert all(status == 503 for answers in late for status, _ in answers)
     sim.run(CANCEL_S)
     sim.submit("job-7", spec("array", 2))
@@ -148,7 +150,7 @@
         if sim.workers[name].zone == sim.workers[running_machines(sim)[0]].zone
     ]
     for name in names:
-        sim.workers[name].node = 0
+        sim.workers[name].controller_index = 0
     sim.run(3)
     others = [label for label in sim.labels if label != inside]
     far = [name for name in running_machines(sim) if name not in names]
@@ -162,8 +164,8 @@
     if count == 7:
         sim.crash(outside, 0.5)
     sim.run(seconds + CANCEL_S)
-    assert sim.told["job-0"] == "cancelled"
-    assert not [task for _, task, _ in sim.placed() if task.startswith("job-0/")]
+    assert sim.reported_state["job-0"] == "cancelled"
+    assert not [task for _, task, _ in sim.placed_tasks() if task.startswith("job-0/")]
     assert sim.startable_jobs() == set()
     check_recovered(sim, 200)
 
@@ -179,11 +181,13 @@
     sim.submit("job-4", spec("service", 2, "red", spread=True))
     sim.run(14)
     for turn in range(2):
-        zones = {w.zone for w, task, _ in sim.live() if task.startswith(("job-1/", "job-2/"))}
+        zones = {
+            w.zone for w, task, _ in sim.running_tasks() if task.startswith(("job-1/", "job-2/"))
+        }
         for name in running_machines(sim):
             if sim.workers[name].zone in zones:
                 sim.kill(name)
-        sim.crash(holder(sim, "#fleet" if turn else "red"), 0.5)
+        sim.crash(role_holder(sim, "#fleet" if turn else "red"), 0.5)
         sim.run(8 * LEASE_S)
     assert sim.startable_jobs() == set()
     check_recovered(sim, 150)
--- a/tests/test_pending_queues.py
+++ b/tests/test_pending_queues.py
@@ -120,7 +120,7 @@
     for number in range(1, 41):
         sim.submit(f"job-{number}", spec("array", 1, "blue", estimate_s=1.0))
         sim.run(0.2)
-    assert sim.unfinished(60) == set()
+    assert sim.unfinished_jobs(60) == set()
     order = [int(task[4:-2]) for _, task, _, _ in sim.start_log if not task.startswith("job-0/")]
     late = [abs(place - number) for place, number in enumerate(order, 1)]
     assert max(late) <= 12  # ten at a time, and offers cross one another
@@ -138,7 +138,7 @@
     sim.submit("job-0", spec("array", 10, "blue", estimate_s=15.0))
     for number in range(1, 31):
         sim.submit(f"job-{number}", spec("array", 2, "blue", estimate_s=1.0))
-    assert sim.unfinished(90) == set()
+    assert sim.unfinished_jobs(90) == set()
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -166,7 +166,7 @@
         ]
     assert len(waits) >= 18
     assert sorted(waits)[len(waits) // 2] < 3.0
-    assert sim.unfinished(250) == set()
+    assert sim.unfinished_jobs(250) == set()
 
 
 @given(st.lists(st.tuples(st.sampled_from([1.0, 2.0, 4.0]), st.booleans()), max_size=300))
@@ -227,7 +227,7 @@
 
 def done_of(sim: Simulation, job_id: str) -> set[str]:
     """Return the tasks of a job that completed."""
-    sim.live()
+    sim.running_tasks()
     return {task for task in sim.completed if task.startswith(job_id + "/")}
 
 
@@ -284,5 +284,5 @@
     sim.submit("job-3", spec("array", 1, "blue", priority=2, gpus=3.0, estimate_s=5.0))
     sim.run(6)
     assert any(task == "job-3/0" for _, task, _, _ in sim.start_log)
-    assert any(task == "job-2/0" for _, task, _ in sim.live())
+    assert any(task == "job-2/0" for _, task, _ in sim.running_tasks())
     assert sum(task == "job-2/0" for _, task, _, _ in sim.start_log) == 1
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -14,16 +14,18 @@
     sim = idle_cluster()
     sim.submit("job-1", spec("array", 4, "red", image="big", image_gb=40.0, estimate_s=14.0))
     sim.run(6)
-    holder = {w.name for w, _, _ in sim.live()}
+    holder = {w.name for w, _, _ in sim.running_tasks()}
     sim.submit("job-2", spec("service", 1, "blue"))
     sim.run(6)
-    assert {w.name for w, _, _ in sim.live()} > holder  # there is room where the image is not
+    assert {
+        w.name for w, _, _ in sim.running_tasks()
+    } > holder  # there is room where the image is not
     sim.submit("job-3", spec("array", 1, "red", image="big", image_gb=40.0, estimate_s=60.0))
     sim.run(2)
-    assert not any(task == "job-3/0" for _, task, _ in sim.live())
+    assert not any(task == "job-3/0" for _, task, _ in sim.running_tasks())
     sim.run(8)
-    assert {w.name for w, task, _ in sim.live() if task == "job-3/0"} <= holder
-    assert any(task == "job-3/0" for _, task, _ in sim.live())
+    assert {w.name for w, task, _ in sim.running_tasks() if task == "job-3/0"} <= holder
+    assert any(task == "job-3/0" for _, task, _ in sim.running_tasks())
 
 
 def test_granted_capacity_stays_reserved_until_the_binding_is_written():
@@ -103,7 +105,7 @@
     # served, the largest begun late.
     sim = Simulation(seed, 7 if seed == 3 else 3)
     sim.capacity = 4
-    sim.slow, sim.loss = 0.02, 0.01
+    sim.slow_rate, sim.loss_rate = 0.02, 0.01
     sim.run(10)
     for step in range(30):
         sim.submit(
@@ -118,7 +120,7 @@
             ),
         )
         sim.run(4)
-    sim.slow = sim.loss = 0.0
+    sim.slow_rate = sim.loss_rate = 0.0
     sim.run(200)
     assert sim.startable_jobs() == set()
     assert sim.underserved() == []
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -16,7 +16,7 @@
         core.autoscaler.scale_out.rentals.rent = lambda *a: None
     sim.submit("job-4", spec("service", 2, "blue", spread=True, priority=3))
     sim.run(15)
-    zones = {w.zone for w, task, _ in sim.live() if task.startswith("job-4/")}
+    zones = {w.zone for w, task, _ in sim.running_tasks() if task.startswith("job-4/")}
     assert len(zones) == 2
 
 
@@ -24,11 +24,13 @@
     sim = idle_cluster()
     sim.submit("job-1", spec("gang", 1, spot=True, checkpoint_s=30.0, save_s=1.0, estimate_s=60.0))
     sim.run(20)
-    worker = sim.live()[0][0]
+    worker = sim.running_tasks()[0][0]
     assert worker.spot
-    worker.take(10.0)
+    worker.reclaim(10.0)
     sim.run(9.5)
-    assert worker.name not in {w.name for w, _, _ in sim.live()}  # stopped while it could save
+    assert worker.name not in {
+        w.name for w, _, _ in sim.running_tasks()
+    }  # stopped while it could save
     sim.run(120)
     assert wait_for_state(sim, "job-1", 1) == "done"
 
@@ -40,11 +42,11 @@
         spec("gang", 4, cpus=8.0, spot=True, checkpoint_s=30.0, save_s=1.0, estimate_s=60.0),
     )
     sim.run(20)
-    assert len(sim.live()) == 4
-    worker = sim.live()[0][0]
-    worker.take(12.0)
+    assert len(sim.running_tasks()) == 4
+    worker = sim.running_tasks()[0][0]
+    worker.reclaim(12.0)
     sim.run(4.0)
-    assert all(attempt > 1 for _, _, attempt in sim.live())  # the first attempt has saved
+    assert all(attempt > 1 for _, _, attempt in sim.running_tasks())  # the first attempt has saved
     sim.run(150)
     assert wait_for_state(sim, "job-1", 1) == "done"
 
@@ -58,20 +60,20 @@
     sim.submit("job-2", spec("gang", 4, "red", priority=2))
     sim.run(14)
     assert sum(task.startswith("job-2/") for _, task, _, _ in sim.start_log) == 4
-    assert any(task.startswith("job-1/") for _, task, _ in sim.live())
+    assert any(task.startswith("job-1/") for _, task, _ in sim.running_tasks())
 
 
 def test_a_gang_preempts_lower_priority_work_rather_than_fetch_a_large_image():
     # One task that fetches keeps the whole gang waiting, on machines that then stand idle.
     sim = idle_cluster()
-    sim.fetches = True
+    sim.simulate_fetches = True
     sim.run_s = lambda task: 300.0
     sim.submit("job-1", spec("array", 8, "red", image="x", image_gb=90.0, zone="a"))
     sim.submit("job-2", spec("service", 2, "blue", zone="b"))
     sim.run(115)
-    holders = {w.name for w, task, _ in sim.live() if task.startswith("job-1/")}
+    holders = {w.name for w, task, _ in sim.running_tasks() if task.startswith("job-1/")}
     for core in sim.cores.values():
         core.autoscaler.scale_out.rentals.rent = lambda *a: None
     sim.submit("job-3", spec("gang", 2, "blue", image="x", image_gb=90.0, priority=2))
     sim.run(5)
-    assert {w.name for w, task, _ in sim.live() if task.startswith("job-3/")} == holders
+    assert {w.name for w, task, _ in sim.running_tasks() if task.startswith("job-3/")} == holders
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -12,14 +12,14 @@
     sim = idle_cluster()
     sim.submit("job-1", spec("array", 8, estimate_s=2.0))
     sim.run(6)
-    next(iter(sim.workers.values())).sick = True
+    next(iter(sim.workers.values())).fails_tasks = True
     for number in range(2, 8):
         sim.submit(f"job-{number}", spec("array", 3, estimate_s=2.0))
     sim.run(120)
     for number in range(1, 8):
         sim.query(f"job-{number}")
     sim.run(2)
-    assert set(sim.told.values()) == {"done"}
+    assert set(sim.reported_state.values()) == {"done"}
 
 
 def test_jobs_that_fail_everywhere_quarantine_no_machine_and_delay_no_other_job(caplog):
@@ -30,22 +30,22 @@
     sim.submit("job-0", spec("service", 2, "blue"))  # its machine never sees a task done
     sim.run(10)
     for number in range(1, 7):
-        sim.broken.add(f"job-{number}")
+        sim.failing_jobs.add(f"job-{number}")
         sim.submit(f"job-{number}", spec("array", 6, "red", estimate_s=0.5))
     sim.run(60)
     before = len(sim.start_log)
     sim.submit("job-8", spec("array", 8, "red", estimate_s=2.0))
     sim.run(30)
     assert wait_for_state(sim, "job-8", 1) == "done"
-    tries = [row for row in sim.start_log[before:] if row[1].startswith(tuple(sim.broken))]
+    tries = [row for row in sim.start_log[before:] if row[1].startswith(tuple(sim.failing_jobs))]
     assert len(tries) <= 6 * 4  # spaced out, and one task at a time
     assert "why=quarantined" not in caplog.text
-    assert sum(t.startswith("job-0/") for _, t, _ in sim.live()) == 2
+    assert sum(t.startswith("job-0/") for _, t, _ in sim.running_tasks()) == 2
     for number in range(1, 7):
-        assert sim.told[f"job-{number}"] == "accepted"
+        assert sim.reported_state[f"job-{number}"] == "accepted"
         sim.cancel(f"job-{number}")
     sim.run(3)
-    assert all(sim.told[f"job-{number}"] == "cancelled" for number in range(1, 7))
+    assert all(sim.reported_state[f"job-{number}"] == "cancelled" for number in range(1, 7))
 
 
 def test_a_job_that_failed_everywhere_is_retried_one_task_at_a_time(caplog):
@@ -53,7 +53,7 @@
     sim = busy_cluster(run_s=500.0)
     # full: what it needs has to be stopped for it, at first
     sim.capacity = len(running_machines(sim))
-    sim.broken.add("job-7")
+    sim.failing_jobs.add("job-7")
     sim.submit("job-7", spec("array", 8, "red", priority=2, estimate_s=0.5, gpus=0.0, cpus=6.0))
     sim.run(20)
     assert len({name for _, task, _, name in sim.start_log if task.startswith("job-7/")}) >= 3
@@ -72,7 +72,7 @@
         sim = busy_cluster(run_s=500.0)
         name = running_machines(sim)[0]
         for number in range(10, 13):
-            sim.broken.add(f"job-{number}")
+            sim.failing_jobs.add(f"job-{number}")
             sim.submit(f"job-{number}", spec("array", 1, estimate_s=900.0, gpus=0.0, cpus=0.1))
         sim.run(3)
         for core in sim.cores.values():
@@ -99,10 +99,10 @@
 def test_an_unhealthy_machine_is_found_while_faulty_jobs_run():
     sim = busy_cluster()
     for number in range(10, 14):
-        sim.broken.add(f"job-{number}")
+        sim.failing_jobs.add(f"job-{number}")
         sim.submit(f"job-{number}", spec("array", 3, "red", estimate_s=0.5))
     is_quarantined = sim.workers[running_machines(sim)[0]]
-    is_quarantined.sick = True
+    is_quarantined.fails_tasks = True
     for number in range(20, 32):
         sim.submit(f"job-{number}", spec("array", 2, "blue", estimate_s=1.0))
         sim.run(6)
@@ -110,4 +110,4 @@
         sim.cancel(f"job-{number}")
     sim.run(40)
     assert is_quarantined.dead
-    assert sim.unfinished(60) == set()
+    assert sim.unfinished_jobs(60) == set()
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -10,10 +10,10 @@
 from oakmux.settings import Team
 from tests.fakes import LEASE_S, Simulation, spec
 from tests.helpers.clusters import (
+    busiest_controller,
     check_recovered,
-    holder,
     idle_cluster,
-    leader,
+    role_holder,
     running_machines,
     teams_at_quota,
     wait_for_state,
@@ -25,14 +25,14 @@
     sim = idle_cluster()
     sim.submit("job-1", spec("array", 30, "red"))
     sim.run(15)
-    assert len(sim.live()) <= 8
+    assert len(sim.running_tasks()) <= 8
     sim.run(90)
     assert wait_for_state(sim, "job-1", 1) == "done"
 
 
 def test_incremental_free_resources_and_team_usage_agree_with_a_full_count():
     # Counted anew for each machine and job, they took most of the time at 590 machines.
-    assert run_with_random_faults(7, 100.0, recount=True).starts > 10
+    assert run_with_random_faults(7, 100.0, verify_counts=True).starts > 10
 
 
 def test_no_quota_is_reserved_where_preemption_could_not_free_enough():
@@ -47,11 +47,11 @@
 
 def machines_with_capacity(sim: Simulation) -> list[str]:
     """Let machines stand idle beside those that run what fills the limits; return the latter."""
-    names = sorted({worker.name for worker, _, _ in sim.live()})
+    names = sorted({worker.name for worker, _, _ in sim.running_tasks()})
     sim.submit("job-8", spec("array", 16, "green", gpus=2.0, estimate_s=5.0))
     sim.run(25)
     assert len(running_machines(sim)) >= len(names) + 4
-    assert len(sim.live()) == 16
+    assert len(sim.running_tasks()) == 16
     return names
 
 
@@ -68,8 +68,8 @@
             sim.cancel(job_id)
         sim.run(0.3)
         labels = {
-            "owners": {holder(sim, "red"), holder(sim, "blue")},
-            "leader": {leader(sim)},
+            "owners": {role_holder(sim, "red"), role_holder(sim, "blue")},
+            "leader": {busiest_controller(sim)},
             "all": set(sim.labels),
         }[who]
         for label in labels:
--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -12,18 +12,18 @@
 @pytest.mark.parametrize("seed", [1, 2, 3, 4, 5, 6])
 def test_rules_hold_under_random_faults(seed):
     sim = run_with_random_faults(seed)
-    assert sim.unresponsive() == set()
+    assert sim.unanswered_jobs() == set()
     assert sim.startable_jobs() == set()
-    assert sim.unfinished(150) == set()
+    assert sim.unfinished_jobs(150) == set()
     assert sim.starts > 20
 
 
 @pytest.mark.parametrize("seed", [11, 12])
 def test_rules_hold_under_random_faults_with_seven_controllers(seed):
     sim = run_with_random_faults(seed, 100.0, count=7)
-    assert sim.unresponsive() == set()
+    assert sim.unanswered_jobs() == set()
     assert sim.startable_jobs() == set()
-    assert sim.unfinished(150) == set()
+    assert sim.unfinished_jobs(150) == set()
 
 
 def test_random_faults_break_a_rule_without_termination_proofs(monkeypatch):
@@ -49,13 +49,13 @@
 
 def test_each_protocol_check_can_fail():
     sim = teams_at_quota(3)
-    worker, task, attempt = sim.live()[0]
+    worker, task, attempt = sim.running_tasks()[0]
     other = next(sim.workers[name] for name in running_machines(sim) if name != worker.name)
     order = {"verb": "launch", "piece": task, "try": attempt + 1}
     for state in PLACED:  # on its machine, whatever it does there
         worker.tasks[(task, attempt)][0] = state
         with pytest.raises(AssertionError, match="ran_twice"):
-            other.obey(other.fencing_token, [order])
+            other.apply_commands(other.fencing_token, [order])
     worker.tasks[(task, attempt)][0] = "running"
     for kind, more in (
         ("quota", {"gpus": 1.0, "team": "red"}),
@@ -65,13 +65,13 @@
         sim.specs["job-9"] = spec(**more)
         sim.teams["red"] = Team("red", cpus_max=8, gpus_max=8)
         with pytest.raises(AssertionError, match=kind):
-            other.obey(other.fencing_token, [{"verb": "launch", "piece": "job-9/0", "try": 1}])
+            other.apply_commands(other.fencing_token, [{"verb": "launch", "piece": "job-9/0", "try": 1}])
     job_id = task.partition("/")[0]
     worker.hang(0.5 * LEASE_S)
     sim.cancelled_at[job_id] = sim.now - CANCEL_S - 1
     with pytest.raises(AssertionError, match="ran_cancelled"):
         sim.check_cancelled()
-    sim.told["job-9"] = "accepted"
+    sim.reported_state["job-9"] = "accepted"
     sim.specs["job-9"] = spec(team="blue", gpus=0.0, cpus=0.1, memory_gb=0.1)
     assert sim.could_start("job-9")
     for core in sim.cores.values():
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -18,13 +18,13 @@
 from tests.helpers.clusters import (
     busy_cluster,
     check_recovered,
-    holder,
     idle_cluster,
     move_workers_to,
+    role_holder,
     running_machines,
     wait_for_state,
 )
-from tests.helpers.faults import moved, reset
+from tests.helpers.faults import reconnect, record_heartbeat
 
 
 def test_a_silent_machine_does_not_attract_jobs_whose_image_it_holds():
@@ -41,7 +41,10 @@
     sim.run(8)  # a report that was on its way when the cut began may come late
     sim.submit("job-3", spec("array", 1, "red", image="rare", estimate_s=60.0))
     sim.run(3)
-    assert [w.name for w, task, _ in sim.live() if task == "job-3/0"] not in ([], [holder])
+    assert [w.name for w, task, _ in sim.running_tasks() if task == "job-3/0"] not in (
+        [],
+        [holder],
+    )
 
 
 @pytest.mark.parametrize("count", [3, 7])
@@ -65,17 +68,17 @@
     sim.drop_inbound(deaf, 5.5 * LEASE_S)
     sim.run(12 * LEASE_S)
     assert not any(sim.workers[name].dead for name in deaf)  # a cut of all that ended by itself
-    assert sim.unfinished(60) == set()
+    assert sim.unfinished_jobs(60) == set()
 
 
 def test_tasks_of_an_unreachable_machine_move_elsewhere():
     sim = busy_cluster(run_s=600.0)
     # what is lost finds room only once the machine is replaced
     sim.capacity = len(running_machines(sim))
-    before = len(sim.live())
+    before = len(sim.running_tasks())
     sim.drop_inbound(running_machines(sim)[:1], 600.0)
     sim.run(8 * LEASE_S)
-    assert len(sim.live()) == before
+    assert len(sim.running_tasks()) == before
 
 
 def test_without_the_reachability_check_unreachable_machines_stay_in_use(monkeypatch):
@@ -95,18 +98,18 @@
     machine = Machine(Heartbeat("m", "a:1", "big", "a", False, 1, 1, 5, None, {}), 0.0)
     machine.manager, machine.manager_term = "h1", 5
     if sign == "goes from one to the next":
-        moved(context, machine, "h2")
+        record_heartbeat(context, machine, "h2")
         assert reachability.is_reachable(machine)  # handed over, or its controller fell
-        moved(context, machine, "h0")
+        record_heartbeat(context, machine, "h0")
     else:
         context.now = LEASE_S / 3
-        moved(context, machine, "h1", agent_epoch=2)
+        record_heartbeat(context, machine, "h1", agent_epoch=2)
     assert not reachability.is_reachable(machine)
-    moved(
+    record_heartbeat(
         context, machine, machine.manager, machine.agent_epoch
     )  # it stays, but does not show the term
     assert not reachability.is_reachable(machine)
-    moved(context, machine, machine.manager, machine.agent_epoch, 5)
+    record_heartbeat(context, machine, machine.manager, machine.agent_epoch, 5)
     assert reachability.is_reachable(machine)
 
 
@@ -115,7 +118,7 @@
     machine = Machine(Heartbeat("m", "a:1", "big", "a", False, 1, 1, 5, None, {}), 0.0)
     machine.manager = "h1"
     context.now = 1.5 * LEASE_S
-    moved(context, machine, "h1", agent_epoch=2)
+    record_heartbeat(context, machine, "h1", agent_epoch=2)
     assert reachability.is_reachable(machine)
 
 
@@ -128,15 +131,15 @@
     sim.run(8)
     sim.submit("job-1", spec("service", 1, "blue"))
     sim.run(8)
-    owner = holder(sim, "red")
+    owner = role_holder(sim, "red")
     manager, other = [label for label in sim.labels if label != owner]
     move_workers_to(sim, manager)
     [name] = running_machines(sim)
     sim.run(5)
     sim.cuts.add(frozenset((manager, other)))
-    reset(sim, name, other)
+    reconnect(sim, name, other)
     sim.run(0.05)
-    reset(sim, name, manager)
+    reconnect(sim, name, manager)
     sim.run(1.5)
     seen = sim.cores[owner].context.machines[name]
     assert seen.manager == other or not reachability.is_reachable(seen)
@@ -154,8 +157,8 @@
     context = Context(settings_for("h0"), random.Random(1), 0)
     machine = Machine(Heartbeat("m", "a:1", "big", "a", False, 1, 1, 5, None, {}), 0.0)
     machine.manager, machine.manager_term = "h1", 5
-    moved(context, machine, "h2", fencing_token=5)
-    moved(
+    record_heartbeat(context, machine, "h2", fencing_token=5)
+    record_heartbeat(
         context, machine, "h1", fencing_token=5
     )  # it shows the term of its controller from before
     heartbeat = Heartbeat("m", "a:1", "big", "a", False, 1, machine.sequence, 5, None, {})
--- a/tests/test_schedule_firings.py
+++ b/tests/test_schedule_firings.py
@@ -11,38 +11,38 @@
 from oakmux.schedules import records, zones
 from oakmux.schedules.messages import ServeScheduleRequest
 from tests.fakes import spec
-from tests.timed import JOB, SKEW_MS, Timed, seconds, settled
+from tests.timed import JOB, SKEW_MS, ScheduleSimulation, settled_simulation, unix_time
 
 
-def names(sim: Timed) -> list[str]:
+def names(sim: ScheduleSimulation) -> list[str]:
     """Return the entries whose turns were made, one for each turn."""
-    store = sim.cores[sim.holder()].subsystems[0].store
+    store = sim.cores[sim.clock_holder()].subsystems[0].store
     found = {}
     for name, entry in store.entries.items():
         for at, outcome, tries, note in store.slot(name).rows:
             if outcome in ("m", "h"):
                 found[records.job_id(entry, note if outcome == "h" else str(at), 0, tries)] = name
-    return [found.get(job, "?") for _, job in sim.made]
+    return [found.get(job, "?") for _, job in sim.firings]
 
 
-def every_minute(sim: Timed, count: int, text: str = "* * * * *", **policy) -> None:
+def every_minute(sim: ScheduleSimulation, count: int, text: str = "* * * * *", **policy) -> None:
     """Store so many entries."""
     for n in range(count):
-        status, body = sim.cron(f"red/n{n:03d}", text, **{"overlap": "allow", **policy})
+        status, body = sim.put_cron_entry(f"red/n{n:03d}", text, **{"overlap": "allow", **policy})
         assert status == 200, body
 
 
 def test_a_firing_happens_once_and_on_time():
-    sim = settled("2026-12-01T02:59:40+00:00")
-    assert sim.cron("red/nightly", "0 3 * * *")[0] == 200
+    sim = settled_simulation("2026-12-01T02:59:40+00:00")
+    assert sim.put_cron_entry("red/nightly", "0 3 * * *")[0] == 200
     sim.run(40)
-    ((at, job),) = sim.made
-    assert 0 <= at - seconds("2026-12-01T03:00:00+00:00") < 0.6
-    assert sim.past("red/nightly") == [("2026-12-01T03:00", "made")]
+    ((at, job),) = sim.firings
+    assert 0 <= at - unix_time("2026-12-01T03:00:00+00:00") < 0.6
+    assert sim.firing_history("red/nightly") == [("2026-12-01T03:00", "made")]
     sim.run(15)
     sim.query(job)
     sim.run(2)
-    assert sim.told[job] == "done"
+    assert sim.reported_state[job] == "done"
 
 
 @pytest.mark.parametrize(
@@ -53,89 +53,89 @@
     ],
 )
 def test_a_daylight_saving_change_neither_loses_nor_repeats_a_firing(start, before, firing):
-    sim = settled(start)
-    sim.cron("red/night", "30 2 * * *", "Europe/Berlin")
-    sim.cron("red/often", "*/30 * * * *", "Europe/Berlin", overlap="allow")
+    sim = settled_simulation(start)
+    sim.put_cron_entry("red/night", "30 2 * * *", "Europe/Berlin")
+    sim.put_cron_entry("red/often", "*/30 * * * *", "Europe/Berlin", overlap="allow")
     sim.run(80)
-    assert sim.past("red/night") == [(f"{before}T{firing}", "made")]
-    sim.crash(sim.holder())  # whoever takes over meets the hour for the second time
+    assert sim.firing_history("red/night") == [(f"{before}T{firing}", "made")]
+    sim.crash(sim.clock_holder())  # whoever takes over meets the hour for the second time
     for _ in range(2):
-        sim.skip(1740)
+        sim.advance_time_of_day(1740)
         sim.run(60)
-    assert sim.past("red/night") == [(f"{before}T{firing}", "made")]
-    assert len(sim.past("red/often")) == 3
-    assert len(sim.made) == 4
+    assert sim.firing_history("red/night") == [(f"{before}T{firing}", "made")]
+    assert len(sim.firing_history("red/often")) == 3
+    assert len(sim.firings) == 4
 
 
 def test_a_burst_of_firings_continues_under_another_role_holder():
-    sim = settled("2026-12-01T02:59:20+00:00")
+    sim = settled_simulation("2026-12-01T02:59:20+00:00")
     every_minute(sim, 60, "0 3 * * *")
-    sim.until("2026-12-01T03:00:00+00:00")
+    sim.run_until("2026-12-01T03:00:00+00:00")
     sim.run(0.104)
-    assert 0 < len(sim.made) < 60
-    sim.crash(sim.holder(), back=None)
+    assert 0 < len(sim.firings) < 60
+    sim.crash(sim.clock_holder(), restart_s=None)
     sim.run(12)
     assert sorted(names(sim)) == [f"red/n{n:03d}" for n in range(60)]
 
 
 def test_a_partitioned_role_holder_writes_nothing_late():
-    sim = settled("2026-12-01T02:59:40+00:00", seed=4)
+    sim = settled_simulation("2026-12-01T02:59:40+00:00", seed=4)
     every_minute(sim, 20, "0 3 * * *")
-    sim.until("2026-12-01T02:59:59+00:00")
-    old = sim.holder()
+    sim.run_until("2026-12-01T02:59:59+00:00")
+    old = sim.clock_holder()
     sim.cuts.add(frozenset((old, "state")))  # what it sends arrives up to 40 s later
     sim.run(15)
-    assert sim.holder() != old
+    assert sim.clock_holder() != old
     assert sorted(names(sim)) == [f"red/n{n:03d}" for n in range(20)]
     sim.cuts.clear()
     sim.run(60)
-    assert len(sim.made) == 20
+    assert len(sim.firings) == 20
 
 
 def test_firings_wait_for_the_store():
-    sim = settled("2026-12-01T02:59:40+00:00")
+    sim = settled_simulation("2026-12-01T02:59:40+00:00")
     every_minute(sim, 5, "0 3 * * *")
-    sim.until("2026-12-01T02:59:55+00:00")
-    sim.state.outage(30)
+    sim.run_until("2026-12-01T02:59:55+00:00")
+    sim.store.outage(30)
     sim.run(29)
-    assert not sim.made
+    assert not sim.firings
     sim.run(15)
     assert sorted(names(sim)) == [f"red/n{n:03d}" for n in range(5)]
-    assert max(at for at, _ in sim.made) < seconds("2026-12-01T03:00:40+00:00")
+    assert max(at for at, _ in sim.firings) < unix_time("2026-12-01T03:00:40+00:00")
 
 
 def test_after_a_full_outage_the_catch_up_window_decides():
-    sim = settled("2026-12-01T23:58:00+00:00")
+    sim = settled_simulation("2026-12-01T23:58:00+00:00")
     every_minute(sim, 1, "* * * * *", catch_up="all", window_s=150)
-    sim.cron("red/last", "* * * * *", overlap="allow", catch_up="last")
-    sim.cron("red/none", "* * * * *", overlap="allow", catch_up="none")
-    sim.cron("red/daily", "0 0 * * *")
+    sim.put_cron_entry("red/last", "* * * * *", overlap="allow", catch_up="last")
+    sim.put_cron_entry("red/none", "* * * * *", overlap="allow", catch_up="none")
+    sim.put_cron_entry("red/daily", "0 0 * * *")
     sim.run(3)
-    sim.made.clear()
+    sim.firings.clear()
     for label in sim.labels:
-        sim.crash(label, back=250)  # from 23:58 until 00:02
-    sim.until("2026-12-02T00:02:50+00:00")
+        sim.crash(label, restart_s=250)  # from 23:58 until 00:02
+    sim.run_until("2026-12-02T00:02:50+00:00")
     made = Counter(names(sim))
     # Back at 00:02:13 or so: 23:59 is too late by then for a window of 150 s.
     assert made["red/n000"] == 3
     assert made["red/daily"] == 1
     assert made["red/last"] == 1
     assert made["red/none"] == 1
-    assert ("2026-12-01T23:59", "missed: too late to catch up") in sim.past("red/n000")
-    assert [row for row in sim.past("red/last") if row[1] == "made"] == [
+    assert ("2026-12-01T23:59", "missed: too late to catch up") in sim.firing_history("red/n000")
+    assert [row for row in sim.firing_history("red/last") if row[1] == "made"] == [
         ("2026-12-02T00:02", "made")
     ]
 
 
 def test_years_of_missed_firings_are_skipped_at_once():
-    sim = settled("2026-12-01T10:00:30+00:00")
+    sim = settled_simulation("2026-12-01T10:00:30+00:00")
     every_minute(sim, 1, window_s=120)
     for label in sim.labels:
-        sim.crash(label, back=30)
+        sim.crash(label, restart_s=30)
     sim.run(20)
-    sim.skip(400 * 86_400)  # the machines stood in a cellar
+    sim.advance_time_of_day(400 * 86_400)  # the machines stood in a cellar
     sim.run(90)
-    rows = sim.past("red/n000")
+    rows = sim.firing_history("red/n000")
     assert [row for row in rows if "missed" in row[1]][0] == (
         "2026-12-01T10:01",
         "missed: too late to catch up",
@@ -157,56 +157,56 @@
     ],
 )
 def test_a_firing_that_overlaps_the_previous_one(overlap, outcomes):
-    sim = settled("2026-12-01T03:00:30+00:00")
-    sim.template("red/long", guess_s=140.0)
-    sim.cron("red/n", "* * * * *", template="red/long", overlap=overlap)
+    sim = settled_simulation("2026-12-01T03:00:30+00:00")
+    sim.put_template("red/long", guess_s=140.0)
+    sim.put_cron_entry("red/n", "* * * * *", template="red/long", overlap=overlap)
     sim.run(60 * 3 - 20)
-    rows = sim.past("red/n")
+    rows = sim.firing_history("red/n")
     if overlap == "queue":
         # The second waits, the third finds one waiting; the second goes when the first is over.
         assert [row[1] for row in rows] == ["made", "queued", outcomes[1]]
-        sim.until("2026-12-01T03:03:50+00:00")
-        assert sorted(row[1] for row in sim.past("red/n")) == sorted(outcomes)
-        assert len(sim.made) == 2
+        sim.run_until("2026-12-01T03:03:50+00:00")
+        assert sorted(row[1] for row in sim.firing_history("red/n")) == sorted(outcomes)
+        assert len(sim.firings) == 2
     else:
         assert [row[1] for row in rows] == outcomes
     jobs = sim.cores["h0"].context.replica.jobs
-    states = [jobs[job].state for _, job in sim.made]
+    states = [jobs[job].state for _, job in sim.firings]
     if overlap == "replace":
         assert states[:2] == ["cancelled"] * 2
-        for _, job in sim.made:
+        for _, job in sim.firings:
             sim.cancel_requested.add(job)
         sim.run(25)
-        assert len(sim.live()) == 1
+        assert len(sim.running_tasks()) == 1
     elif overlap == "allow":
         assert states == ["queued"] * 3
 
 
 def test_an_edit_a_pause_and_a_removal_race_with_a_firing():
-    sim = settled("2026-12-01T02:59:30+00:00")
+    sim = settled_simulation("2026-12-01T02:59:30+00:00")
     for name in ("edit", "same", "pause", "remove", "later"):
-        sim.cron(f"red/{name}", "0 3 * * *", overlap="allow")
-    sim.until("2026-12-01T02:59:58+00:00")
-    assert sim.cron("red/edit", "1 3 * * *", overlap="allow")[0] == 200
-    assert sim.cron("red/same", "0 3 * * *", overlap="skip")[0] == 200  # no time changes
-    assert sim.ask_for("pause", name="red/pause")[0] == 200
-    assert sim.ask_for("remove", name="red/remove")[0] == 200
+        sim.put_cron_entry(f"red/{name}", "0 3 * * *", overlap="allow")
+    sim.run_until("2026-12-01T02:59:58+00:00")
+    assert sim.put_cron_entry("red/edit", "1 3 * * *", overlap="allow")[0] == 200
+    assert sim.put_cron_entry("red/same", "0 3 * * *", overlap="skip")[0] == 200  # no time changes
+    assert sim.request("pause", name="red/pause")[0] == 200
+    assert sim.request("remove", name="red/remove")[0] == 200
     sim.run(4)
     assert sorted(names(sim)) == ["red/later", "red/same"]
-    sim.cron("red/pause", "0 3 * * *", overlap="skip")  # says nothing of the pause
-    assert sim.ask_for("show", name="red/pause")[1]["paused"]
+    sim.put_cron_entry("red/pause", "0 3 * * *", overlap="skip")  # says nothing of the pause
+    assert sim.request("show", name="red/pause")[1]["paused"]
     # Once made, an edit back, a new namesake and the end of the pause make nothing again.
-    sim.cron("red/later", "0 3 * * *", "Etc/UTC", overlap="allow")
-    sim.cron("red/remove", "0 3 * * *")
-    sim.ask_for("resume", name="red/pause")
-    sim.until("2026-12-01T03:02:00+00:00")
+    sim.put_cron_entry("red/later", "0 3 * * *", "Etc/UTC", overlap="allow")
+    sim.put_cron_entry("red/remove", "0 3 * * *")
+    sim.request("resume", name="red/pause")
+    sim.run_until("2026-12-01T03:02:00+00:00")
     assert sorted(names(sim)) == ["red/edit", "red/later", "red/same"]
 
 
 def test_requests_that_race_with_a_firing_in_the_same_record_succeed():
-    sim = settled("2026-12-01T02:59:30+00:00")
+    sim = settled_simulation("2026-12-01T02:59:30+00:00")
     every_minute(sim, 20, "0 3 * * *")
-    sim.until("2026-12-01T03:00:00+00:00")
+    sim.run_until("2026-12-01T03:00:00+00:00")
     for n in range(10):
         for label, what in zip(sim.labels, ("pause", "remove", "run-now"), strict=True):
             sim.command(
@@ -217,40 +217,40 @@
             )
         sim.run(0.02)
     sim.run(10)
-    counts = Counter(job for _, job in sim.made)
+    counts = Counter(job for _, job in sim.firings)
     assert set(counts.values()) == {1}
     assert sum(1 for name in names(sim) if name >= "red/n010") == 10
 
 
 def test_clock_skew_causes_no_early_or_repeated_firing():
-    sim = settled("2026-12-01T03:00:30+00:00")
+    sim = settled_simulation("2026-12-01T03:00:30+00:00")
     every_minute(sim, 3)
     for at in range(6):
         for n, label in enumerate(sim.labels):  # some behind, some ahead, wandering
             sim.offsets[label] = SKEW_MS / 1000 * ((n + at) % 3 - 1) / 2
         sim.run(25)
-        sim.crash(sim.holder())
+        sim.crash(sim.clock_holder())
         sim.run(35)
-    assert len(sim.made) == 18
-    assert len({job for _, job in sim.made}) == 18
-    assert max(sim.late()) < 8.0
+    assert len(sim.firings) == 18
+    assert len({job for _, job in sim.firings}) == 18
+    assert max(sim.lateness()) < 8.0
     assert min(Counter(names(sim)).values()) == 6
 
 
 def test_a_clock_step_delays_firings_briefly():
-    sim = settled("2026-12-01T03:00:20+00:00")
+    sim = settled_simulation("2026-12-01T03:00:20+00:00")
     every_minute(sim, 1)
     sim.offsets = dict.fromkeys(sim.labels, 600.0)
     sim.run(2)
     sim.offsets = {}
     sim.run(100)
-    assert len(sim.made) == 2  # of 03:01 and 03:02; none of those ten minutes ahead
+    assert len(sim.firings) == 2  # of 03:01 and 03:02; none of those ten minutes ahead
     assert names(sim) == ["red/n000"] * 2
 
 
 def test_a_zone_whose_rules_change_between_versions(monkeypatch):
-    sim = settled("2026-11-30T18:59:30+00:00")  # 01:59:30 in Jakarta
-    sim.cron("red/night", "0 2,5 * * *", "Asia/Jakarta")
+    sim = settled_simulation("2026-11-30T18:59:30+00:00")  # 01:59:30 in Jakarta
+    sim.put_cron_entry("red/night", "0 2,5 * * *", "Asia/Jakarta")
     sim.run(60)
     real = zones.zone
     monkeypatch.setattr(
@@ -262,118 +262,121 @@
         sim.crash(label)
     for _ in range(5):  # at the new rules' 02:00, an hour on, nothing is made again
         sim.run(60)
-        sim.skip(3540)
+        sim.advance_time_of_day(3540)
     sim.run(10)
-    assert [row[0] for row in sim.past("red/night")] == ["2026-12-01T01:00", "2026-12-01T05:00"]
-    assert len(sim.made) == 2
+    assert [row[0] for row in sim.firing_history("red/night")] == [
+        "2026-12-01T01:00",
+        "2026-12-01T05:00",
+    ]
+    assert len(sim.firings) == 2
 
 
 def test_controllers_without_schedules_do_not_block_the_schedule_roles():
-    sim = settled("2026-12-01T03:00:30+00:00")
+    sim = settled_simulation("2026-12-01T03:00:30+00:00")
     every_minute(sim, 2)
     for n, label in enumerate(("h1", "h2", "h0")):  # schedules are switched off one by one
-        sim.off.add(label)
+        sim.without_schedules.add(label)
         sim.crash(label)
         sim.run(30)
         held = {role for core in sim.cores.values() if core for role in core.context.held_roles}
         assert held == {"red", "blue", "#fleet"} | ({"#clock"} if n < 2 else set())
-    sim.off = {"h0", "h1"}  # and on again on one
+    sim.without_schedules = {"h0", "h1"}  # and on again on one
     sim.crash("h2")
     sim.run(40)
-    assert sim.holder() == "h2"
+    assert sim.clock_holder() == "h2"
     counts = Counter(names(sim))
     assert counts["red/n000"] == counts["red/n001"] == 2
-    assert len(sim.made) == 4
+    assert len(sim.firings) == 4
 
 
 def test_a_template_whose_team_was_removed():
-    sim = settled("2026-12-01T03:00:30+00:00")
-    sim.template("blue/t")
-    sim.cron("blue/n", "* * * * *", template="blue/t")
-    sim.gone_teams.add("blue")
+    sim = settled_simulation("2026-12-01T03:00:30+00:00")
+    sim.put_template("blue/t")
+    sim.put_cron_entry("blue/n", "* * * * *", template="blue/t")
+    sim.removed_teams.add("blue")
     for label in sim.labels:
         sim.crash(label)
     sim.run(90)
-    assert [row[1] for row in sim.past("blue/n")][-1] == "refused"
-    assert not sim.made
-    sim.gone_teams.clear()
+    assert [row[1] for row in sim.firing_history("blue/n")][-1] == "refused"
+    assert not sim.firings
+    sim.removed_teams.clear()
     for label in sim.labels:
         sim.crash(label)
     sim.run(60)
-    assert [row[1] for row in sim.past("blue/n")][-1] == "made"
+    assert [row[1] for row in sim.firing_history("blue/n")][-1] == "made"
 
 
 def test_an_id_that_an_older_job_has():
-    sim = settled("2026-12-01T02:59:30+00:00")
-    sim.cron("red/n", "0 3 * * *")
+    sim = settled_simulation("2026-12-01T02:59:30+00:00")
+    sim.put_cron_entry("red/n", "0 3 * * *")
     entry = sim.cores["h0"].subsystems[0].store.entries["red/n"]
-    taken = records.job_id(entry, str(seconds("2026-12-01T03:00:00+00:00")), 0, 0)
+    taken = records.job_id(entry, str(unix_time("2026-12-01T03:00:00+00:00")), 0, 0)
     old = spec(gpus=0.0)
     sim.specs[taken] = old
-    sim.state.revision += 1
-    sim.state.put(job_key(taken), encode_job("queued", "red", old, 0, 1), None)
+    sim.store.revision += 1
+    sim.store.put(job_key(taken), encode_job("queued", "red", old, 0, 1), None)
     sim.run(50)
-    ((_, job),) = sim.made
+    ((_, job),) = sim.firings
     assert job != taken
-    assert sim.past("red/n") == [("2026-12-01T03:00", "made")]
+    assert sim.firing_history("red/n") == [("2026-12-01T03:00", "made")]
 
 
 def test_users_cannot_take_the_id_of_a_firing():
-    sim = settled("2026-12-01T03:00:30+00:00")
+    sim = settled_simulation("2026-12-01T03:00:30+00:00")
     every_minute(sim, 1)
     sim.submit("job-970000000000000001", spec())
     sim.submit("job-97", spec(gpus=0.0))  # of fewer digits: as good as any
     sim.run(45)
     assert sim.refusals == {"job-970000000000000001": 422}
-    ((_, job),) = sim.made
+    ((_, job),) = sim.firings
     sim.submit(job, spec())  # who asks for a turn's job is told its state
     sim.run(5)
     assert job not in sim.refusals
 
 
 def test_a_chain_of_templates():
-    sim = settled("2026-12-01T02:59:30+00:00")
-    status, body = sim.template("red/chain", ["first", JOB, []], ["then", JOB, ["first"]])
+    sim = settled_simulation("2026-12-01T02:59:30+00:00")
+    status, body = sim.put_template("red/chain", ["first", JOB, []], ["then", JOB, ["first"]])
     assert status == 200, body
-    sim.cron("red/n", "0 3 * * *", template="red/chain")
+    sim.put_cron_entry("red/n", "0 3 * * *", template="red/chain")
     sim.run(60)
-    (_, first), (_, then) = sim.made
+    (_, first), (_, then) = sim.firings
     assert sim.specs[then].waits_on == (first,)
     for job in (first, then):
         sim.query(job)
     sim.run(3)
-    assert sim.told[first] == sim.told[then] == "done"
+    assert sim.reported_state[first] == sim.reported_state[then] == "done"
 
 
 def test_a_chain_waits_for_an_upgrade_and_delays_no_other():
-    sim = Timed("2026-12-01T02:59:20+00:00", old=("h2",))
+    sim = ScheduleSimulation("2026-12-01T02:59:20+00:00", first_version=("h2",))
     sim.run(14)
     for name, steps in (
         ("red/chain", (["first", JOB, []], ["then", JOB, ["first"]])),
         ("red/t", (["main", JOB, []],)),
     ):
-        assert sim.template(name, *steps)[0] == 200
+        assert sim.put_template(name, *steps)[0] == 200
     for n in range(6):  # in more shards than can be written at a time
-        sim.cron(f"red/c{n}", "0 3 * * *", template="red/chain")
-    sim.cron("red/z", "0 3 * * *")
-    sim.until("2026-12-01T03:00:10+00:00")
+        sim.put_cron_entry(f"red/c{n}", "0 3 * * *", template="red/chain")
+    sim.put_cron_entry("red/z", "0 3 * * *")
+    sim.run_until("2026-12-01T03:00:10+00:00")
     assert names(sim) == ["red/z"]
-    sim.old.clear()
+    sim.first_version.clear()
     sim.crash("h2")
     sim.run(30)
-    assert len(sim.made) == 13
+    assert len(sim.firings) == 13
 
 
 def test_a_manual_firing_happens_once():
-    sim = settled("2026-12-01T03:00:30+00:00")
-    sim.cron("red/n", "0 5 * * *")
-    sim.ask_for("pause", name="red/n")
-    told = [sim.ask_for("run-now", label, name="red/n", word="w1") for label in sim.labels]
+    sim = settled_simulation("2026-12-01T03:00:30+00:00")
+    sim.put_cron_entry("red/n", "0 5 * * *")
+    sim.request("pause", name="red/n")
+    told = [sim.request("run-now", label, name="red/n", word="w1") for label in sim.labels]
     assert [status for status, _ in told] == [201, 200, 200]
     assert len({tuple(body["jobs"]) for _, body in told}) == 1
-    assert len(sim.made) == 1
-    assert sim.ask_for("run-now", name="red/n", word="w2")[0] == 201
-    assert sim.past("red/n")[-1][1] == "by hand"
+    assert len(sim.firings) == 1
+    assert sim.request("run-now", name="red/n", word="w2")[0] == 201
+    assert sim.firing_history("red/n")[-1][1] == "by hand"
 
 
 @pytest.mark.parametrize(
@@ -397,8 +400,8 @@
     ],
 )
 def test_a_template_that_could_never_run_is_refused_when_it_is_stored(what, status, word):
-    sim = settled("2026-12-01T03:00:30+00:00")
-    got, body = sim.ask_for("template", **what)
+    sim = settled_simulation("2026-12-01T03:00:30+00:00")
+    got, body = sim.request("template", **what)
     assert got == status
     assert word in body
 
@@ -417,36 +420,36 @@
     ],
 )
 def test_an_entry_that_could_never_run_is_refused(text, zone, more, word):
-    sim = settled("2026-12-01T03:00:30+00:00")
+    sim = settled_simulation("2026-12-01T03:00:30+00:00")
     template = "red/none" if more.pop("t", None) else "red/t"
-    status, body = sim.cron("red/n", text, zone, template, **more)
+    status, body = sim.put_cron_entry("red/n", text, zone, template, **more)
     assert status == 422
     assert word in body
-    assert sim.ask_for("list", prefix="red/")[1]["entries"] == []
+    assert sim.request("list", prefix="red/")[1]["entries"] == []
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_fault_storms_lose_and_repeat_no_firing(seed):
     rng = random.Random(seed)
-    sim = settled("2026-12-01T03:00:30+00:00", seed=seed + 1)
+    sim = settled_simulation("2026-12-01T03:00:30+00:00", seed=seed + 1)
     every_minute(sim, 8, jitter_s=5)
     sim.run(5)
-    sim.loss = sim.twice = sim.slow = 0.02
+    sim.loss_rate = sim.duplicate_rate = sim.slow_rate = 0.02
     for _ in range(6):
         label = rng.choice(sim.labels)
         trouble = rng.randrange(5)
         if trouble == 0 and sim.cores[label]:
-            sim.crash(label, back=rng.uniform(1, 20))
+            sim.crash(label, restart_s=rng.uniform(1, 20))
         elif trouble == 1 and label not in sim.frozen:
             sim.freeze(label, rng.uniform(1, 12))
         elif trouble == 2:
             cut = frozenset((label, "state"))
             sim.cuts.add(cut)
             sim.after(rng.uniform(2, 25), lambda cut=cut: sim.cuts.discard(cut))
-        elif trouble == 3 and not sim.state.down:
-            sim.state.outage(rng.uniform(2, 20))
+        elif trouble == 3 and not sim.store.down:
+            sim.store.outage(rng.uniform(2, 20))
         sim.run(rng.uniform(10, 40))
-    sim.loss = sim.twice = sim.slow = 0.0
+    sim.loss_rate = sim.duplicate_rate = sim.slow_rate = 0.0
     sim.run(45)
     sim.run(60 - (sim.start + sim.now) % 60 + 12)
     last = int((sim.start + sim.now) // 60 * 60)
@@ -457,6 +460,6 @@
         for entry in store.entries.values()
         for at in range(first, last + 1, 60)
     }
-    made = [job for _, job in sim.made]
+    made = [job for _, job in sim.firings]
     assert len(made) == len(set(made))
     assert set(made) == expected
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -101,7 +101,7 @@
         ),
     )
     sim.run(15)
-    assert len(sim.live()) == 8
+    assert len(sim.running_tasks()) == 8
     sim.submit("job-9", spec("gang", 2, "blue", job_class="press", priority=2))
     scheduler = next(
         core for core in sim.cores.values() if "blue" in core.context.held_roles
@@ -227,4 +227,4 @@
             if command.job_id == "job-2"
             else query(command)
         )
-    assert sim.unresponsive() == {"job-2"}
+    assert sim.unanswered_jobs() == {"job-2"}
--- a/tests/test_store_outages.py
+++ b/tests/test_store_outages.py
@@ -10,7 +10,7 @@
     sim.submit("job-1", spec("service", 3))
     sim.run(10)
     before = sim.start_log[:]
-    sim.state.outage(9.0)
+    sim.store.outage(9.0)
     answers = []
     sim.run(1)
     sim.command("h1", messages.QueryJob(lambda s, a: answers.append(s), "job-1"))
@@ -19,7 +19,7 @@
     assert answers == [503, 503]
     sim.run(20)
     assert sim.start_log == before
-    assert len(sim.live()) == 3
+    assert len(sim.running_tasks()) == 3
 
 
 def test_a_restart_during_a_cloud_outage_uses_the_recorded_machine_types():
@@ -50,8 +50,8 @@
             ),
         )
     sim.run(6)
-    assert len(sim.told) == 6
-    sim.state.outage(8.0)
+    assert len(sim.reported_state) == 6
+    sim.store.outage(8.0)
     for label in sim.labels:
         sim.after(2.0, lambda name=label: sim.crash(name, 4.0))
     pairs = {
@@ -66,15 +66,15 @@
     for number in range(1, 7):
         sim.query(f"job-{number}")
     sim.run(2)
-    assert {sim.told[f"job-{n}"] for n in (1, 3, 4, 6)} == {"done"}
+    assert {sim.reported_state[f"job-{n}"] for n in (1, 3, 4, 6)} == {"done"}
     assert sum(len(core.context.held_roles) for core in sim.cores.values()) == 3
-    live = [task for _, task, _ in sim.live()]
+    live = [task for _, task, _ in sim.running_tasks()]
     assert sorted(live) == ["job-2/0", "job-2/1", "job-5/0", "job-5/1"]  # the services
 
 
 def test_a_store_outage_shared_by_all_controllers_leaves_all_healthy():
     sim = idle_cluster()
-    sim.state.outage(12.0)
+    sim.store.outage(12.0)
     sim.run(8)
     health: list[int] = []
     for label in sim.labels:
