--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -46,14 +46,14 @@
 def upgrade(sim: Simulation, *labels: str, gap: float = 4.0) -> None:
     """Replace controllers by new ones, one after the other."""
     for label in labels:
-        sim.old.discard(label)
+        sim.first_version.discard(label)
         sim.crash(label, 2.0)
         sim.run(gap)
 
 
 def fall(sim: Simulation, value_kb: float = 2.0) -> None:
     """Lower the state service's limits."""
-    sim.state.value_kb, sim.state.txn_ops = value_kb, 4
+    sim.store.value_kb, sim.store.txn_ops = value_kb, 4
 
 
 def small(tasks: int, **more):
@@ -116,13 +116,13 @@
     assert "message_failed" not in caplog.text
     assert "m1" in core.context.machines
     sim, forms = Simulation(1), {}
-    send = sim.send
+    send = sim.send_to_peer
 
     def noted(label, incarnation, peer, message):
         forms[message.TAG] = len(encode_message(message))
         send(label, incarnation, peer, message)
 
-    sim.send = noted
+    sim.send_to_peer = noted
     sim.run(10)
     sim.submit("job-1", spec("array", 6))
     sim.run(15)
@@ -133,7 +133,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_rolling_upgrade_while_jobs_run_and_are_cancelled(seed):
-    sim = Simulation(seed, coming=COMING, old=ALL)
+    sim = Simulation(seed, upcoming_limits=COMING, first_version=ALL)
     dice = random.Random(seed)
     sim.run(12)
     for number in range(6):
@@ -150,19 +150,19 @@
         )
     sim.run(8)
     for label in ALL:
-        assert FORMAT_KEY not in sim.state.rows  # not before the last of them is new
+        assert FORMAT_KEY not in sim.store.rows  # not before the last of them is new
         sim.cancel(f"job-{dice.randrange(6)}")
         upgrade(sim, label)
     sim.run(3)
-    assert sim.state.rows[FORMAT_KEY][0] == [FORMAT, 64]
+    assert sim.store.rows[FORMAT_KEY][0] == [FORMAT, 64]
     fall(sim)
     sim.submit("job-7", small(3, waits_on=("job-1",)))
-    assert sim.unfinished(120) == set()
-    assert sim.state.too_large == 0
+    assert sim.unfinished_jobs(120) == set()
+    assert sim.store.too_large == 0
 
 
 def test_jobs_with_dependencies_wait_until_every_controller_is_upgraded():
-    sim = Simulation(1, coming=COMING, old=ALL)
+    sim = Simulation(1, upcoming_limits=COMING, first_version=ALL)
     sim.run(12)
     sim.submit("job-1", small(1))
     upgrade(sim, "h0", "h1")
@@ -177,22 +177,26 @@
     sim.run(12)
     sim.query("job-2")
     sim.run(1)
-    assert sim.told["job-2"] == "done"
+    assert sim.reported_state["job-2"] == "done"
 
 
 def test_late_writes_of_old_controllers_change_no_record():
     # A transaction that the network held may be carried out minutes after its sender is gone. Had
     # it been built on a record that still stands, it would drop what only new versions know.
-    sim = Simulation(2, coming=COMING, old=ALL)
+    sim = Simulation(2, upcoming_limits=COMING, first_version=ALL)
     sent = []
-    serve = sim.state.serve
+    serve = sim.store.serve
 
     def noted(label, operation):
-        if isinstance(operation, messages.Transaction) and label in sim.old and operation.writes:
+        if (
+            isinstance(operation, messages.Transaction)
+            and label in sim.first_version
+            and operation.writes
+        ):
             sent.append(operation)
         return serve(label, operation)
 
-    sim.state.serve = noted
+    sim.store.serve = noted
     sim.run(12)
     sim.submit("job-1", small(30, estimate_s=60.0))
     sim.submit("job-2", spec("service", 2, "blue"))
@@ -203,39 +207,39 @@
     sim.run(3)
     kept = {
         key: row[:2]
-        for key, row in sim.state.rows.items()
+        for key, row in sim.store.rows.items()
         if key.startswith(("ox/j/", "ox/t/", "ox/own/", "ox/format", "ox/term"))
     }
     assert len(sent) > 5
     for transaction in sent:
-        sim.state.transact(transaction.conditions, transaction.writes)
+        sim.store.transact(transaction.conditions, transaction.writes)
     for key, row in kept.items():
-        assert sim.state.rows[key][:2] == row, key
+        assert sim.store.rows[key][:2] == row, key
 
 
 @pytest.mark.parametrize("crashed", [ALL, ("h0",)])
 def test_a_crash_around_the_switch_leaves_one_format(crashed):
-    sim = Simulation(4, coming=COMING, old=ALL)
+    sim = Simulation(4, upcoming_limits=COMING, first_version=ALL)
     sim.run(12)
     sim.submit("job-1", small(40, estimate_s=25.0))
     sim.run(8)
     upgrade(sim, "h1", "h2")
-    sim.old.discard("h0")
+    sim.first_version.discard("h0")
     sim.crash("h0", 2.0)
-    while FORMAT_KEY not in sim.state.rows:
+    while FORMAT_KEY not in sim.store.rows:
         sim.run(0.002)
     for label in crashed:  # whoever wrote it has not heard so yet
         sim.crash(label, 2.0)
     sim.run(40)
-    assert sim.state.rows[FORMAT_KEY][0] == [FORMAT, 64]
+    assert sim.store.rows[FORMAT_KEY][0] == [FORMAT, 64]
     sim.query("job-1")
     sim.run(6)
-    assert sim.told["job-1"] == "done"
+    assert sim.reported_state["job-1"] == "done"
     assert all(core.context.replica.format == FORMAT for core in sim.cores.values())
 
 
 def test_a_new_controller_partitioned_during_the_switch_continues_after_it():
-    sim = Simulation(5, coming=COMING, old=ALL)
+    sim = Simulation(5, upcoming_limits=COMING, first_version=ALL)
     sim.run(12)
     sim.submit("job-1", small(40, estimate_s=30.0))
     sim.run(6)
@@ -243,55 +247,55 @@
     sim.cuts.add(frozenset(("h0", "state")))
     upgrade(sim, "h2")
     sim.run(3)
-    assert sim.state.rows[FORMAT_KEY][0] == [FORMAT, 64]
+    assert sim.store.rows[FORMAT_KEY][0] == [FORMAT, 64]
     assert sim.cores["h0"].context.replica.format == 1
     sim.cuts.clear()
     sim.run(45)
     sim.query("job-1")
     sim.run(3)
-    assert sim.told["job-1"] == "done"
+    assert sim.reported_state["job-1"] == "done"
     assert sim.cores["h0"].context.replica.format == FORMAT
 
 
 def test_records_left_too_large_are_shrunk_after_the_switch_and_can_be_released():
-    sim = Simulation(1, coming=UpcomingLimits(value_kb=1.2, txn_ops=4), old=ALL)
+    sim = Simulation(1, upcoming_limits=UpcomingLimits(value_kb=1.2, txn_ops=4), first_version=ALL)
     sim.run(12)
     sim.submit("job-1", small(64, estimate_s=500.0))
     sim.run(8)
     key = block_key("job-1", 0)
-    assert value_bytes(sim.state.rows[key][0]) > 1.2 * 1024
+    assert value_bytes(sim.store.rows[key][0]) > 1.2 * 1024
     upgrade(sim, *ALL)
     sim.run(4)
-    assert value_bytes(sim.state.rows[key][0]) <= 1.2 * 1024
+    assert value_bytes(sim.store.rows[key][0]) <= 1.2 * 1024
     fall(sim, 1.2)
     sim.cancel("job-1")
     sim.run(30)
-    assert key not in sim.state.rows
-    assert sim.state.too_large == 0
+    assert key not in sim.store.rows
+    assert sim.store.too_large == 0
 
 
 def test_lowered_limits_before_the_switch_do_not_block_writes_forever():
     # The same transaction was once sent again unchanged until its job ended otherwise.
-    sim = Simulation(1, coming=UpcomingLimits(value_kb=1.0, txn_ops=4), old=ALL)
+    sim = Simulation(1, upcoming_limits=UpcomingLimits(value_kb=1.0, txn_ops=4), first_version=ALL)
     sim.run(12)
     sim.submit("job-1", small(64, estimate_s=20.0))
     sim.run(8)
     upgrade(sim, "h0", "h1")
     fall(sim, 1.0)
-    sim.state.too_large = 0
-    sim.old.discard("h2")
+    sim.store.too_large = 0
+    sim.first_version.discard("h2")
     sim.crash("h2", None)
     sim.run(60)
-    assert sim.state.too_large < 25
+    assert sim.store.too_large < 25
     sim.boot("h2")
     sim.run(30)
     sim.query("job-1")
     sim.run(2)
-    assert sim.told["job-1"] == "done"
+    assert sim.reported_state["job-1"] == "done"
 
 
 def test_a_job_of_many_records_ends_within_four_changes():
-    sim = Simulation(1, coming=COMING)
+    sim = Simulation(1, upcoming_limits=COMING)
     sim.run(12)
     fall(sim)
     sim.submit("job-1", small(64 * 6, estimate_s=2.0, cpus=0.02, memory_gb=0.02))
@@ -300,9 +304,9 @@
     for job_id in ("job-1", "job-2"):
         sim.query(job_id)
     sim.run(4)
-    assert sim.told == {"job-1": "done", "job-2": "done"}
-    assert sim.state.too_large == 0
-    assert not [key for key in sim.state.rows if key.startswith("ox/t/")]
+    assert sim.reported_state == {"job-1": "done", "job-2": "done"}
+    assert sim.store.too_large == 0
+    assert not [key for key in sim.store.rows if key.startswith("ox/t/")]
 
 
 def test_full_records_keep_within_the_coming_limit():
@@ -321,7 +325,7 @@
 
 def test_the_mapping_of_tasks_to_records_does_not_move_with_the_limits():
     # A bound task that is looked for in another record looks unbound (ran_twice).
-    sim = Simulation(1, coming=COMING)
+    sim = Simulation(1, upcoming_limits=COMING)
     sim.run(12)
     core = sim.cores["h0"]
     assert core.scheduler.buffer.tasks_per_record == 64
--- a/tests/timed.py
+++ b/tests/timed.py
@@ -34,62 +34,66 @@
 }
 
 
-def seconds(text: str) -> int:
+def unix_time(text: str) -> int:
     """Return an ISO time with its offset as seconds since 1970."""
     return int(datetime.fromisoformat(text).timestamp())
 
 
-class Timed(Simulation):
+class ScheduleSimulation(Simulation):
     """A Simulation whose controllers keep schedules; `start` is the true time at its begin."""
 
-    def __init__(self, start: str, seed: int = 1, count: int = 3, **more: Any) -> None:
-        self.start = seconds(start)
-        self.gone_teams: set[str] = set()
-        self.off: set[str] = set()  # controllers that run without schedules
+    def __init__(self, start: str, seed: int = 1, count: int = 3, **overrides: Any) -> None:
+        self.start = unix_time(start)
+        self.removed_teams: set[str] = set()
+        self.without_schedules: set[str] = set()  # controllers that run without schedules
         self.offsets: dict[str, float] = {}  # how far a controller's clock is ahead, in s
-        self.made: list[tuple[float, str]] = []  # (time of writing, job) of turns
+        self.firings: list[tuple[float, str]] = []  # (time of writing, job) of turns
         self.running: dict[str, list] = {}
-        super().__init__(seed, count, parts=(SchedulesSubsystem,), **more)
+        super().__init__(seed, count, subsystems=(SchedulesSubsystem,), **overrides)
 
     def boot(self, label: str) -> None:
-        self.parts = () if label in self.off else (SchedulesSubsystem,)
+        self.subsystems = () if label in self.without_schedules else (SchedulesSubsystem,)
         super().boot(label)
 
     def clock_commands(self, label: str) -> list[Command]:
-        if label in self.off:
+        if label in self.without_schedules:
             return []
-        ahead = self.offsets.get(label, 0.0)
-        return [SetTimeOfDay(int((self.start + self.now + ahead) * 1000))]
+        offset = self.offsets.get(label, 0.0)
+        return [SetTimeOfDay(int((self.start + self.now + offset) * 1000))]
 
-    def written(self, key: str, value: Any) -> None:
+    def on_write(self, key: str, value: Any) -> None:
         name = key.removeprefix("ox/j/")
         if name != key and name not in self.specs and value[2] is not None:
             self.specs[name] = msgspec.convert(value[2], JobSpec)
             if name.startswith(RESERVED):
-                self.made.append((self.start + self.now, name))
+                self.firings.append((self.start + self.now, name))
 
-    def ask_for(self, operation: str, label: str | None = None, **args: Any) -> tuple[int, Any]:
+    def request(self, operation: str, label: str | None = None, **args: Any) -> tuple[int, Any]:
         """Make a request and go on until it is answered; tries other controllers on a 503."""
-        for turn in range(20):
-            box: list[tuple] = []
-            to = label or self.labels[turn % len(self.labels)]
+        for attempt in range(20):
+            answers: list[tuple] = []
+            target = label or self.labels[attempt % len(self.labels)]
             self.command(
-                to,
-                ServeScheduleRequest(lambda *answer, box=box: box.append(answer), operation, args),
+                target,
+                ServeScheduleRequest(
+                    lambda *answer, answers=answers: answers.append(answer), operation, args
+                ),
             )
             end = self.now + 3
-            while not box and self.now < end:
+            while not answers and self.now < end:
                 self.run(0.1)
-            if box and (box[0][0] != 503 or label):
-                return box[0][0], box[0][1][1]
+            if answers and (answers[0][0] != 503 or label):
+                return answers[0][0], answers[0][1][1]
             self.run(0.5)
         return 0, None
 
-    def template(self, name: str = "red/t", *steps: tuple, **fields: Any) -> tuple[int, Any]:
-        rows = list(steps) or [["main", {**JOB, "owner": name.partition("/")[0], **fields}, []]]
-        return self.ask_for("template", name=name, steps=rows)
+    def put_template(self, name: str = "red/t", *steps: tuple, **fields: Any) -> tuple[int, Any]:
+        template_steps = list(steps) or [
+            ["main", {**JOB, "owner": name.partition("/")[0], **fields}, []]
+        ]
+        return self.request("template", name=name, steps=template_steps)
 
-    def cron(
+    def put_cron_entry(
         self,
         name: str,
         text: str,
@@ -98,7 +102,7 @@
         until: int = 0,
         **policy: Any,
     ) -> tuple[int, Any]:
-        return self.ask_for(
+        return self.request(
             "put",
             entries=[
                 {
@@ -111,51 +115,51 @@
             ],
         )
 
-    def past(self, name: str) -> list[tuple[str, str]]:
+    def firing_history(self, name: str) -> list[tuple[str, str]]:
         """Return (local time without its offset, outcome) of an entry's last turns."""
-        _, body = self.ask_for("history", name=name)
+        _, body = self.request("history", name=name)
         return [(row["local"][:16], row["outcome"]) for row in body["turns"]]
 
-    def holder(self) -> str:
+    def clock_holder(self) -> str:
         """Return which controller makes the turns."""
-        held = [
+        holders = [
             label
             for label, core in self.cores.items()
             if core is not None
             and "#clock" in core.context.held_roles
-            and not self.cut(label, "state")
+            and not self.is_cut(label, "state")
         ]
-        assert len(held) <= 1
-        return held[0] if held else ""
+        assert len(holders) <= 1
+        return holders[0] if holders else ""
 
     def settings(self, label: str) -> Settings:
-        conf = super().settings(label)
+        settings = super().settings(label)
         facts = msgspec.structs.replace(
-            conf.facts,
+            settings.facts,
             skew_ms=SKEW_MS,
-            teams=[team for team in conf.facts.teams if team.name not in self.gone_teams],
+            teams=[team for team in settings.facts.teams if team.name not in self.removed_teams],
         )
-        return msgspec.structs.replace(conf, facts=facts)
+        return msgspec.structs.replace(settings, facts=facts)
 
-    def until(self, text: str) -> None:
+    def run_until(self, text: str) -> None:
         """Go on until a true time."""
-        self.run(seconds(text) - self.start - self.now)
+        self.run(unix_time(text) - self.start - self.now)
 
-    def skip(self, by: float) -> None:
+    def advance_time_of_day(self, by: float) -> None:
         """Let the time of day run on while all else stands still, as if all machines slept."""
         self.start += by
 
-    def late(self) -> list[float]:
+    def lateness(self) -> list[float]:
         """Return by how many seconds after a full minute each turn was written."""
-        return [at % 60 for at, _ in self.made]
+        return [at % 60 for at, _ in self.firings]
 
 
-def settled(start: str, **more: Any) -> Timed:
+def settled_simulation(start: str, **overrides: Any) -> ScheduleSimulation:
     """Return a deployment that has settled, with a template, at the time `start`."""
-    sim = Timed(start, **more)
+    sim = ScheduleSimulation(start, **overrides)
     sim.start -= WARM_S
     sim.run(WARM_S - 4)
-    status, body = sim.template()
+    status, body = sim.put_template()
     assert status == 200, body
-    sim.until(start)
+    sim.run_until(start)
     return sim
