--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -65,7 +65,9 @@
         sim.specs["job-9"] = spec(**more)
         sim.teams["red"] = Team("red", cpus_max=8, gpus_max=8)
         with pytest.raises(AssertionError, match=kind):
-            other.apply_commands(other.fencing_token, [{"verb": "launch", "piece": "job-9/0", "try": 1}])
+            other.apply_commands(
+                other.fencing_token, [{"verb": "launch", "piece": "job-9/0", "try": 1}]
+            )
     job_id = task.partition("/")[0]
     worker.hang(0.5 * LEASE_S)
     sim.cancelled_at[job_id] = sim.now - CANCEL_S - 1
