--- a/tests/recorded.py
+++ b/tests/recorded.py
@@ -130,7 +130,7 @@
     "due_s": 900.0,
     "waits_on": ["job-7", "job-8", "job-7"],
 }
-BEAT = {
+HEARTBEAT = {
     "box": "n-000231",
     "addr": "10.1.0.232:9000",
     "flavour": "g8",
@@ -239,12 +239,12 @@
     }
 
 
-def stored() -> dict[str, list]:
+def stored_records() -> dict[str, list]:
     """Return [key, value] of each kind of record and each form of it."""
     block = TaskBlock(STAMP, 2**40, 0b1010011000, bindings())
     small = TaskBlock(STAMP, 1, 0, {0: Binding(1, "m3", 1, 2, "c")})
     done = TaskBlock(STAMP, 2, 2**64 - 1, {})
-    made: dict[str, list] = {
+    values: dict[str, list] = {
         f"chunk/{name}/format-{form}": [block_key("job-5", 3), encode_block(value, form)]
         for form in (1, 2, 3)
         for name, value in (("full", block), ("small", small), ("done", done))
@@ -252,23 +252,26 @@
     for state in ("queued", "running", "done", "cancelled"):
         for name, job in (("full", FULL), ("plain", PLAIN)):
             value = encode_job(state, job.team, job, 12_000, job.tasks)
-            made[f"job/{name}/{state}"] = [job_key("job-5"), value]
-        made[f"job/bare/{state}"] = [job_key("job-6"), encode_job(state, "red", None, 1, 100_000)]
+            values[f"job/{name}/{state}"] = [job_key("job-5"), value]
+        values[f"job/bare/{state}"] = [
+            job_key("job-6"),
+            encode_job(state, "red", None, 1, 100_000),
+        ]
     rows = [
         BatchRow(job_id, tasks, encode_block(value, 3)).to_value()
         for job_id, tasks, value in (("job-5", 10, block), ("job-6", 1, small), ("job-9", 2, done))
     ]
-    made["page/rows"] = [batch_key("red/4"), rows]
-    made["page/empty"] = [batch_key("red/5"), []]
-    made["role/team"] = [role_key("red"), ["h1", 41]]
-    made["role/fleet"] = [role_key("#fleet"), ["h2", 42]]
-    made["node"] = [controller_key("h1"), 41]
-    made["gone"] = [termination_key("n-000231"), True]
-    made["term"] = [TERM_KEY, 42]
-    made["types"] = [TYPES_KEY, msgspec.to_builtins([TYPE, *parse_catalogue(CATALOGUE)])]
-    made["version"] = [version_key("h1"), 3]
-    made["format"] = [FORMAT_KEY, [3, 64]]
-    return made
+    values["page/rows"] = [batch_key("red/4"), rows]
+    values["page/empty"] = [batch_key("red/5"), []]
+    values["role/team"] = [role_key("red"), ["h1", 41]]
+    values["role/fleet"] = [role_key("#fleet"), ["h2", 42]]
+    values["node"] = [controller_key("h1"), 41]
+    values["gone"] = [termination_key("n-000231"), True]
+    values["term"] = [TERM_KEY, 42]
+    values["types"] = [TYPES_KEY, msgspec.to_builtins([TYPE, *parse_catalogue(CATALOGUE)])]
+    values["version"] = [version_key("h1"), 3]
+    values["format"] = [FORMAT_KEY, [3, 64]]
+    return values
 
 
 def schedule_records() -> dict[str, list]:
@@ -325,7 +328,7 @@
     replica.namespaces[records.KIND] = store
     replica.apply(key, value, STAMP)
     blocks = [
-        [job_id, number, *plain_chunk(block)]
+        [job_id, number, *plain_block(block)]
         for job_id, found in replica.job_records.orphan_blocks.items()
         for number, block in found.items()
     ]
@@ -375,7 +378,7 @@
     )
 
 
-def plain_chunk(block: TaskBlock) -> list:
+def plain_block(block: TaskBlock) -> list:
     """Return all that a chunk holds."""
     return [
         block.mod_revision,
@@ -390,7 +393,7 @@
 # --- whole runs -------------------------------------------------------------------------------
 
 
-def told(effect: Effect, numbered: bool = True) -> list:
+def outgoing_form(effect: Effect, numbered: bool = True) -> list:
     """Return an effect as what leaves the process, without numbers that stay inside.
 
     Without `numbered`, offers' numbers are left out as well.
@@ -467,22 +470,22 @@
         core, incarnation = self.cores[label], self.incarnations[label]
         if core is None:
             return
-        rows = [(told(effect, False), effect) for effect in core.step(self.now, commands)]
+        rows = [(outgoing_form(effect, False), effect) for effect in core.step(self.now, commands)]
         for row, effect in sorted(rows, key=lambda one: encode(one[0])):
-            self.note(label, row)
+            self.add_to_digest(label, row)
             self.carry_out(label, incarnation, effect)
 
-    def note(self, label: str, row: list) -> None:
+    def add_to_digest(self, label: str, row: list) -> None:
         """Add one effect to the digest."""
         self.digest.update(encode([round(self.now, 6), label, *row]))
         self.count += 1
-        for kind in kinds(row):
+        for kind in effect_kinds(row):
             self.kinds[kind] = self.kinds.get(kind, 0) + 1
             if kind not in self.first:
                 self.first[kind] = plain(row)
 
 
-def kinds(row: list) -> list[str]:
+def effect_kinds(row: list) -> list[str]:
     """Return the kinds that an effect counts for: by message and its length, order, record."""
     if row[0] == "send":
         return [f"send {row[2][0]} of {len(row[2])}"]
@@ -498,7 +501,7 @@
     return [f"cloud {row[1]}" if row[0] == "cloud" else row[0]]
 
 
-def play(seed: int, count: int, rest_s: float) -> RecordedSimulation:
+def run_mixed_jobs(seed: int, count: int, final_s: float) -> RecordedSimulation:
     """Play jobs of all kinds, with one crash, one cancellation, one machine lost."""
     sim = RecordedSimulation(seed, count)
     sim.simulate_fetches = True
@@ -515,14 +518,14 @@
     sim.submit("job-6", spec("array", 90, "blue", gpus=0.0, cpus=0.1, memory_gb=0.1))
     sim.run(1)
     sim.kill(min(worker.name for worker, _, _ in sim.running_tasks()))
-    sim.run(rest_s)
+    sim.run(final_s)
     for job_id in list(sim.specs):
         sim.query(job_id)
     sim.run(2)
     return sim
 
 
-def play_crowded(seed: int) -> RecordedSimulation:
+def run_crowded(seed: int) -> RecordedSimulation:
     """Play three machines on which work gives way, gangs wait for openings, services move."""
     sim = RecordedSimulation(seed, 3, scheduling=SchedulingOptions(backfill=True))
     sim.capacity = 3
@@ -542,14 +545,14 @@
 
 
 RUNS: dict[str, Callable[[], RecordedSimulation]] = {
-    "three controllers": lambda: play(4, 3, 55),
-    "seven controllers": lambda: play(3, 7, 12),
-    "crowded, with openings": lambda: play_crowded(1),
-    "crowded, with moves": lambda: play_crowded(3),
+    "three controllers": lambda: run_mixed_jobs(4, 3, 55),
+    "seven controllers": lambda: run_mixed_jobs(3, 7, 12),
+    "crowded, with openings": lambda: run_crowded(1),
+    "crowded, with moves": lambda: run_crowded(3),
 }
 
 
-def played(name: str) -> dict[str, Any]:
+def summarize_run(name: str) -> dict[str, Any]:
     """Return the digest of a run, how many messages of each kind it had, the first of each."""
     sim = RUNS[name]()
     return {
@@ -564,19 +567,19 @@
 # --- requests that come in --------------------------------------------------------------------
 
 
-class Line(asyncio.Transport):
+class MemoryTransport(asyncio.Transport):
     """A connection in memory: keeps what is written, and answers it from a list."""
 
     def __init__(self, replies: list[bytes]) -> None:
         self.replies = replies
         self.sent: list[bytes] = []
-        self.end: asyncio.Protocol | None = None
+        self.protocol: asyncio.Protocol | None = None
 
     def write(self, data: Any) -> None:
         """Keep what is sent; the next reply comes a moment later."""
         self.sent.append(bytes(data))
-        if self.replies and self.end is not None:
-            asyncio.get_running_loop().call_soon(self.end.data_received, self.replies.pop(0))
+        if self.replies and self.protocol is not None:
+            asyncio.get_running_loop().call_soon(self.protocol.data_received, self.replies.pop(0))
 
     def close(self) -> None:
         """Nothing is to be closed."""
@@ -598,20 +601,20 @@
     return f"HTTP/1.1 {status} X\r\nContent-Length: {len(data)}\r\n\r\n".encode() + data
 
 
-def asked(data: bytes, internal: bool = False) -> tuple[list[Command], list[bytes]]:
+def route_request(data: bytes, internal: bool = False) -> tuple[list[Command], list[bytes]]:
     """Return the commands that a request becomes, and what is answered at once."""
     commands: list[Command] = []
-    front = RequestRouter(lambda command: commands.append(command) is None)
-    line = Line([])
-    server = ServerProtocol(front.handle_internal if internal else front.handle_public, set(), 1)
-    server.connection_made(line)
+    router = RequestRouter(lambda command: commands.append(command) is None)
+    transport = MemoryTransport([])
+    server = ServerProtocol(router.handle_internal if internal else router.handle_public, set(), 1)
+    server.connection_made(transport)
     server.data_received(data)
-    return commands, line.sent
+    return commands, transport.sent
 
 
 def read_request(data: bytes, internal: bool = False) -> Any:
     """Return a request's command, without its handle, and what is answered at once."""
-    commands, sent = asked(data, internal)
+    commands, sent = route_request(data, internal)
     rows = [command_row(command) for command in commands]
     return plain([[[tag, *fields] for tag, _, *fields in rows], sent])
 
@@ -651,11 +654,11 @@
         "health": request("GET", "/healthz"),
         "status": request("GET", "/oakmux/status"),
         "unknown": request("GET", "/x"),
-        "report": request("POST", "/agent/beat", BEAT),
+        "report": request("POST", "/agent/beat", HEARTBEAT),
         "report/no-tasks": request(
-            "POST", "/agent/beat", {**BEAT, "warning_s": None, "pieces": []}
+            "POST", "/agent/beat", {**HEARTBEAT, "warning_s": None, "pieces": []}
         ),
-        "report/bad": request("POST", "/agent/beat", {**BEAT, "tick": -1}),
+        "report/bad": request("POST", "/agent/beat", {**HEARTBEAT, "tick": -1}),
     }
     for key, value in bad.items():
         found[f"submit/bad-{key}"] = request("POST", "/api/jobs", {**SUBMISSION, key: value})
@@ -681,11 +684,11 @@
 
 def answers() -> dict[str, bytes]:
     """Return the whole response for each kind of answer."""
-    given: dict[str, tuple[int, tuple]] = {
+    answers_by_name: dict[str, tuple[int, tuple]] = {
         f"job/{state}": (200, ("job", "job-1", state, 3, 13))
         for state in ("queued", "running", "done", "cancelled")
     }
-    given |= {
+    answers_by_name |= {
         "job/accepted": (201, ("job", "job-1", "queued", 0, 0)),
         "job/waits": (200, ("job", "job-1", "queued", 0, 0, ["job-7", "job-8"])),
         "orders": (200, ("orders", 41, orders())),
@@ -698,40 +701,40 @@
         "schedules": (200, ("schedules", {"entries": [1]})),
     }
     for status in (400, 404, 421, 422, 503):
-        given[f"error/{status}"] = (status, ("error", "why"))
-    made = {}
-    for name, (status, answer) in given.items():
+        answers_by_name[f"error/{status}"] = (status, ("error", "why"))
+    values = {}
+    for name, (status, answer) in answers_by_name.items():
         commands: list[Any] = []
-        front = RequestRouter(lambda command, commands=commands: commands.append(command) is None)
-        line = Line([])
-        server = ServerProtocol(front.handle_public, set(), 1)
-        server.connection_made(line)
+        router = RequestRouter(lambda command, commands=commands: commands.append(command) is None)
+        transport = MemoryTransport([])
+        server = ServerProtocol(router.handle_public, set(), 1)
+        server.connection_made(transport)
         server.data_received(request("GET", "/healthz"))
-        front.answer(commands[0].request, status, answer)
-        made[f"answer/{name}"] = line.sent[0]
-    return made
+        router.answer(commands[0].request, status, answer)
+        values[f"answer/{name}"] = transport.sent[0]
+    return values
 
 
 # --- requests that go out, and what becomes of their answers ----------------------------------
 
 
-class Scripted(Client):
+class ScriptedClient(Client):
     """A client whose connections are answered from a list."""
 
     def __init__(self, replies: list[bytes]) -> None:
         super().__init__(1)
-        self.line = Line(replies)
+        self.transport = MemoryTransport(replies)
         self.addrs: list[str] = []
 
     async def _connect(self, addr: str, limit: int) -> ClientProtocol:
-        end = ClientProtocol(limit)
+        protocol = ClientProtocol(limit)
         self.addrs.append(addr)
-        self.line.end = end
-        end.connection_made(self.line)
-        return end
+        self.transport.protocol = protocol
+        protocol.connection_made(self.transport)
+        return protocol
 
 
-class StillLoop(asyncio.SelectorEventLoop):
+class FrozenLoop(asyncio.SelectorEventLoop):
     """An event loop whose clock stands: no timer fires."""
 
     def time(self) -> float:
@@ -739,14 +742,14 @@
         return 100.0
 
 
-Put = Callable[[Command], None]
-Call = Callable[[Client, Put], Coroutine]
+PutCommand = Callable[[Command], None]
+ClientCall = Callable[[Client, PutCommand], Coroutine]
 
 
-def on_state(make: Callable[[StoreClient], Coroutine]) -> Call:
+def store_call(make: Callable[[StoreClient], Coroutine]) -> ClientCall:
     """Return a call of the state service."""
 
-    def call(client: Client, put: Put) -> Coroutine:
+    def call(client: Client, put: PutCommand) -> Coroutine:
         state = StoreClient(settings_for("h0"), put)
         state.client = client
         return make(state)
@@ -754,10 +757,10 @@
     return call
 
 
-def on_cloud(make: Callable[[CloudClient], Coroutine]) -> Call:
+def cloud_call(make: Callable[[CloudClient], Coroutine]) -> ClientCall:
     """Return a call of the cloud."""
 
-    def call(client: Client, put: Put) -> Coroutine:
+    def call(client: Client, put: PutCommand) -> Coroutine:
         cloud = CloudClient(settings_for("h0"), put)
         cloud.client = client
         return make(cloud)
@@ -765,7 +768,7 @@
     return call
 
 
-def on_worker(client: Client, put: Put) -> Coroutine:
+def call_worker(client: Client, put: PutCommand) -> Coroutine:
     """Send one command of each kind to a worker."""
     workers = WorkerClient(put)
     workers.client = client
@@ -774,7 +777,7 @@
     )
 
 
-def on_peer(client: Client, put: Put) -> Coroutine:
+def call_peer(client: Client, put: PutCommand) -> Coroutine:
     """Send one message of each kind to a peer."""
     peer = PeerClient("h0", "h1", "10.0.0.2:81", put, lambda: 433)
     peer.client = client
@@ -802,18 +805,20 @@
 RENT = core_messages.RentInstances(5, "r-17", "g8", "a", True, 12)
 
 
-def exchanges() -> dict[str, tuple[Call, list[bytes]]]:
+def exchanges() -> dict[str, tuple[ClientCall, list[bytes]]]:
     """Return a call and the replies that it gets, by name."""
 
-    def txn(status: int, body: Any = None, writes: list | None = None) -> tuple[Call, list[bytes]]:
+    def txn(
+        status: int, body: Any = None, writes: list | None = None
+    ) -> tuple[ClientCall, list[bytes]]:
         op = core_messages.Transaction(5, GUARDS, WRITES if writes is None else writes, 1)
-        return on_state(lambda state: state._carry_out(op)), [reply(status, body)]
+        return store_call(lambda state: state._carry_out(op)), [reply(status, body)]
 
-    def state(op: core_messages.StoreOperation) -> Call:
-        return on_state(lambda state: state._carry_out(op))
+    def state(op: core_messages.StoreOperation) -> ClientCall:
+        return store_call(lambda state: state._carry_out(op))
 
-    def cloud(op: core_messages.CloudOperation) -> Call:
-        return on_cloud(lambda cloud: cloud.carry_out(op))
+    def cloud(op: core_messages.CloudOperation) -> ClientCall:
+        return cloud_call(lambda cloud: cloud.carry_out(op))
 
     list_more = {**ROWS, "has_next": True}
     hosts_more = {**HOSTS, "has_next": True}
@@ -840,15 +845,15 @@
         "state/renew/200": (state(core_messages.RenewLease(5, 7)), [reply(200, {})]),
         "state/renew/404": (state(core_messages.RenewLease(5, 7)), [reply(404)]),
         "state/list": (
-            on_state(lambda state: state._load()),
+            store_call(lambda state: state._load()),
             [reply(200, list_more), reply(200, {**ROWS, "epoch": 435})],
         ),
         "state/watch": (
-            on_state(lambda state: state.load_and_watch()),
+            store_call(lambda state: state.load_and_watch()),
             [reply(200, ROWS), reply(410), reply(200, ROWS), reply(200, EVENTS)],
         ),
         "cloud/catalogue": (
-            on_cloud(lambda cloud: cloud.poll_catalogue()),
+            cloud_call(lambda cloud: cloud.poll_catalogue()),
             [reply(200, CATALOGUE)],
         ),
         "cloud/list": (
@@ -865,42 +870,42 @@
         "cloud/rent/503": (cloud(RENT), [reply(503, {"error": "trouble"})]),
         "cloud/rent/400": (cloud(RENT), [reply(400)]),
         "cloud/return": (cloud(core_messages.ReturnInstances(5, ["n-1", "n-2"])), [reply(200)]),
-        "worker/200": (on_worker, [reply(200, BEAT)]),
-        "worker/409": (on_worker, [reply(409, BEAT)]),
-        "worker/400": (on_worker, [reply(400)]),
-        "peer/answer": (on_peer, [reply(200, [*old, 433])]),
-        "peer/old-answer": (on_peer, [reply(200, old)]),
+        "worker/200": (call_worker, [reply(200, HEARTBEAT)]),
+        "worker/409": (call_worker, [reply(409, HEARTBEAT)]),
+        "worker/400": (call_worker, [reply(400)]),
+        "peer/answer": (call_peer, [reply(200, [*old, 433])]),
+        "peer/old-answer": (call_peer, [reply(200, old)]),
     }
 
 
 def read_exchange(name: str, data: bytes) -> Any:
     """Make a call with these replies; return where to, what was sent and what became of it."""
     call, _ = exchanges()[name]
-    client = Scripted(list(decode(data)))
+    client = ScriptedClient(list(decode(data)))
     commands: list[Command] = []
 
     async def run() -> None:
-        over = asyncio.Event()
+        endless = asyncio.Event()
 
         def put(command: Command) -> None:
             commands.append(command)
             if isinstance(
                 command, core_messages.ApplyWatchEvents | core_messages.UpdateMachineTypes
             ):
-                over.set()  # these go on for ever
+                endless.set()  # these go on for ever
 
-        work = asyncio.ensure_future(call(client, put))
-        ended = asyncio.ensure_future(over.wait())
-        await asyncio.wait([work, ended], return_when=asyncio.FIRST_COMPLETED)
-        for task in (work, ended):
+        call_task = asyncio.ensure_future(call(client, put))
+        endless_task = asyncio.ensure_future(endless.wait())
+        await asyncio.wait([call_task, endless_task], return_when=asyncio.FIRST_COMPLETED)
+        for task in (call_task, endless_task):
             task.cancel()
-        await asyncio.gather(work, ended, return_exceptions=True)
+        await asyncio.gather(call_task, endless_task, return_exceptions=True)
 
-    with asyncio.Runner(loop_factory=StillLoop) as runner:
+    with asyncio.Runner(loop_factory=FrozenLoop) as runner:
         runner.run(run())
-    sent = [data.decode("latin-1") for data in client.line.sent]
+    sent = [data.decode("latin-1") for data in client.transport.sent]
     rows = [command_row(command) for command in commands]
-    return plain([client.addrs, sent, rows, len(client.line.replies)])
+    return plain([client.addrs, sent, rows, len(client.transport.replies)])
 
 
 # --- messages between controllers -------------------------------------------------------------
@@ -931,7 +936,7 @@
     ]
 
 
-def plain_core(core: Any) -> list:
+def controller_state(core: Any) -> list:
     """Return what messages change in a controller."""
     context = core.context
     machines = [
@@ -950,7 +955,7 @@
         + [m.manager, m.manager_term, m.last_heartbeat_at, m.images]
         for m in context.machines.values()
     ]
-    kept = [
+    tracked = [
         [name, [[r.job_id, r.count] for r in one.queue.values()], one.offers, one.stops]
         for name, one in core.agents.workers.tracked.items()
     ]
@@ -963,7 +968,7 @@
             context.draining,
             context.terminated,
             context.backfill.by_job,
-            kept,
+            tracked,
             sorted(offers),
         ]
     )
@@ -990,17 +995,17 @@
         ]
     core = sim.cores[label]
     assert core is not None
-    seen = []
-    before = plain_core(core)
-    for firing, body in enumerate(decode(data)):
-        now = sim.now + firing * 0.05
-        commands, sent = asked(request_bytes("POST", "/peer", body), internal=True)
-        effects = [told(effect) for effect in core.step(now, commands)]
-        after = plain_core(core)
-        changes = [new for old, new in zip(before, after, strict=True) if old != new]
-        seen.append([effects, changes, sent])
-        before = after
-    return plain([label, seen])
+    results = []
+    previous = controller_state(core)
+    for index, body in enumerate(decode(data)):
+        now = sim.now + index * 0.05
+        commands, sent = route_request(request_bytes("POST", "/peer", body), internal=True)
+        effects = [outgoing_form(effect) for effect in core.step(now, commands)]
+        current = controller_state(core)
+        changes = [new for old, new in zip(previous, current, strict=True) if old != new]
+        results.append([effects, changes, sent])
+        previous = current
+    return plain([label, results])
 
 
 def request_bytes(method: str, path: str, data: bytes) -> bytes:
@@ -1015,25 +1020,27 @@
     return {"messages/keeper": bodies + more, "messages/owner": bodies}
 
 
-def lending() -> dict[str, Any]:
+def quota_messages() -> dict[str, Any]:
     """Return what is sent when changes at the state service are borrowed, lent and credited."""
     conf = settings_for("h0")
     core = Controller(conf, random.Random(1), 0)
-    borrowed = [told(effect) for effect in core.step(0.0, [core_messages.BorrowQuota(3.5)])]
+    borrowed = [
+        outgoing_form(effect) for effect in core.step(0.0, [core_messages.BorrowQuota(3.5)])
+    ]
 
     async def lend() -> list:
         service = Service(conf)
-        before = service.store.write_tokens.level
+        previous = service.store.write_tokens.level
         service.carry_out(core_messages.LendQuota("h1", 3.5))
-        lent = before - service.store.write_tokens.level
+        lent = previous - service.store.write_tokens.level
         service.carry_out(core_messages.CreditQuota(0.75))
         return [
             [encode_message(one) for one in service.peers["h1"].outbox],
             lent,
-            before - service.store.write_tokens.level,
+            previous - service.store.write_tokens.level,
         ]
 
-    with asyncio.Runner(loop_factory=StillLoop) as runner:
+    with asyncio.Runner(loop_factory=FrozenLoop) as runner:
         return {"lending/borrow": borrowed, "lending/lend": runner.run(lend())}
 
 
@@ -1102,14 +1109,14 @@
 
 def settings_files() -> dict[str, str]:
     """Return settings files, good and bad, by name."""
-    least = "\n".join(
+    minimal = "\n".join(
         row
         for row in SETTINGS.replace("[facts.state.next]\n", "[more]\n").splitlines()
         if not row.startswith(("area", "size", "skew_ms", "cores", "ram_mb", "fd_limit"))
     )
     return {
         "settings/full": SETTINGS,
-        "settings/least": least.replace("[facts.resources]", ""),
+        "settings/least": minimal.replace("[facts.resources]", ""),
         "settings/bad-addr": SETTINGS.replace("10.2.0.1:2379", "x"),
         "settings/bad-limit": SETTINGS.replace("txn_ops = 24", "txn_ops = 1"),
         "settings/missing": SETTINGS.replace("lease_s = 10.0\n", ""),
@@ -1138,32 +1145,32 @@
 # --- the command line's words -----------------------------------------------------------------
 
 
-def words() -> dict[str, Any]:
+def cli_jobs() -> dict[str, Any]:
     """Return jobs in the command line's words, as submissions and back."""
-    made: dict[str, Any] = {}
+    values: dict[str, Any] = {}
     for name, job in (("full", FULL), ("plain", PLAIN)):
-        said = job_description(job)
-        made[f"words/{name}"] = said
-        made[f"words/{name}/submission"] = submission_body({"id": "job-1", **said})
+        description = job_description(job)
+        values[f"words/{name}"] = description
+        values[f"words/{name}/submission"] = submission_body({"id": "job-1", **description})
     for state in ("queued", "running", "done", "aborted", "x"):
         body = {"id": "job-1", "status": state, "done": 3, "running": 4, "waits_on": ["job-2"]}
-        made[f"words/state/{state}"] = [*parse_job_summary(body)]
-    made["words/state/none"] = [*parse_job_summary(None)]
-    return made
+        values[f"words/state/{state}"] = [*parse_job_summary(body)]
+    values["words/state/none"] = [*parse_job_summary(None)]
+    return values
 
 
 # --- all of it --------------------------------------------------------------------------------
 
 
-def written() -> dict[str, bytes]:
+def outputs() -> dict[str, bytes]:
     """Return what the present code writes: records, responses, words."""
-    values = {**stored(), **schedule_records(), **words(), **lending()}
+    values = {**stored_records(), **schedule_records(), **cli_jobs(), **quota_messages()}
     return {name: encode(value) for name, value in values.items()} | answers()
 
 
 def inputs() -> dict[str, bytes]:
     """Return what others, or earlier processes of ours, hand to the present code."""
-    rows = {**stored(), **schedule_records()}
+    rows = {**stored_records(), **schedule_records()}
     del rows["schedule/ids"]
     return (
         {f"record/{name}": encode(row) for name, row in rows.items()}
@@ -1176,13 +1183,13 @@
 
 def read(name: str, data: bytes) -> Any:
     """Return what the present code makes of an input."""
-    kind, _, rest = name.partition("/")
+    kind, _, case = name.partition("/")
     if kind == "record":
         return read_record(data)
     if kind == "request":
         return read_request(data)
     if kind == "exchange":
-        return read_exchange(rest, data)
+        return read_exchange(case, data)
     if kind == "messages":
-        return read_messages(data, rest == "owner")
+        return read_messages(data, case == "owner")
     return read_settings(name, data)
--- a/tests/test_recorded_bytes.py
+++ b/tests/test_recorded_bytes.py
@@ -32,11 +32,11 @@
     return json.loads(json.dumps(value))
 
 
-def shown(data: bytes) -> Any:
+def readable_form(data: bytes) -> Any:
     """Return bytes in a form for people: decoded CBOR, or text."""
     if data.startswith((b"HTTP/", b"POST ", b"GET ")):
         head, _, body = data.partition(b"\r\n\r\n")
-        return [head.decode().split("\r\n"), shown(body) if body else None]
+        return [head.decode().split("\r\n"), readable_form(body) if body else None]
     try:
         return jsonable(cbor2.loads(data))
     except Exception:  # not CBOR, or CBOR that JSON can't hold
@@ -47,52 +47,52 @@
     """Return the present version's recording."""
     return {
         "written": {
-            name: {"hex": data.hex(), "shown": shown(data)}
-            for name, data in recorded.written().items()
+            name: {"hex": data.hex(), "shown": readable_form(data)}
+            for name, data in recorded.outputs().items()
         },
         "read": {
             name: {
                 "hex": data.hex(),
-                "shown": shown(data),
+                "shown": readable_form(data),
                 "gives": recorded.read(name, data),
             }
             for name, data in recorded.inputs().items()
         },
-        "runs": {name: recorded.played(name) for name in recorded.RUNS},
+        "runs": {name: recorded.summarize_run(name) for name in recorded.RUNS},
     }
 
 
 @pytest.fixture(scope="module")
-def present() -> dict[str, bytes]:
+def current_outputs() -> dict[str, bytes]:
     """Return what the present version writes."""
-    return recorded.written()
+    return recorded.outputs()
 
 
-def test_all_cases_are_recorded_and_no_other(present):
-    assert set(present) == set(RECORDED["written"])
+def test_the_recorded_cases_are_exactly_the_known_cases(current_outputs):
+    assert set(current_outputs) == set(RECORDED["written"])
     assert set(recorded.inputs()) == set(RECORDED["read"])
     assert set(recorded.RUNS) == set(RECORDED["runs"])
 
 
 @pytest.mark.parametrize("name", RECORDED.get("written", ()))
-def test_what_is_written_is_the_same_byte_for_byte(name, present):
+def test_written_bytes_are_unchanged(name, current_outputs):
     row = RECORDED["written"][name]
-    assert shown(present[name]) == row["shown"]
-    assert present[name].hex() == row["hex"]
+    assert readable_form(current_outputs[name]) == row["shown"]
+    assert current_outputs[name].hex() == row["hex"]
 
 
 @pytest.mark.parametrize("name", RECORDED.get("read", ()))
-def test_what_was_recorded_is_read_as_before(name):
+def test_recorded_input_is_read_with_the_same_result(name):
     row = RECORDED["read"][name]
     assert jsonable(recorded.read(name, bytes.fromhex(row["hex"]))) == row["gives"]
 
 
 @pytest.mark.parametrize("name", RECORDED.get("runs", ()))
-def test_a_whole_run_is_the_same(name):
-    now, then = jsonable(recorded.played(name)), RECORDED["runs"][name]
-    for part in ("told", "kinds", "first"):
-        assert now[part] == then[part]
-    assert now == then
+def test_a_simulated_run_is_unchanged(name):
+    current, expected = jsonable(recorded.summarize_run(name)), RECORDED["runs"][name]
+    for field in ("told", "kinds", "first"):
+        assert current[field] == expected[field]
+    assert current == expected
 
 
 if __name__ == "__main__":
