--- a/tests/fakes/__init__.py
+++ b/tests/fakes/__init__.py
@@ -1,6 +1,6 @@
-"""In-memory fakes of store, cloud, workers and users, and a network that fails.
+"""In-memory fakes of the store, the cloud, workers and users, and a network with faults.
 
-Time is simulated and chance comes from one seed, so that every test repeats.
+Time is simulated and all randomness comes from one seed, so that every test is repeatable.
 """
 
 from tests.fakes.deployment import (
--- a/tests/fakes/checks.py
+++ b/tests/fakes/checks.py
@@ -1,4 +1,4 @@
-"""The rules of the protocol, checked whenever something happens."""
+"""Checks of the protocol rules, run at every event of a simulation."""
 
 from oakmux.core.controller import Controller
 from oakmux.settings import Team
@@ -8,22 +8,24 @@
 
 
 class ProtocolChecks(TaskRuntime):
-    """What users were told and what was started, compared with the rules at once."""
+    """Checks each answer to a user and each task start against the rules as it happens."""
 
     def __init__(self, seed: int, labels: list[str], teams: tuple[Team, ...]) -> None:
         super().__init__(seed, labels)
         self.teams = {team.name: team for team in teams}
         self.cores: dict[str, Controller | None] = {}
         self.refusals: dict[str, int] = {}
+        # The state last reported to a user: "accepted", "done" or "cancelled".
         self.reported_state: dict[str, str] = {}
         self.answered_at: dict[str, float] = {}
         self.cancelled_at: dict[str, float] = {}
         self.cancel_requested: set[str] = set()
         self.starts = 0
         self.start_log: list[tuple[float, str, int, str]] = []
-        # When a start command was last issued, by task and attempt; and starts after their job's
-        # cancellation was confirmed, with the seconds from then to the command and the start.
+        # When a start command was last issued, by task and attempt.
         self.start_commanded_at: dict[tuple[str, int], float] = {}
+        # Starts after the cancellation of their job was confirmed: task, and the seconds from the
+        # confirmation to the command and to the start.
         self.late_starts: list[tuple[str, float, float]] = []
 
     def all_dependencies(self, job_id: str) -> set[str]:
@@ -40,7 +42,7 @@
     def check_answer(
         self, job_id: str, status: int, answer: tuple, previous: str | None, sent: float
     ) -> None:
-        """Check an answer against what the user had been told when the request was sent."""
+        """Check an answer against the state reported to users when the request was sent."""
         if status in (400, 404, 422):
             assert previous is None, f"forgotten: {job_id}"
             self.refusals[job_id] = status
@@ -55,7 +57,7 @@
             for index in range(self.specs[job_id].tasks):
                 assert f"{job_id}/{index}" in self.completed, f"not_done: {job_id}/{index}"
         if state in ("queued", "running"):
-            # Stricter than the rule, which allows cancel_s: no user may get an older answer.
+            # Stricter than the rule, which allows `cancel_s`: an answer may never be older.
             for name in self.all_dependencies(job_id):
                 assert sent <= self.cancelled_at.get(name, sent), f"orphaned: {job_id} by {name}"
         if state == "cancelled":
@@ -70,13 +72,13 @@
                 self.on_new_state(job_id)
 
     def on_new_state(self, job_id: str) -> None:
-        """Called when a user was told something new about a job."""
+        """Called when an answer reports a new state of a job."""
 
     def check_cancelled(self) -> None:
         """Check that tasks leave their machines within `cancel_s` of the confirmed cancellation.
 
-        R ran_cancelled. Runs twice a second and when a hung machine resumes. A machine that hangs
-        beyond its lease can't resume its tasks.
+        This is rule `ran_cancelled`. The check runs twice a second and when a hung machine
+        resumes. A machine that hangs beyond its lease can't resume its tasks.
         """
         if not self.cancelled_at:
             return
@@ -93,7 +95,7 @@
                 ), f"ran_cancelled: {task}"
 
     def check_start_commands(self, label: str, orders: list[dict]) -> None:
-        """Check that no controller issues a start of a job that it knows to be cancelled."""
+        """Check that no controller issues a start of a job that it has recorded as cancelled."""
         core = self.cores[label]
         for order in orders:
             if order["verb"] == "launch":
@@ -104,8 +106,11 @@
                 )
 
     def placed_tasks(self) -> list[tuple[FakeWorker, str, int]]:
-        """Return the tasks that are placed on a machine by the rules: also while they wait for
-        their gang, save a checkpoint, hang or can't be reached."""
+        """Return the tasks that count as placed on a machine.
+
+        These include tasks that wait for their gang or save a checkpoint, and tasks of machines
+        that hang or are unreachable.
+        """
         found = []
         for worker in self.workers.values():
             if not worker.dead:
@@ -153,7 +158,7 @@
         self.start_log.append((self.now, task, attempt, worker.name))
 
     def check_place(self, worker: FakeWorker, task: str) -> None:
-        """Check the placement rules, when a task is started and when it has its image."""
+        """Check the placement rules, at the start of a task and when its image is fetched."""
         job_id = task.partition("/")[0]
         job = self.specs[job_id]
         others = [row for row in self.placed_tasks() if row[:2] != (worker, task)]
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud: machines that boot, are listed two seconds late, and are given back."""
+"""A fake cloud whose machines boot, are listed two seconds late, and can be returned."""
 
 from collections.abc import Callable
 from typing import Any
@@ -10,7 +10,7 @@
 
 
 class FakeCloud(FakeNetwork):
-    """Rents machines up to its capacity; the same request always gives the same machines."""
+    """Rents machines up to its capacity; a repeated request returns the same machines."""
 
     def __init__(self, seed: int, labels: list[str]) -> None:
         super().__init__(seed, labels)
@@ -22,7 +22,7 @@
         self.boot_s: Callable[[], float | None] = lambda: self.rng.uniform(1.0, 4.0)
 
     def record_machines(self) -> None:
-        """Record the current list; the cloud answers with the list of two seconds ago."""
+        """Record the current machine list; answers show the list of two seconds ago."""
         rows = [
             ListedInstance(
                 w.name, w.name, "big", w.zone, w.spot, "running" if w.up else "booting", 1.0
--- a/tests/fakes/consistency.py
+++ b/tests/fakes/consistency.py
@@ -1,4 +1,4 @@
-"""Compare what a controller keeps up to date with a full count."""
+"""Compare a controller's incremental counts and machine index with full recomputations."""
 
 import pytest
 from msgspec.structs import astuple
@@ -9,7 +9,7 @@
 
 
 def check_counts(core: Controller) -> None:
-    """Compare what a controller keeps up to date with a full count."""
+    """Compare the incremental counts of a controller with a full count."""
     context, replica = core.context, core.context.replica
     for name, free in replica.changes.free_resources.items():
         counted = count_free_resources(context, context.machines[name])
@@ -37,7 +37,7 @@
 
 
 def check_machine_index(core: Controller) -> None:
-    """Compare where the index has each machine with what an index made anew says."""
+    """Compare the machine index with one that is rebuilt from scratch."""
     context, index = core.context, core.scheduler.index
     index.refresh()
     rebuilt_index = MachineIndex(context)
@@ -58,7 +58,7 @@
         "preemptible_by_team",
     ):
         maintained, rebuilt = (named(i, getattr(i, attr)) for i in (index, rebuilt_index))
-        if attr != "image_holders":  # one that fell silent leaves when it is drawn
+        if attr != "image_holders":  # an unschedulable machine leaves the index when it is drawn
             maintained = {
                 key: names - unschedulable
                 for key, names in maintained.items()
--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -1,6 +1,6 @@
-"""The small deployment that tests run: its limits, settings and jobs.
+"""Limits, settings and jobs of the small deployment that tests run.
 
-Tests may patch the constants here; the fakes read them through this module.
+Tests may patch these constants; the fakes read them through this module.
 """
 
 from typing import Any
@@ -21,10 +21,10 @@
 ZONES = ["a", "b", "c"]
 TYPE = MachineType("big", 8.0, 4.0, 64.0, 100.0, 1.0, 10.0, 3.0, 3.0, ZONES)
 LEASE_S, REPORT_S, CANCEL_S, GANG_WAIT_S = 6.0, 1.0, 20.0, 8.0
-ANSWER_S = 4.0  # a worker drops answers that come later
+ANSWER_S = 4.0  # a worker drops answers that take longer
 TEAMS = (Team("red", gpus=4, gpus_max=8), Team("blue", gpus=4, gpus_max=10))
-# States in which a task is on its machine (PROTOCOL, "How aims are counted"): from when it has its
-# image until it exits.
+# States in which a task counts as placed on its machine: from the end of the image fetch until it
+# exits.
 PLACED = ("waiting", "running", "saving")
 
 
--- a/tests/fakes/network.py
+++ b/tests/fakes/network.py
@@ -1,4 +1,4 @@
-"""Simulated time and a network that delays, repeats, loses and holds back messages."""
+"""Simulated time and a network that delays, duplicates and loses messages."""
 
 import heapq
 import random
@@ -7,7 +7,10 @@
 
 
 class FakeNetwork:
-    """The event queue, and the links between controllers, workers, store and cloud."""
+    """The event queue and the links between controllers, workers, store and cloud.
+
+    Names of links are names of hosts; "state" is the store.
+    """
 
     def __init__(self, seed: int, labels: list[str]) -> None:
         self.rng = random.Random(seed)
@@ -16,9 +19,11 @@
         self.heap: list[tuple[float, int, Callable[[], None]]] = []
         self.serial = 0
         self.cuts: set[frozenset[str]] = set()
-        self.one_way: set[tuple[str, str]] = set()  # (from, to): messages are delayed
+        self.one_way: set[tuple[str, str]] = (
+            set()
+        )  # (from, to): messages are delayed in this direction
         self.loss_rate = self.duplicate_rate = self.slow_rate = 0.0
-        self.store_delay_s = 0.0  # maximum delay of messages of the store, in seconds
+        self.store_delay_s = 0.0  # maximum delay of messages from and to the store
         self.muted: set[str] = set()  # machines that reach no controller but receive commands
 
     def after(self, seconds: float, run: Callable[[], None]) -> None:
@@ -39,7 +44,7 @@
         return frozenset((a, b)) in self.cuts or (a, b) in self.one_way
 
     def deliver(self, a: str, b: str, run: Callable[[], None]) -> None:
-        """Deliver a message: soon, much later (partition, slow link), twice or never."""
+        """Deliver a message: soon, late (partition, slow link), twice or never."""
         if self.is_cut(a, b):
             self.after(self.rng.uniform(1.0, 40.0), run)
         elif self.store_delay_s and "state" in (a, b):
@@ -86,12 +91,12 @@
         self.deliver(a, b, at_server)
 
     def mute(self, names: list[str], seconds: float) -> None:
-        """Block messages from machines to controllers, but not commands sent to them."""
+        """Block messages from machines to controllers, but not commands to the machines."""
         self.muted.update(names)
         self.after(seconds, lambda: self.muted.difference_update(names))
 
     def drop_inbound(self, names: list[str], seconds: float) -> None:
-        """Delay answers and commands to machines, while their heartbeats arrive."""
+        """Delay answers and commands to machines; their heartbeats still arrive."""
         pairs = {(label, name) for label in self.labels for name in names}
         self.one_way |= pairs
         self.after(seconds, lambda: self.one_way.difference_update(pairs))
--- a/tests/fakes/objectives.py
+++ b/tests/fakes/objectives.py
@@ -1,4 +1,4 @@
-"""What users may expect once faults are over: jobs start, finish and are answered."""
+"""Checks of what users can expect after faults end: jobs start, finish and are answered."""
 
 from oakmux.core.model import JobSpec
 from tests.fakes import deployment
@@ -32,10 +32,10 @@
 
 
 class Objectives(FakeUsers):
-    """Judges a whole run by what users saw."""
+    """Evaluates a whole run by the answers that users got."""
 
     def startable_jobs(self, seconds: float = 90.0) -> set[str]:
-        """Return the jobs that could have started throughout; called once all faults are over."""
+        """Return the jobs that could have started at all times of the period; no fault is active."""
         found = set(self.specs)
         end = self.now + seconds
         while self.now < end and found:
@@ -84,7 +84,7 @@
         return self.specs[task.partition("/")[0]]
 
     def is_within_quota(self, job: JobSpec, count: int, unfinished: list[PlacedTask]) -> bool:
-        """Whether so many more tasks of a job stay within its team's quota."""
+        """Whether `count` more tasks of a job stay within its team's quota."""
         team = self.teams[job.team]
         specs = [self.spec_of(task) for _, task in unfinished]
         cpus = count * job.cpus + sum(s.cpus for s in specs if s.team == job.team)
@@ -108,8 +108,7 @@
         return max(by_zone.values(), default=0) if job.one_zone else sum(by_zone.values())
 
     def unanswered_jobs(self, seconds: float = 90.0) -> set[str]:
-        """Ask for every job ever accepted, and return those about which no question was answered
-        for 75 s."""
+        """Query every accepted job repeatedly; return those without any answer for 75 s."""
         found: set[str] = set()
         query_start, end = self.now, self.now + seconds
         while self.now < end:
@@ -124,7 +123,7 @@
         return found
 
     def begun_at(self, job_id: str) -> float | None:
-        """Return when a job began: an array with one task, else with all, one after the other."""
+        """Return when a job began: an array with its first task, any other job with its last."""
         first: dict[str, float] = {}
         for at, task, _, _ in self.start_log:
             if task.startswith(job_id + "/"):
@@ -135,8 +134,11 @@
         return min(first.values()) if job.kind == "array" else max(first.values())
 
     def underserved(self, begin_s: float = 240.0) -> list[str]:
-        """Return which classes, teams and classes' largest jobs had less than half served, and
-        which of the largest did not begin in time. Served is what began in time."""
+        """Return the groups of jobs that were served too little within `begin_s`.
+
+        A job is served if it began in time. Classes, teams and the largest jobs of each class
+        need half of their jobs served; all of the largest jobs must begin in time.
+        """
         groups: dict[str, list[str]] = {}
         jobs = {
             j: s
@@ -165,7 +167,7 @@
         return violations
 
     def unfinished_jobs(self, seconds: float) -> set[str]:
-        """Cancel services, go on, ask for every job; return those not told done or cancelled."""
+        """Cancel services, run, query all jobs; return those not reported done or cancelled."""
         for job_id, job in self.specs.items():
             if job.kind == "service":
                 self.cancel(job_id)
--- a/tests/fakes/simulation.py
+++ b/tests/fakes/simulation.py
@@ -1,6 +1,6 @@
-"""Controllers with fakes around them, driven step by step in simulated time.
+"""Controllers and fakes, driven step by step in simulated time.
 
-Chance comes from one seed, so that every run repeats.
+All randomness comes from one seed, so that every run is repeatable.
 """
 
 import random
@@ -24,8 +24,10 @@
 
 
 def behave_as_first_version(core: Controller) -> None:
-    """Let a controller behave as the first version does where records are concerned: it neither
-    says what it can read nor takes note of the format."""
+    """Make a controller handle records as the first version does.
+
+    It neither records the formats that it can read nor follows the record format of the cluster.
+    """
     core.leadership.format.tick = lambda: None  # type: ignore[method-assign]
     core.scheduler.buffer.strictest_value_bytes = value_limit(core.context.facts.store)
     replica, apply = core.context.replica, core.context.replica.apply
@@ -38,7 +40,7 @@
 
 
 class Simulation(Objectives):
-    """Controllers, fakes and the rules, checked whenever something happens."""
+    """Controllers with all fakes; the protocol rules are checked at every event."""
 
     def __init__(
         self,
@@ -57,22 +59,22 @@
         self.scheduling = scheduling or SchedulingOptions()
         self.upcoming_limits = upcoming_limits
         self.first_version = set(first_version)
-        # The latest format that a controller of an earlier version knows, by its label.
+        # By label of a controller of an earlier version: the latest format that it can read.
         self.known_formats: dict[str, int] = {}
         if known_format is not None:
             self.known_formats = {f"h{i}": known_format for i in range(count)}
         self.incarnations: dict[str, int] = dict.fromkeys(labels, 0)
         self.frozen: dict[str, list[tuple]] = {}
-        self.stalled_watches: set[str] = set()  # controllers whose watch brings nothing for now
-        self.late_copy_share = 0.0  # share of reports of which a copy comes much later
-        # share of reports of which a copy comes to whoever next wins a role
+        self.stalled_watches: set[str] = set()  # controllers whose watch delivers no events
+        self.late_copy_share = 0.0  # share of heartbeats of which a copy arrives much later
+        # Share of heartbeats of which a copy is delivered to the next controller that wins a role.
         self.stale_heartbeat_share = 0.0
         self.stale_heartbeats: list[Heartbeat] = []
         # Shares of transactions that get no answer: carried out 2 to 12 s later, or at once.
         self.late_write_share = 0.0
         self.lost_answer_share = 0.0
         self.verify_counts = False
-        # By sender, its incarnation and peer: the incarnation in the peer's last answer.
+        # By sender, its incarnation and the peer: the incarnation in the peer's last answer.
         self.peer_incarnations: dict[tuple[str, int, str], int] = {}
         self.store = FakeStore(self)
         self.boot_all()
@@ -112,7 +114,7 @@
             self.after(restart_s, lambda: self.boot(label) if self.cores[label] is None else None)
 
     def freeze(self, label: str, seconds: float) -> None:
-        """Let a controller stand still while its clock runs on; what comes waits for it."""
+        """Freeze a controller while time passes; commands to it are queued until it resumes."""
         self.frozen[label] = []
         self.after(seconds, lambda: self.step(label, self.frozen.pop(label)))
 
@@ -122,11 +124,11 @@
             self.after(constants.TICK_S, lambda: self.tick(label, incarnation))
 
     def clock_commands(self, label: str) -> list[messages.Command]:
-        """Return what a controller hears of the time of day at a tick."""
+        """Return the commands with the time of day that a controller receives at a tick."""
         return []
 
     def poll_watch(self, label: str, incarnation: int, since: int | None) -> None:
-        """Stand in for the watch: news every 20 ms while the state service can be reached."""
+        """Simulate the watch: deliver events every 20 ms while the store is reachable."""
         if self.incarnations[label] != incarnation:
             return
         store, sent_at = self.store, self.now
@@ -205,7 +207,7 @@
     def send_to_store(
         self, label: str, effect: messages.StoreOperation, complete: Callable[[tuple], None]
     ) -> None:
-        """Carry an operation to the state service; some are carried out late and unanswered."""
+        """Send an operation to the store; some transactions run late and get no answer."""
 
         def serve() -> tuple[int, Any]:
             return self.store.serve(label, effect)
@@ -264,7 +266,7 @@
         self.call(label, peer, serve, complete, None, 2.0)
 
     def on_write(self, key: str, value: Any) -> None:
-        """The state service wrote a key: of a role, its holder gets the reports kept for it."""
+        """Called when the store writes a key; a new role holder gets the stale heartbeats."""
         if key.startswith("ox/own/"):
             heartbeats, self.stale_heartbeats = self.stale_heartbeats, []
             for heartbeat in heartbeats:
@@ -276,7 +278,7 @@
                 )
 
     def tick_environment(self) -> None:
-        """Let the cloud's list go on, twice a second, and look for cancelled tasks."""
+        """Record the cloud's machine list and check cancelled tasks, twice a second."""
         self.record_machines()
         self.check_cancelled()
         self.after(0.5, self.tick_environment)
--- a/tests/fakes/store.py
+++ b/tests/fakes/store.py
@@ -1,4 +1,4 @@
-"""An in-memory store: transactions with conditions, leases and a log of changes."""
+"""A fake state service: conditional transactions, leases and a log of changes."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -10,20 +10,21 @@
 
 
 class FakeStore:
-    """The key-value store: transactions, leases and a log of changes."""
+    """An in-memory key-value store."""
 
     def __init__(self, sim: "Simulation") -> None:
         self.sim = sim
         self.revision = 0
+        # Value, revision of the last change and lease, by key.
         self.rows: dict[str, tuple[Any, int, int | None]] = {}
         self.log: list[tuple[str, Any, int]] = []
-        self.leases: dict[int, list[float]] = {}
+        self.leases: dict[int, list[float]] = {}  # [end, duration in s]
         self.next_lease = 0
         self.down = False
         self.down_until = 0.0
-        self.refused: set[str] = set()
+        self.refused: set[str] = set()  # controllers whose requests get 503
         self.value_kb, self.txn_ops = 8.0, 12
-        self.too_large = 0
+        self.too_large = 0  # transactions rejected for their size
 
     def put(self, key: str, value: Any, lease: int | None) -> None:
         self.sim.on_write(key, value)
@@ -102,7 +103,7 @@
 
         def back() -> None:
             if self.sim.now < self.down_until:
-                return  # another outage began meanwhile
+                return  # a longer outage is in progress
             self.down = False
             for lease in self.leases.values():
                 lease[0] = self.sim.now + lease[1]
--- a/tests/fakes/tasks.py
+++ b/tests/fakes/tasks.py
@@ -1,25 +1,28 @@
-"""How tasks run on the machines: a gang starts and completes together."""
+"""Execution of tasks on the machines; a gang starts and completes together."""
 
 from oakmux.core.model import JobSpec
 from tests.fakes.cloud import FakeCloud
 
 
 class TaskRuntime(FakeCloud):
-    """The course of tasks across machines."""
+    """The state changes of tasks across machines."""
 
     def __init__(self, seed: int, labels: list[str]) -> None:
         super().__init__(seed, labels)
         self.specs: dict[str, JobSpec] = {}
         self.failing_jobs: set[str] = set()  # jobs that fail on every machine
         self.completed: set[str] = set()
-        self.simulate_fetches = False  # whether images take their time, 1 GB a second
+        self.simulate_fetches = False  # whether image fetches take time: 1 s per GB
 
     def run_s(self, task: str) -> float:
         job = self.specs[task.partition("/")[0]]
         return 1e9 if job.kind == "service" else job.estimate_s
 
     def start_waiting_tasks(self, key: tuple[str, int], row: list, job: JobSpec) -> None:
-        """Start a task that has its image; those of a gang together, or none after a while."""
+        """Start a task that has its image.
+
+        The tasks of a gang start together; a task whose gang stays incomplete exits as `alone`.
+        """
         rows = [
             r
             for w in self.workers.values()
--- a/tests/fakes/users.py
+++ b/tests/fakes/users.py
@@ -1,4 +1,4 @@
-"""Users who submit, cancel and query, and try again until they are answered."""
+"""Users who submit, cancel and query jobs and retry until they get an answer."""
 
 from collections.abc import Callable
 from typing import Any
@@ -10,7 +10,7 @@
 
 
 class FakeUsers(ProtocolChecks):
-    """Requests of users to any controller; each answer is checked."""
+    """Sends users' requests to random controllers and checks each answer."""
 
     def __init__(self, seed: int, labels: list[str], teams: tuple[Team, ...]) -> None:
         super().__init__(seed, labels, teams)
@@ -45,7 +45,7 @@
     def send_request(
         self, label: str, command: type[messages.Command], job_id: str, *fields: Any
     ) -> list[tuple[int, tuple]]:
-        """Ask one controller once as a user, with all checks; return its answers as they come."""
+        """Send one request to one controller; return the list to which answers are added."""
         answers: list[tuple[int, tuple]] = []
         previous, sent = self.reported_state.get(job_id), self.now
 
@@ -61,8 +61,10 @@
             self.query_all_controllers(job_id)
 
     def query_all_controllers(self, job_id: str) -> None:
-        """Query all controllers several times within 20 ms after a user was told a new state, and
-        submit the job again; sometimes cancel it at once."""
+        """Query a job at all controllers within 20 ms after a new state was reported.
+
+        Each controller gets two queries and one more submission; some jobs are cancelled as well.
+        """
         for label in self.labels * 2:
             self.after(
                 self.rng.uniform(0.001, 0.02),
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -1,4 +1,4 @@
-"""A simulated machine with the worker on it: fencing token, lease, agent epoch and tasks."""
+"""A simulated machine and its worker: fencing token, lease, agent epoch and tasks."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING
@@ -12,11 +12,12 @@
 
 
 class FakeWorker:
-    """One machine and its worker, following the worker's rules in the protocol."""
+    """One machine and its worker, which follows the protocol's rules for workers."""
 
     def __init__(self, sim: "Simulation", name: str, zone: str, spot: bool) -> None:
         self.sim, self.name, self.zone, self.spot = sim, name, zone, spot
         self.agent_epoch, self.sequence, self.fencing_token = 1, 0, 0
+        # By task and attempt: [state, exit reason, time of the next change].
         self.tasks: dict[tuple[str, int], list] = {}
         self.controller_index = sim.rng.randrange(len(sim.labels))
         self.lease_renewed_at = sim.now
@@ -24,11 +25,11 @@
         self.images: set[str] = set()
         self.fails_tasks = False
         self.reclaim_at: float | None = None
-        self.heartbeat_turn = 0
+        self.heartbeat_turn = 0  # rises with each heartbeat sent, answered or timed out
         self.early_heartbeat_at = -1e9
         self.up = False
         self.hung_since = self.hung_until = -1.0
-        self.queued_messages: list[Callable[[], None]] = []  # messages that arrived while it hung
+        self.queued_messages: list[Callable[[], None]] = []  # messages that arrived during a hang
 
     def start(self) -> None:
         if not self.dead:
@@ -53,7 +54,7 @@
         )
 
     def peek(self) -> Heartbeat:
-        """Return the heartbeat that it would send now, without changing its state."""
+        """Return the heartbeat that would be sent now, without changing the worker's state."""
         sequence, tasks = self.sequence, {key: list(row) for key, row in self.tasks.items()}
         heartbeat = self.snapshot()
         self.sequence, self.tasks = sequence, tasks
@@ -63,17 +64,17 @@
         return None if self.reclaim_at is None else max(0.0, self.reclaim_at - self.sim.now)
 
     def reclaim(self, seconds: float) -> None:
-        """Let the cloud reclaim the machine after a notice of this many seconds."""
+        """Let the cloud reclaim the machine after a notice of `seconds`."""
         self.reclaim_at = self.sim.now + seconds
         self.sim.after(seconds, lambda: self.sim.kill(self.name))
 
     @property
     def hung(self) -> bool:
-        """Whether the machine hangs: it does nothing, but may resume within its lease."""
+        """Whether the machine hangs: nothing runs, but it may resume within its lease."""
         return self.sim.now < self.hung_until
 
     def hang(self, seconds: float) -> None:
-        """Hang for some seconds; messages are queued, and tasks continue where they stopped."""
+        """Hang for `seconds`; messages are queued and tasks later continue where they stopped."""
         if self.dead or self.hung:
             return
         self.advance()
@@ -101,7 +102,7 @@
 
     @property
     def lease_expired(self) -> bool:
-        """Whether the lease expired, so that its tasks are killed before anything else."""
+        """Whether the lease expired; then all tasks are killed before anything else happens."""
         return self.sim.now - self.lease_renewed_at > deployment.LEASE_S
 
     def advance(self) -> None:
@@ -126,7 +127,7 @@
                 self.sim.finish(key, row, self.fails_tasks)
 
     def heartbeat(self) -> None:
-        """Send a heartbeat and schedule the next; an answer counts within `ANSWER_S`."""
+        """Send a heartbeat and schedule the next; answers after `ANSWER_S` are dropped."""
         if self.dead:
             return
         if self.hung:
@@ -159,7 +160,7 @@
                 self.controller_index = sim.labels.index(answer[1])
             elif status != 200:
                 self.controller_index = (self.controller_index + 1) % len(sim.labels)
-            # A higher token is reported early, at most once in half a lease.
+            # A higher fencing token is reported early, at most once per half lease.
             token_rose = self.fencing_token > previous_token
             early = token_rose and sim.now - self.early_heartbeat_at > deployment.LEASE_S / 2
             if early:
--- a/tests/helpers/__init__.py
+++ b/tests/helpers/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers that several test modules share."""
+"""Helpers shared by several test modules."""
--- a/tests/helpers/clusters.py
+++ b/tests/helpers/clusters.py
@@ -1,10 +1,10 @@
-"""Simulations brought into a known state, and questions about them."""
+"""Simulations in a known state, and queries about their state."""
 
 from oakmux.core import messages
 from oakmux.settings import Team
 from tests.fakes import Simulation, spec
 
-# Limits of CPUs that bind before those of GPUs for one team, and the other way for the other.
+# The CPU limit is reached first for one team, the GPU limit first for the other.
 MIXED_QUOTAS = (
     Team("red", cpus_max=6, gpus=4, gpus_max=8),
     Team("blue", cpus_max=20, gpus=2, gpus_max=6),
@@ -19,7 +19,7 @@
 
 
 def wait_for_state(sim: Simulation, job_id: str, seconds: float) -> str:
-    """Query a job and return the state its user was told after this many seconds."""
+    """Query a job and return the state reported to its user after `seconds`."""
     sim.query(job_id)
     sim.run(seconds)
     return sim.reported_state[job_id]
@@ -33,7 +33,7 @@
 def busy_cluster(
     count: int = 3, seed: int = 1, run_s: float = 60.0, zone: str | None = None
 ) -> Simulation:
-    """Return a deployment whose machines all run arrays, two of them at the least."""
+    """Return a deployment of two or more machines that all run array tasks."""
     sim = Simulation(seed, count)
     sim.run(12)
     for number, team in enumerate(("red", "blue")):
@@ -69,7 +69,7 @@
 
 
 def cancel_through(sim: Simulation, label: str, job_id: str) -> None:
-    """Cancel a job through one controller, which confirms it."""
+    """Cancel a job through one controller and check that it confirms."""
     sim.cancel_requested.add(job_id)
     answers = sim.send_request(label, messages.CancelJob, job_id)
     sim.run(0.06)
@@ -77,7 +77,7 @@
 
 
 def move_workers_to(sim: Simulation, label: str) -> None:
-    """Let all machines send their heartbeats to one controller."""
+    """Make all machines send their heartbeats to one controller."""
     for worker in sim.workers.values():
         worker.controller_index = sim.labels.index(label)
     sim.run(3)
@@ -107,12 +107,12 @@
     )
 
 
-# A service and an array of four tasks each fill two teams' limits; the third has none.
+# A service and an array of four tasks each fill the quotas of two teams; the third has none.
 FILLED_QUOTAS = (Team("red", gpus=4, gpus_max=8), Team("blue", gpus=4, gpus_max=8), Team("green"))
 
 
 def teams_at_quota(count: int, seed: int = 1, run_s: float = 300.0) -> Simulation:
-    """Return a deployment with both teams at their limits, by a service and an array each."""
+    """Return a deployment in which a service and an array fill the quota of each of two teams."""
     sim = Simulation(seed, count, teams=FILLED_QUOTAS)
     sim.run(12)
     for number, team in enumerate(("red", "blue")):
--- a/tests/helpers/faults.py
+++ b/tests/helpers/faults.py
@@ -1,4 +1,4 @@
-"""Faults to inject: partitions, delayed, lost and repeated messages, crashes."""
+"""Fault injection: partitions, crashes, and delayed, lost and repeated messages."""
 
 import random
 from collections.abc import Callable
@@ -22,7 +22,7 @@
 def run_with_random_faults(
     seed: int, seconds: float = 150.0, verify_counts: bool = False, count: int = 3
 ) -> Simulation:
-    """Submit random jobs under random faults, then end all faults."""
+    """Submit random jobs under random faults, then end the faults."""
     sim = Simulation(seed, count, teams=MIXED_QUOTAS if seed % 2 else TEAMS)
     sim.verify_counts = verify_counts
     sim.loss_rate, sim.duplicate_rate, sim.slow_rate = 0.01, 0.01, 0.005
@@ -37,7 +37,8 @@
                 kind,
                 tasks,
                 rng.choice(["red", "blue"]),
-                one_zone=rng.random() < 0.3 and kind != "service",  # spread in one zone: never
+                one_zone=rng.random() < 0.3
+                and kind != "service",  # a spread job in one zone never fits
                 spread=kind == "service",
                 spot=rng.random() < 0.3,
                 estimate_s=rng.uniform(2, 12),
@@ -106,7 +107,7 @@
             sim.late_copy_share = rng.choice([0.0, 0.1, 0.4])
         elif fault == "alone":
             sim.isolate(rng.choice(sim.labels), rng.uniform(2, 30))
-        elif fault == "blink":  # back at once, one or all, maybe twice in a row
+        elif fault == "blink":  # quick restarts of one or all controllers, some of them twice
             for label in sim.labels if rng.random() < 0.2 else rng.sample(sim.labels, 1):
                 sim.crash(label, rng.uniform(0.05, 0.5))
                 if rng.random() < 0.5:
@@ -147,7 +148,7 @@
             sim.stale_heartbeat_share = rng.choice([0.0, 0.1, 0.4])
         elif fault == "close":
             sim.query_burst_share = rng.choice([0.0, 0.3, 1.0])
-        elif fault == "now":  # what runs is called off, and its machines hang
+        elif fault == "now":  # running jobs are cancelled and their machines hang
             for worker, task, _ in rng.sample(
                 sim.running_tasks(), min(3, len(sim.running_tasks()))
             ):
@@ -155,7 +156,9 @@
                 sim.after(rng.uniform(0, 0.3), lambda w=worker: w.hang(rng.uniform(1, 15)))
             if rng.random() < 0.5:
                 sim.crash(rng.choice(sim.labels), rng.uniform(0.05, 4))
-        elif fault == "gap":  # one refused, cancelled by another, then out for all
+        elif (
+            fault == "gap"
+        ):  # the store refuses one controller, jobs are cancelled, then it is out for all
             sim.store.refused = {rng.choice(sim.labels)}
             for _ in range(3):
                 sim.cancel(f"job-{rng.randrange(number + 1)}")
@@ -184,7 +187,7 @@
 def record_heartbeat(
     context: Context, machine: Machine, manager: str, agent_epoch: int = 1, fencing_token: int = 0
 ) -> None:
-    """Record the next heartbeat of a machine as a controller's view of it."""
+    """Apply the next heartbeat of a machine, as sent to controller `manager`."""
     heartbeat = Heartbeat(
         machine.name,
         "a:1",
@@ -203,7 +206,7 @@
 
 
 class QuickRestart(Simulation):
-    """Restarts controllers at the n-th operation that any of them sends to the store."""
+    """Restarts controllers at the n-th operation that any controller sends to the store."""
 
     def __init__(
         self, at: int, crashes: int, restart_s: float, served: bool, count: int = 3
@@ -222,19 +225,19 @@
         if self.armed and isinstance(effect, messages.StoreOperation):
             self.calls += 1
             if self.calls == self.at:
-                if self.served:  # it is carried out, and its answer finds nobody
+                if self.served:  # executed, but the answer reaches no live sender
                     super().carry_out(label, incarnation, effect)
                 others = [other for other in self.labels if other != label]
                 for crashed in [label, *others][: self.crashes]:
                     self.crash(crashed, self.restart_s)
-                if not self.served:  # carried out late, when its sender is back
+                if not self.served:  # executed late, after the sender has restarted
                     self.after(self.restart_s + 0.3, lambda: self.store.serve(label, effect))
                 return
         super().carry_out(label, incarnation, effect)
 
 
 def reconnect(sim: Simulation, name: str, label: str) -> None:
-    """A machine's connection is reset, and it reports to another controller."""
+    """Reset a machine's connection, so that it reports to the given controller."""
     worker = sim.workers[name]
     worker.heartbeat_turn += 1
     worker.controller_index = sim.labels.index(label)
@@ -242,14 +245,14 @@
 
 
 def partition_machines(sim: Simulation, names: list[str], seconds: float) -> None:
-    """Partition machines from all controllers; messages are delayed."""
+    """Partition machines from all controllers for `seconds`; messages are delayed."""
     links = {frozenset((label, name)) for label in sim.labels for name in names}
     sim.cuts |= links
     sim.after(seconds, lambda: sim.cuts.difference_update(links))
 
 
 class DelayedCommands(Simulation):
-    """Delays direct commands of one kind by some seconds, while armed."""
+    """Delays direct worker commands of one kind by `seconds` while armed."""
 
     def __init__(self, seed: int, verb: str, seconds: float, count: int = 3) -> None:
         self.verb, self.seconds, self.armed = verb, seconds, False
@@ -284,7 +287,7 @@
 
 
 class RepeatedTransactions(Simulation):
-    """Records every transaction that writes, so that it can be repeated."""
+    """Records every writing transaction, so that tests can repeat it."""
 
     def __init__(self, seed: int, count: int = 3) -> None:
         self.sent: list[tuple[str, messages.Transaction]] = []
--- a/tests/helpers/samples.py
+++ b/tests/helpers/samples.py
@@ -1,4 +1,4 @@
-"""Samples of messages and settings."""
+"""Sample messages."""
 
 SUBMISSION = {
     "id": "job-000412",
--- a/tests/recorded.py
+++ b/tests/recorded.py
@@ -1,9 +1,9 @@
 """Builders for the recorded bytes: the only part of that test that uses internal names.
 
-`written` returns what the present code writes, `inputs` what is given to it, `read` what it makes
-of such bytes, and `played` digests of whole runs. Values that were read are returned as plain
-lists by position, so that renaming a field inside changes nothing, while moving or dropping one
-does. Keys of maps are those on the wire.
+`outputs` returns the bytes that the present code writes, `inputs` the bytes given to it, `read`
+the result of reading such bytes, and `summarize_run` the digest of a whole run. Results of reading
+are plain lists by position: renaming an internal field changes nothing, moving or dropping one
+does. Keys of maps are the keys on the wire.
 """
 
 import asyncio
@@ -204,7 +204,7 @@
 
 
 def plain(value: Any) -> Any:
-    """Return a value as JSON can hold it: structures as lists, settings as maps by file key."""
+    """Convert a value for JSON: positional structs become lists, settings maps by file key."""
     if isinstance(value, msgspec.Struct):
         if value.__struct_config__.array_like:
             return [plain(item) for item in msgspec.structs.astuple(value)]
@@ -229,7 +229,7 @@
 
 
 def bindings() -> dict[int, Binding]:
-    """Return bindings that share machine and head, differ in one part, and are to stop."""
+    """Return bindings: three differ in the attempt only, one of them is to stop."""
     return {
         0: Binding(3, "m1", 1, 41, "a"),
         1: Binding(4, "m1", 1, 41, "a"),
@@ -240,7 +240,7 @@
 
 
 def stored_records() -> dict[str, list]:
-    """Return [key, value] of each kind of record and each form of it."""
+    """Return [key, value] of each kind and format of record."""
     block = TaskBlock(STAMP, 2**40, 0b1010011000, bindings())
     small = TaskBlock(STAMP, 1, 0, {0: Binding(1, "m3", 1, 2, "c")})
     done = TaskBlock(STAMP, 2, 2**64 - 1, {})
@@ -275,7 +275,7 @@
 
 
 def schedule_records() -> dict[str, list]:
-    """Return [key, value] of each kind of record of schedules."""
+    """Return [key, value] of each kind of schedule record."""
     calendar = Rule(
         "ical", "Europe/Berlin", "FREQ=DAILY", 1000, (2000,), (3000,), ((4000, 5000), (6000, None))
     )
@@ -322,7 +322,7 @@
 
 
 def read_record(data: bytes) -> Any:
-    """Return what the replica and the schedules' copy hold after one record."""
+    """Return the contents of the replica and of the schedule store after one record."""
     key, value = decode(data)
     replica, store = Replica(), records.Store()
     replica.namespaces[records.KIND] = store
@@ -379,7 +379,7 @@
 
 
 def plain_block(block: TaskBlock) -> list:
-    """Return all that a chunk holds."""
+    """Return all fields of a task block."""
     return [
         block.mod_revision,
         block.last_attempt,
@@ -394,9 +394,9 @@
 
 
 def outgoing_form(effect: Effect, numbered: bool = True) -> list:
-    """Return an effect as what leaves the process, without numbers that stay inside.
+    """Return an effect in the form that leaves the process, without operation numbers.
 
-    Without `numbered`, offers' numbers are left out as well.
+    Without `numbered`, numbers of offers are left out as well.
     """
     if isinstance(effect, core_messages.Answer):
         return ["answer", effect.status, answer_body(effect.body)]
@@ -418,7 +418,7 @@
     return [*EFFECT_TAGS[type(effect)], *fields]
 
 
-# What commands and effects are called in the recorded values.
+# Tags of commands and effects in the recorded values.
 EFFECT_TAGS: dict[type, tuple[str, ...]] = {
     core_messages.LendQuota: ("lend",),
     core_messages.CreditQuota: ("credit",),
@@ -452,11 +452,11 @@
 
 
 class RecordedSimulation(Simulation):
-    """A Simulation that takes a digest of all that controllers send, with the time of it.
+    """A Simulation that computes a digest of all effects of controllers and their times.
 
-    The effects of one step are brought into the order of their bytes, and numbers of offers and
-    operations are left out: names stand in sets inside, so that both follow the hash seed of the
-    process.
+    The effects of one step are sorted by their bytes, and numbers of offers and operations are
+    left out: both depend on the hash seed of the process, because controllers iterate over sets of
+    names.
     """
 
     def __init__(self, *args: Any, **more: Any) -> None:
@@ -486,7 +486,7 @@
 
 
 def effect_kinds(row: list) -> list[str]:
-    """Return the kinds that an effect counts for: by message and its length, order, record."""
+    """Return the kinds of an effect: message tag and length, command verbs or record kinds."""
     if row[0] == "send":
         return [f"send {row[2][0]} of {len(row[2])}"]
     if row[0] == "answer":
@@ -502,7 +502,7 @@
 
 
 def run_mixed_jobs(seed: int, count: int, final_s: float) -> RecordedSimulation:
-    """Play jobs of all kinds, with one crash, one cancellation, one machine lost."""
+    """Run jobs of all kinds with one crash, one cancellation and one lost machine."""
     sim = RecordedSimulation(seed, count)
     sim.simulate_fetches = True
     sim.run(12)
@@ -526,7 +526,7 @@
 
 
 def run_crowded(seed: int) -> RecordedSimulation:
-    """Play three machines on which work gives way, gangs wait for openings, services move."""
+    """Run three full machines: tasks are preempted, gangs wait for openings, services move."""
     sim = RecordedSimulation(seed, 3, scheduling=SchedulingOptions(backfill=True))
     sim.capacity = 3
     sim.run(12)
@@ -553,7 +553,7 @@
 
 
 def summarize_run(name: str) -> dict[str, Any]:
-    """Return the digest of a run, how many messages of each kind it had, the first of each."""
+    """Return the digest of a run, the number of messages of each kind and the first of each."""
     sim = RUNS[name]()
     return {
         "digest": sim.digest.hexdigest(),
@@ -564,11 +564,11 @@
     }
 
 
-# --- requests that come in --------------------------------------------------------------------
+# --- incoming requests ------------------------------------------------------------------------
 
 
 class MemoryTransport(asyncio.Transport):
-    """A connection in memory: keeps what is written, and answers it from a list."""
+    """An in-memory transport that records writes and answers each from a list of replies."""
 
     def __init__(self, replies: list[bytes]) -> None:
         self.replies = replies
@@ -576,16 +576,16 @@
         self.protocol: asyncio.Protocol | None = None
 
     def write(self, data: Any) -> None:
-        """Keep what is sent; the next reply comes a moment later."""
+        """Record the data; the next reply is delivered in the next loop iteration."""
         self.sent.append(bytes(data))
         if self.replies and self.protocol is not None:
             asyncio.get_running_loop().call_soon(self.protocol.data_received, self.replies.pop(0))
 
     def close(self) -> None:
-        """Nothing is to be closed."""
+        """There is nothing to close."""
 
     def abort(self) -> None:
-        """Nothing is to be closed."""
+        """There is nothing to close."""
 
 
 def request(method: str, path: str, body: Any = None) -> bytes:
@@ -602,7 +602,7 @@
 
 
 def route_request(data: bytes, internal: bool = False) -> tuple[list[Command], list[bytes]]:
-    """Return the commands that a request becomes, and what is answered at once."""
+    """Return the commands that a request becomes, and the data that is answered at once."""
     commands: list[Command] = []
     router = RequestRouter(lambda command: commands.append(command) is None)
     transport = MemoryTransport([])
@@ -613,14 +613,14 @@
 
 
 def read_request(data: bytes, internal: bool = False) -> Any:
-    """Return a request's command, without its handle, and what is answered at once."""
+    """Return a request's commands without their handles, and the data answered at once."""
     commands, sent = route_request(data, internal)
     rows = [command_row(command) for command in commands]
     return plain([[[tag, *fields] for tag, _, *fields in rows], sent])
 
 
 def requests() -> dict[str, bytes]:
-    """Return requests of users and workers, good and bad."""
+    """Return valid and invalid requests of users and workers."""
     bad = {
         "shape": "x",
         "rank": "x",
@@ -669,7 +669,7 @@
     return {f"request/{name}": data for name, data in found.items()}
 
 
-# --- answers that go out ----------------------------------------------------------------------
+# --- outgoing answers -------------------------------------------------------------------------
 
 
 def orders() -> list[dict]:
@@ -715,7 +715,7 @@
     return values
 
 
-# --- requests that go out, and what becomes of their answers ----------------------------------
+# --- outgoing requests and the handling of their answers --------------------------------------
 
 
 class ScriptedClient(Client):
@@ -735,10 +735,10 @@
 
 
 class FrozenLoop(asyncio.SelectorEventLoop):
-    """An event loop whose clock stands: no timer fires."""
+    """An event loop whose clock stands still, so that no timer fires."""
 
     def time(self) -> float:
-        """Return always the same time."""
+        """Return a constant time."""
         return 100.0
 
 
@@ -747,7 +747,7 @@
 
 
 def store_call(make: Callable[[StoreClient], Coroutine]) -> ClientCall:
-    """Return a call of the state service."""
+    """Return a call that uses the store client."""
 
     def call(client: Client, put: PutCommand) -> Coroutine:
         state = StoreClient(settings_for("h0"), put)
@@ -758,7 +758,7 @@
 
 
 def cloud_call(make: Callable[[CloudClient], Coroutine]) -> ClientCall:
-    """Return a call of the cloud."""
+    """Return a call that uses the cloud client."""
 
     def call(client: Client, put: PutCommand) -> Coroutine:
         cloud = CloudClient(settings_for("h0"), put)
@@ -785,14 +785,14 @@
 
 
 class UnknownMessage(PeerMessage, frozen=True):
-    """A message that this version does not know."""
+    """A message kind that this version can't decode."""
 
     TAG = "unknown"
     value: int
 
 
 def message_from(row: list) -> PeerMessage:
-    """Return the message that is sent as a row."""
+    """Return the message for an encoded row."""
     return UnknownMessage(*row[1:]) if row[0] == UnknownMessage.TAG else decode_message(row)
 
 
@@ -806,7 +806,7 @@
 
 
 def exchanges() -> dict[str, tuple[ClientCall, list[bytes]]]:
-    """Return a call and the replies that it gets, by name."""
+    """Return each call and its replies, by name."""
 
     def txn(
         status: int, body: Any = None, writes: list | None = None
@@ -879,7 +879,10 @@
 
 
 def read_exchange(name: str, data: bytes) -> Any:
-    """Make a call with these replies; return where to, what was sent and what became of it."""
+    """Make a call with these replies.
+
+    Returns the addresses, the data sent, the resulting commands and the number of unused replies.
+    """
     call, _ = exchanges()[name]
     client = ScriptedClient(list(decode(data)))
     commands: list[Command] = []
@@ -892,7 +895,7 @@
             if isinstance(
                 command, core_messages.ApplyWatchEvents | core_messages.UpdateMachineTypes
             ):
-                endless.set()  # these go on for ever
+                endless.set()  # these calls never end by themselves
 
         call_task = asyncio.ensure_future(call(client, put))
         endless_task = asyncio.ensure_future(endless.wait())
@@ -912,7 +915,7 @@
 
 
 def messages(machine: str, sender: str) -> list[list]:
-    """Return one message of each kind and form, with fields that differ from the usual."""
+    """Return one message of each kind and form, with fields that differ from the defaults."""
     tasks = [["job-1/0", 1, "running", "", False], ["job-2/0", 3, "exited", "stopped", True]]
     return [
         ["heard", [machine, "m8", "m9"]],
@@ -937,7 +940,7 @@
 
 
 def controller_state(core: Any) -> list:
-    """Return what messages change in a controller."""
+    """Return the state of a controller that peer messages can change."""
     context = core.context
     machines = [
         [
@@ -975,10 +978,10 @@
 
 
 def read_messages(data: bytes, to_owner: bool) -> Any:
-    """Hand messages one by one to a controller of a small deployment with one machine: to the
-    machine's keeper, or to the owner of the team whose tasks wait.
+    """Deliver messages one by one to a controller of a deployment with one machine.
 
-    With one machine only, no order of a set matters.
+    The receiver is the controller that manages the machine, or the owner of the team whose tasks
+    wait. With a single machine, no set order matters.
     """
     sim = Simulation(2)
     sim.capacity = 1
@@ -1009,19 +1012,19 @@
 
 
 def request_bytes(method: str, path: str, data: bytes) -> bytes:
-    """Return a request with a body that is encoded already."""
+    """Return a request with an encoded body."""
     return f"{method} {path} HTTP/1.1\r\nContent-Length: {len(data)}\r\n\r\n".encode() + data
 
 
 def batches() -> dict[str, list[bytes]]:
-    """Return requests of a peer, one message to each, of this version's form and the earlier."""
+    """Return requests of a peer with one message each, in the present and the earlier form."""
     bodies = [encode(["batch", "h9", [one], 5]) for one in messages("m0", "h9")]
     more = [encode(["batch", "h9", [["heard", []]]]), encode(["batch"]), b"\xff"]
     return {"messages/keeper": bodies + more, "messages/owner": bodies}
 
 
 def quota_messages() -> dict[str, Any]:
-    """Return what is sent when changes at the state service are borrowed, lent and credited."""
+    """Return the messages sent when write quota of the store is borrowed, lent and credited."""
     conf = settings_for("h0")
     core = Controller(conf, random.Random(1), 0)
     borrowed = [
@@ -1108,7 +1111,7 @@
 
 
 def settings_files() -> dict[str, str]:
-    """Return settings files, good and bad, by name."""
+    """Return valid and invalid settings files, by name."""
     minimal = "\n".join(
         row
         for row in SETTINGS.replace("[facts.state.next]\n", "[more]\n").splitlines()
@@ -1129,7 +1132,7 @@
 
 
 def read_settings(name: str, data: bytes) -> Any:
-    """Return what a settings file gives, or why it is refused."""
+    """Return the settings that a file gives, or the error text."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "file"
         path.write_bytes(data)
@@ -1142,11 +1145,11 @@
     return [plain(conf), conf.size, plain(conf.facts.store.strictest)]
 
 
-# --- the command line's words -----------------------------------------------------------------
+# --- command line fields ---------------------------------------------------------------------
 
 
 def cli_jobs() -> dict[str, Any]:
-    """Return jobs in the command line's words, as submissions and back."""
+    """Return jobs in the fields of the command line, as submissions and back."""
     values: dict[str, Any] = {}
     for name, job in (("full", FULL), ("plain", PLAIN)):
         description = job_description(job)
@@ -1159,17 +1162,17 @@
     return values
 
 
-# --- all of it --------------------------------------------------------------------------------
+# --- all cases --------------------------------------------------------------------------------
 
 
 def outputs() -> dict[str, bytes]:
-    """Return what the present code writes: records, responses, words."""
+    """Return the bytes that the present code writes: records, responses, command line fields."""
     values = {**stored_records(), **schedule_records(), **cli_jobs(), **quota_messages()}
     return {name: encode(value) for name, value in values.items()} | answers()
 
 
 def inputs() -> dict[str, bytes]:
-    """Return what others, or earlier processes of ours, hand to the present code."""
+    """Return the bytes that other programs and earlier versions give to the present code."""
     rows = {**stored_records(), **schedule_records()}
     del rows["schedule/ids"]
     return (
@@ -1182,7 +1185,7 @@
 
 
 def read(name: str, data: bytes) -> Any:
-    """Return what the present code makes of an input."""
+    """Return the result of reading an input with the present code."""
     kind, _, case = name.partition("/")
     if kind == "record":
         return read_record(data)
--- a/tests/test_recorded_bytes.py
+++ b/tests/test_recorded_bytes.py
@@ -1,15 +1,15 @@
-"""Every byte that leaves a controller, and all that it makes of bytes, as recorded.
-
-`data/recorded_bytes.json` holds what the version before a large renaming wrote and read. A change
-of it is a change of the protocols or of stored data: deployments that are upgraded one controller
-at a time would fail. `RECORD_BYTES=1 python -m tests.test_recorded_bytes` writes it anew; no
-test does, and a test fails if a case is not recorded.
-
-Digests of whole runs show changes of behaviour. Names stand in sets inside, so that some orders
-follow the hash seed of the process; so the effects of one step of a controller are put in order by
-their bytes, guards and writes of a transaction likewise, and numbers of offers and operations are
-left out. Which machines a gang draws follows the hash seed in some runs; these four gave the same
-digests with each of 90 hash seeds.
+"""Bytes that a controller sends and stores, and how it reads bytes, compared with a recording.
+
+`data/recorded_bytes.json` holds what an earlier version wrote and read. A difference means that a
+protocol or the stored data changed, which breaks upgrades of one controller at a time.
+`RECORD_BYTES=1 python -m tests.test_recorded_bytes` records anew; no test does, and a test fails
+if a case is not recorded.
+
+Digests of whole runs show changes of behaviour. Controllers iterate over sets of names, so some
+orders depend on the hash seed of the process. Therefore the effects of one step are sorted by
+their bytes, so are the guards and writes of a transaction, and numbers of offers and operations
+are left out. In some runs the machines chosen for a gang depend on the hash seed as well; the four
+runs here gave the same digests with each of 90 hash seeds.
 """
 
 import json
@@ -28,12 +28,12 @@
 
 
 def jsonable(value: Any) -> Any:
-    """Return a value as it is after a way through JSON."""
+    """Return a value as it is after a JSON round trip."""
     return json.loads(json.dumps(value))
 
 
 def readable_form(data: bytes) -> Any:
-    """Return bytes in a form for people: decoded CBOR, or text."""
+    """Return bytes in readable form: decoded CBOR or text."""
     if data.startswith((b"HTTP/", b"POST ", b"GET ")):
         head, _, body = data.partition(b"\r\n\r\n")
         return [head.decode().split("\r\n"), readable_form(body) if body else None]
@@ -44,7 +44,7 @@
 
 
 def record() -> dict[str, Any]:
-    """Return the present version's recording."""
+    """Return the recording of the present version."""
     return {
         "written": {
             name: {"hex": data.hex(), "shown": readable_form(data)}
@@ -64,7 +64,7 @@
 
 @pytest.fixture(scope="module")
 def current_outputs() -> dict[str, bytes]:
-    """Return what the present version writes."""
+    """Return the bytes that the present version writes."""
     return recorded.outputs()
 
 
@@ -97,5 +97,5 @@
 
 if __name__ == "__main__":
     if not os.environ.get("RECORD_BYTES"):
-        sys.exit("set RECORD_BYTES=1 to write the recording anew")
+        sys.exit("set RECORD_BYTES=1 to overwrite the recording")
     FILE.write_text(json.dumps(record(), indent=1, ensure_ascii=False) + "\n")
--- a/tests/timed.py
+++ b/tests/timed.py
@@ -1,4 +1,4 @@
-"""A simulation with schedules: skewed clocks, requests, and the results of firings."""
+"""A simulation with schedules: skewed clocks, requests and the results of firings."""
 
 from datetime import datetime
 from typing import Any
@@ -35,19 +35,19 @@
 
 
 def unix_time(text: str) -> int:
-    """Return an ISO time with its offset as seconds since 1970."""
+    """Convert an ISO time with UTC offset to seconds since 1970."""
     return int(datetime.fromisoformat(text).timestamp())
 
 
 class ScheduleSimulation(Simulation):
-    """A Simulation whose controllers keep schedules; `start` is the true time at its begin."""
+    """A Simulation whose controllers run schedules; `start` is the true time at its begin."""
 
     def __init__(self, start: str, seed: int = 1, count: int = 3, **overrides: Any) -> None:
         self.start = unix_time(start)
         self.removed_teams: set[str] = set()
         self.without_schedules: set[str] = set()  # controllers that run without schedules
-        self.offsets: dict[str, float] = {}  # how far a controller's clock is ahead, in s
-        self.firings: list[tuple[float, str]] = []  # (time of writing, job) of turns
+        self.offsets: dict[str, float] = {}  # seconds by which a controller's clock is ahead
+        self.firings: list[tuple[float, str]] = []  # (time of the write, job)
         self.running: dict[str, list] = {}
         super().__init__(seed, count, subsystems=(SchedulesSubsystem,), **overrides)
 
@@ -69,7 +69,7 @@
                 self.firings.append((self.start + self.now, name))
 
     def request(self, operation: str, label: str | None = None, **args: Any) -> tuple[int, Any]:
-        """Make a request and go on until it is answered; tries other controllers on a 503."""
+        """Send a request until it is answered; a 503 is retried at another controller."""
         for attempt in range(20):
             answers: list[tuple] = []
             target = label or self.labels[attempt % len(self.labels)]
@@ -116,12 +116,12 @@
         )
 
     def firing_history(self, name: str) -> list[tuple[str, str]]:
-        """Return (local time without its offset, outcome) of an entry's last turns."""
+        """Return (local time without offset, outcome) of an entry's last firings."""
         _, body = self.request("history", name=name)
         return [(row["local"][:16], row["outcome"]) for row in body["turns"]]
 
     def clock_holder(self) -> str:
-        """Return which controller makes the turns."""
+        """Return the controller that dispatches firings, or an empty string."""
         holders = [
             label
             for label, core in self.cores.items()
@@ -142,20 +142,20 @@
         return msgspec.structs.replace(settings, facts=facts)
 
     def run_until(self, text: str) -> None:
-        """Go on until a true time."""
+        """Run until a true time."""
         self.run(unix_time(text) - self.start - self.now)
 
     def advance_time_of_day(self, by: float) -> None:
-        """Let the time of day run on while all else stands still, as if all machines slept."""
+        """Advance the time of day alone, as if all machines had been suspended."""
         self.start += by
 
     def lateness(self) -> list[float]:
-        """Return by how many seconds after a full minute each turn was written."""
+        """Return the seconds after the full minute at which each firing was written."""
         return [at % 60 for at, _ in self.firings]
 
 
 def settled_simulation(start: str, **overrides: Any) -> ScheduleSimulation:
-    """Return a deployment that has settled, with a template, at the time `start`."""
+    """Return a settled deployment with one template, at the time `start`."""
     sim = ScheduleSimulation(start, **overrides)
     sim.start -= WARM_S
     sim.run(WARM_S - 4)
