--- a/tests/fakes/objectives.py
+++ b/tests/fakes/objectives.py
@@ -35,7 +35,7 @@
     """Evaluates a whole run by the answers that users got."""
 
     def startable_jobs(self, seconds: float = 90.0) -> set[str]:
-        """Return the jobs that could have started at all times of the period; no fault is active."""
+        """Return the jobs that could have started during the whole period, without faults."""
         found = set(self.specs)
         end = self.now + seconds
         while self.now < end and found:
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -46,8 +46,8 @@
     assert len(sim.running_tasks()) == 2
 
 
-def test_a_lost_answer_to_a_start_is_settled_by_a_newer_term():
-    # A start whose answer was lost may act minutes later; only a newer term rules that out.
+def test_a_start_without_an_answer_is_resolved_by_a_newer_term():
+    # A start without an answer may be executed minutes later; only a newer term prevents that.
     sim = idle_cluster()
     sim.submit("job-1", spec("service", 1))
     sim.run(10)
@@ -66,8 +66,9 @@
     assert ("job-5/0", 1) not in core.agents.workers.tracked[name].unresolved_starts
 
 
-def test_a_machine_that_vanishes_after_a_fleet_takeover_is_soon_proven_terminated():
-    # Its tasks waited for lists newer than the first that lacked it, although it was long known.
+def test_a_machine_lost_after_a_fleet_takeover_is_soon_proven_terminated():
+    # Waiting for lists newer than the first that lacks the machine would delay its tasks, although
+    # it has been known for long enough.
     sim = idle_cluster()
     sim.submit("job-1", spec("service", 1, "blue"))
     sim.run(10)
@@ -81,16 +82,15 @@
         core.autoscaler for core in sim.cores.values() if "#fleet" in core.context.held_roles
     )
     lists_s = constants.ABSENT_LAGS * 2.0
-    assert (
-        sim.now - fleet.inventory.known_since[worker.name] > lists_s
-    )  # any list may prove it now
+    # From now on any list can prove the termination.
+    assert sim.now - fleet.inventory.known_since[worker.name] > lists_s
     sim.kill(worker.name)
     killed = sim.now
     while any(
         worker.name in core.context.replica.bindings.by_machine for core in sim.cores.values()
     ):
         sim.run(0.1)
-    # Silent for a lease, as far as others tell; then missing in two lists.
+    # Silent for a lease according to the peers' views, then missing from two lists.
     assert sim.now - killed < LEASE_S + 2 * constants.PEER_HEARTBEAT_S + 2 * REPORT_S + 2.0
 
 
@@ -108,10 +108,10 @@
     assert answers == [404]
 
 
-def test_a_machine_that_leaves_the_cloud_list_is_proven_terminated_before_its_lease_expires(
+def test_absence_from_the_cloud_list_proves_termination_before_lease_expiry(
     monkeypatch,
 ):
-    # Once listed it stays listed until it is gone: newer lists are proof enough (PROTOCOL).
+    # A listed machine stays listed until it terminates, so newer lists without it are a proof.
     lease_s = 12.0
     monkeypatch.setattr("tests.fakes.deployment.LEASE_S", lease_s)
     sim = idle_cluster()
@@ -127,7 +127,7 @@
 
 @pytest.mark.parametrize("seconds", [3.0, 9.0])  # within its lease, and beyond it
 def test_a_frozen_controller_breaks_no_rule_when_it_resumes(seconds):
-    # It answers old requests first, with old records, roles and orders (incident 93eb).
+    # It answers queued requests first, with outdated records, roles and commands.
     sim = idle_cluster(seed=3)
     sim.submit("job-1", spec("array", 20, "red"))
     sim.submit("job-2", spec("gang", 3, "blue", priority=2))
@@ -150,7 +150,7 @@
     sim.submit("job-5", spec("array", 8, estimate_s=3.0))
     for label in sim.labels:
         sim.crash(label, 0.3)
-    sim.run(0.3 + 2 * REPORT_S + 1.5)  # they try another after a second
+    sim.run(0.3 + 2 * REPORT_S + 1.5)  # workers try another controller after 1 s
     core = sim.cores["h0"]
     known = [m for n, m in core.context.machines.items() if n in running_machines(sim)]
     assert known
@@ -165,7 +165,7 @@
         for label in sim.labels if step == 3 else sim.rng.sample(sim.labels, 2):
             sim.crash(label, sim.rng.uniform(0.05, 0.5))
         worker = sim.workers[sim.rng.choice(running_machines(sim))]
-        worker.tasks.clear()  # a machine back at once: its tasks are gone, its session is new
+        worker.tasks.clear()  # a machine that restarts at once: no tasks, a new agent epoch
         worker.agent_epoch += 1
         worker.lease_renewed_at = sim.now
         sim.run(2)
@@ -189,12 +189,12 @@
     """Loses the n-th message between hosts once armed."""
 
     def __init__(self, seed: int, at: int, count: int = 3) -> None:
-        self.at, self.passed, self.armed = at, 0, False
+        self.at, self.message_count, self.armed = at, 0, False
         super().__init__(seed, count)
 
     def deliver(self, a: str, b: str, run: Callable[[], None]) -> None:
-        self.passed += self.armed
-        if not self.armed or self.passed != self.at:
+        self.message_count += self.armed
+        if not self.armed or self.message_count != self.at:
             super().deliver(a, b, run)
 
     def run_s(self, task: str) -> float:
@@ -215,24 +215,24 @@
     sim.crash(role_holder(sim, "blue"), 0.1)
     sim.run(16)
     check_recovered(sim, 20)
-    begun: dict[str, str] = {}
-    for _, task, _, name in sim.start_log:  # anew only where a lease ended: no end was missed
-        assert task not in begun or sim.workers[begun[task]].agent_epoch > 1, task
-        begun[task] = name
-    assert len(begun) == 5
+    last_machine: dict[str, str] = {}
+    for _, task, _, name in sim.start_log:  # a restart needs an ended lease: no exit was missed
+        assert task not in last_machine or sim.workers[last_machine[task]].agent_epoch > 1, task
+        last_machine[task] = name
+    assert len(last_machine) == 5
 
 
 class OneRestart(QuickRestart):
-    """At the n-th operation all end, and all but one stay away for a while."""
+    """Crashes all controllers at the n-th operation; all but h0 stay down 6 s longer."""
 
-    def crash(self, label: str, back: float | None = 3.0) -> None:
-        super().crash(label, (back or 0.0) + (0.0 if label == "h0" else 6.0))
+    def crash(self, label: str, restart_s: float | None = 3.0) -> None:
+        super().crash(label, (restart_s or 0.0) + (0.0 if label == "h0" else 6.0))
 
 
 @pytest.mark.parametrize("at", range(1, 31, 3))
-def test_roles_and_tasks_survive_a_handover_and_back_in_which_all_controllers_crash(at):
-    for back in (0.05, 0.3, 1.0):
-        sim = OneRestart(at, 3, back, bool(at % 2))
+def test_roles_and_tasks_survive_crashes_of_all_controllers_during_handovers(at):
+    for restart_s in (0.05, 0.3, 1.0):
+        sim = OneRestart(at, 3, restart_s, bool(at % 2))
         sim.run(10)
         sim.submit("job-1", spec("array", 4, estimate_s=25.0))
         sim.submit("job-2", spec("gang", 3, "blue", estimate_s=25.0))
@@ -243,50 +243,50 @@
         sim.armed = True
         sim.run(20)
         assert sim.calls >= at
-        held = sorted(r for core in sim.cores.values() for r in core.context.held_roles)
-        assert held == ["#fleet", "blue", "red"], (at, back)
+        held_roles = sorted(r for core in sim.cores.values() for r in core.context.held_roles)
+        assert held_roles == ["#fleet", "blue", "red"], (at, restart_s)
         assert sim.unfinished_jobs(60) == set()
 
 
-@pytest.mark.parametrize("how", ["cut", "deaf"])
+@pytest.mark.parametrize("fault", ["cut", "deaf"])
 @pytest.mark.parametrize("count", [3, 7])
-def test_unreachable_long_tasks_are_recovered_after_their_leader_crashes(how, count):
+def test_unreachable_long_tasks_are_recovered_after_their_leader_crashes(fault, count):
     sim = busy_cluster(count, run_s=300.0)
-    sim.cloud_down = True  # nor can the machines be returned
+    sim.cloud_down = True  # the machines can't be returned either
     move_workers_to(sim, sim.labels[0])
     names = running_machines(sim)
-    where = sorted((task, worker.name) for worker, task, _ in sim.running_tasks())
+    placement = sorted((task, worker.name) for worker, task, _ in sim.running_tasks())
     starts = len(sim.start_log)
 
-    def away(seconds: float) -> None:
-        if how == "deaf":
+    def make_unreachable(seconds: float) -> None:
+        if fault == "deaf":
             sim.drop_inbound(names, seconds)
         else:
             partition_machines(sim, names, seconds)
 
-    away(LEASE_S - 4 * REPORT_S)
+    make_unreachable(LEASE_S - 4 * REPORT_S)
     sim.crash(sim.labels[0], 20.0)
     sim.run(LEASE_S - 4 * REPORT_S + 0.1)
-    for name in names:  # back before their leases end, with whom they reach first
+    for name in names:  # reachable before their leases end, at another controller
         reconnect(sim, name, sim.labels[1])
     sim.run(8)
-    assert sorted((task, worker.name) for worker, task, _ in sim.running_tasks()) == where
+    assert sorted((task, worker.name) for worker, task, _ in sim.running_tasks()) == placement
     assert len(sim.start_log) == starts
-    away(3 * LEASE_S)
+    make_unreachable(3 * LEASE_S)
     sim.crash(busiest_controller(sim), 0.2)
     sim.run(LEASE_S - 1)
-    assert len(sim.start_log) == starts  # nothing elsewhere before it is proven gone
+    assert len(sim.start_log) == starts  # no start elsewhere before termination is proven
     sim.run(4 * LEASE_S)
     sim.cloud_down = False
     sim.run(20)
-    assert sorted(task for _, task, _ in sim.running_tasks()) == [task for task, _ in where]
+    assert sorted(task for _, task, _ in sim.running_tasks()) == [task for task, _ in placement]
     check_recovered(sim, 350)
 
 
 @pytest.mark.parametrize("at", range(1, 22, 4))
 def test_new_machines_are_used_once_while_writes_lag_and_the_leader_crashes(at):
-    # Must not happen: a task bound by two lives, a machine that is known under no name and used.
-    for back in (0.1, 4.0):
+    # Must not happen: a task is bound by two incarnations, an unknown machine is used.
+    for restart_s in (0.1, 4.0):
         sim = Simulation(at, 7 if at % 3 == 0 else 3)
         sim.boot_s = lambda sim=sim: sim.rng.uniform(0.05, 1.5)
         sim.run(6)
@@ -302,9 +302,9 @@
                 ),
             )
         sim.run(at * 0.1)
-        sim.crash(role_holder(sim, "#fleet"), back)
+        sim.crash(role_holder(sim, "#fleet"), restart_s)
         sim.run(1.0)
-        sim.crash(busiest_controller(sim), back)
+        sim.crash(busiest_controller(sim), restart_s)
         sim.run(20)
         check_recovered(sim, 120)
 
@@ -312,7 +312,7 @@
 @pytest.mark.parametrize("seconds", [LEASE_S + 1, 3 * LEASE_S, 1.5 * CANCEL_S])
 @pytest.mark.parametrize("count", [3, 7])
 def test_all_accepted_jobs_run_after_all_controllers_were_down_beyond_a_lease(seconds, count):
-    # Must not happen: forgotten, ran_twice on machines whose sessions ended, ran_cancelled.
+    # Must not happen: `forgotten`, `ran_cancelled`, `ran_twice` on machines with expired leases.
     sim = busy_cluster(count, run_s=20.0)
     sim.cancel("job-1")
     sim.submit("job-5", spec("service", 2, "blue"))
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -22,15 +22,15 @@
     abort = close
 
 
-def talk(data: bytes):
-    """Send bytes to the front and return (response, commands, whether it was closed)."""
+def send_bytes(data: bytes):
+    """Send bytes to the public endpoint; return (response, commands, whether it closed)."""
     commands = []
-    front = RequestRouter(lambda command: not commands.append(command))
-    proto = ServerProtocol(front.handle_public, set(), 10)
+    router = RequestRouter(lambda command: not commands.append(command))
+    protocol = ServerProtocol(router.handle_public, set(), 10)
     transport = FakeTransport()
-    proto.connection_made(transport)
+    protocol.connection_made(transport)
     for byte in range(0, len(data), 50_000):
-        proto.data_received(data[byte : byte + 50_000])
+        protocol.data_received(data[byte : byte + 50_000])
     return transport.data, commands, transport.closed
 
 
@@ -52,20 +52,20 @@
     ],
 )
 def test_invalid_requests_are_answered_and_not_passed_on(data, status):
-    answer, commands, closed = talk(data)
+    answer, commands, closed = send_bytes(data)
     assert answer.startswith(f"HTTP/1.1 {status} ".encode())
     assert commands == []
     assert closed == data.startswith(b"garbage")
 
 
 def test_valid_requests_become_commands():
-    _, commands, _ = talk(post("/api/jobs", encode(SUBMISSION)))
+    _, commands, _ = send_bytes(post("/api/jobs", encode(SUBMISSION)))
     assert isinstance(commands[0], messages.SubmitJob)
     assert commands[0].job_id == "job-000412"
-    _, commands, _ = talk(post("/api/jobs/job-7/cancel", b""))
+    _, commands, _ = send_bytes(post("/api/jobs/job-7/cancel", b""))
     assert isinstance(commands[0], messages.CancelJob)
     assert commands[0].job_id == "job-7"
-    # A known job is answered 200 whatever else the body says, so the core must see the id.
-    _, commands, _ = talk(post("/api/jobs", encode({"id": "job-5"})))
+    # A known job is answered 200 whatever else the body contains, so the core needs the id.
+    _, commands, _ = send_bytes(post("/api/jobs", encode({"id": "job-5"})))
     assert (commands[0].job_id, commands[0].spec) == ("job-5", None)
     assert commands[0].malformed
--- a/tests/test_late_messages.py
+++ b/tests/test_late_messages.py
@@ -26,13 +26,13 @@
 )
 
 
-def copy_of(sim: Simulation, name: str) -> Heartbeat:
-    """Return a report of a machine as it is now, to be delivered later."""
+def snapshot_heartbeat(sim: Simulation, name: str) -> Heartbeat:
+    """Return the present heartbeat of a machine, for later delivery."""
     return sim.workers[name].snapshot()
 
 
 def deliver(sim: Simulation, label: str, heartbeat: Heartbeat) -> list[int]:
-    """Deliver a copy of a report; return the status of its answer, which goes nowhere."""
+    """Deliver a copy of a heartbeat; return the status of its answer, which no worker gets."""
     answers: list[int] = []
     sim.command(
         label, messages.ReceiveHeartbeat(lambda status, _: answers.append(status), heartbeat)
@@ -45,12 +45,12 @@
     sim.submit("job-1", spec("array", 4, estimate_s=1.0))
     sim.run(10)
     name = running_machines(sim)[0]
-    old = copy_of(sim, name)
+    heartbeat = snapshot_heartbeat(sim, name)
     sim.run(80 + constants.TERMINATION_KEEP_S)
     assert sim.workers[name].dead
     assert not any(key.startswith("ox/gone") for key in sim.store.rows)
     for label in sim.labels:
-        assert deliver(sim, label, old) == [503]
+        assert deliver(sim, label, heartbeat) == [503]
     sim.run(3)
     assert not any(name in core.context.machines for core in sim.cores.values())
 
@@ -59,8 +59,8 @@
 def test_late_heartbeats_at_a_restarted_controller_change_no_decision(count):
     sim = busy_cluster(count)
     name = running_machines(sim)[0]
-    old = copy_of(sim, name)
-    sim.run(90)  # the machine is idle by now, and given back
+    heartbeat = snapshot_heartbeat(sim, name)
+    sim.run(90)  # the machine becomes idle and is returned
     sim.submit("job-2", spec("array", 4, "red", estimate_s=20.0))
     sim.run(12)
     for label in sim.labels:
@@ -68,11 +68,12 @@
     sim.run(0.8)
     terms = sim.store.rows["ox/term"][0]
     for label in sim.labels:
-        deliver(sim, label, old)
+        deliver(sim, label, heartbeat)
         machine = sim.cores[label].context.machines.get(name)
         assert machine is None or not reachability.is_reachable(machine)
     sim.run(3)
-    assert sim.store.rows["ox/term"][0] <= terms + count  # each raises its own at its start
+    # Each controller raises the term once at its start.
+    assert sim.store.rows["ox/term"][0] <= terms + count
     assert sim.unfinished_jobs(100) == set()
     assert not any(name in core.context.machines for core in sim.cores.values())
 
@@ -80,7 +81,7 @@
 @pytest.mark.parametrize("verb", ["launch", "halt"])
 @pytest.mark.parametrize("seconds", [3.0, LEASE_S - 1, 3 * LEASE_S])
 def test_a_worker_command_delayed_across_a_controller_change_breaks_no_rule(verb, seconds):
-    for moved in (False, True):
+    for controller_crash in (False, True):
         sim = DelayedCommands(6, verb, seconds)
         sim.capacity = 3
         sim.run(8)
@@ -94,7 +95,7 @@
         sim.submit("job-2", spec("gang", 2, "blue", estimate_s=4.0))
         sim.run(1)
         assert sim.delayed_at
-        if moved:
+        if controller_crash:
             sim.crash(busiest_controller(sim), 0.2)
         sim.run(seconds + 2)
         sim.armed = False
@@ -102,24 +103,26 @@
 
 
 def test_a_start_command_is_not_resent_after_its_task_was_forgotten(monkeypatch):
-    """A repeated `launch` after `forget` would run the task again. A controller sends each attempt
-    of one term only while its binding exists and no earlier command for it is unresolved, and
-    forgets it after the binding has ended."""
+    """A repeated `launch` after `forget` would run the task again.
+
+    A controller sends the start of an attempt only while its binding exists and no earlier command
+    for it is unresolved, and sends `forget` only after the binding has ended.
+    """
     sim = Simulation(1)
     sim.run(12)
     sent: dict[tuple, set[str]] = {}
-    twice: list[tuple] = []
-    obey = FakeWorker.apply_commands
+    repeated_starts: list[tuple] = []
+    apply_commands = FakeWorker.apply_commands
 
-    def noted(self: FakeWorker, fencing_token: int, orders: list) -> None:
+    def record_commands(self: FakeWorker, fencing_token: int, orders: list) -> None:
         for order in orders:
             task = (self.name, order["piece"], order["try"])
             if order["verb"] == "launch" and "forget" in sent.get(task, ()):
-                twice.append(task)
+                repeated_starts.append(task)
             sent.setdefault(task, set()).add(order["verb"])
-        obey(self, fencing_token, orders)
+        apply_commands(self, fencing_token, orders)
 
-    monkeypatch.setattr(FakeWorker, "apply_commands", noted)
+    monkeypatch.setattr(FakeWorker, "apply_commands", record_commands)
     sim.slow_rate = sim.duplicate_rate = 0.05
     for step in range(12):
         sim.submit(f"job-2{step}", spec("array", 3, "red" if step % 2 else "blue", estimate_s=2.0))
@@ -129,30 +132,30 @@
     sim.slow_rate = sim.duplicate_rate = 0.0
     check_recovered(sim, 60)
     assert sum("forget" in verbs for verbs in sent.values()) >= 20
-    assert not twice
+    assert not repeated_starts
 
 
 @pytest.mark.parametrize("count", [3, 7])
 def test_a_replayed_heartbeat_changes_nothing_at_any_controller(count):
     sim = busy_cluster(count, run_s=9.0)
-    old: list[Any] = []
+    old_heartbeats: list[Any] = []
 
     for step in range(8):
-        old += [sim.workers[name].peek() for name in running_machines(sim)]
-        if step == 3:  # the sessions end
+        old_heartbeats += [sim.workers[name].peek() for name in running_machines(sim)]
+        if step == 3:  # their leases expire
             sim.drop_inbound(running_machines(sim)[:2], 1.5 * LEASE_S)
         sim.submit(f"job-1{step}", spec("array", 3, "red" if step % 2 else "blue"))
         sim.run(3)
     sim.submit("job-9", spec("service", 3, "blue"))
     sim.run(25)
     sim.crash(sim.labels[-1], 0.1)
-    sim.run(0.3)  # just started: it has not heard the machines
-    for heartbeat in reversed(old):
+    sim.run(0.3)  # just started: no heartbeat has arrived yet
+    for heartbeat in reversed(old_heartbeats):
         for label in sim.labels:
             machine = sim.cores[label].context.machines.get(heartbeat.machine)
-            known = machine and machine.version
+            version = machine and machine.version
             deliver(sim, label, heartbeat)
-            assert machine is None or machine.version >= known
+            assert machine is None or machine.version >= version
         sim.run(0.02)
     before = sim.start_log[:]
     sim.run(20)
@@ -160,7 +163,8 @@
     check_recovered(sim, 60)
 
 
-UNGUARDED = {"n", "gone", "types", "version"}  # facts that stay true, and a node's own key
+# Records of facts that never become false, and a controller's own key.
+UNGUARDED = {"n", "gone", "types", "version"}
 
 
 @pytest.mark.parametrize("count", [3, 7])
@@ -187,21 +191,21 @@
             sim.store.refused = {sim.labels[1]}
             sim.after(6.0, lambda: setattr(sim.store, "refused", set()))
         sim.run(5)
-    sim.submit("job-9", spec("array", 20, gpus=0.0, cpus=0.1))  # too large for a page
-    sim.kill(sim.running_tasks()[0][0].name)  # so that a machine is recorded as gone
+    sim.submit("job-9", spec("array", 20, gpus=0.0, cpus=0.1))  # too large for a batch record
+    sim.kill(sim.running_tasks()[0][0].name)  # so that its termination is recorded
     sim.run(40)
-    seen = set().union(*(record_kinds(transaction.writes) for _, transaction in sim.sent))
-    assert seen >= {"j", "t", "p", "own", "n", "term", "version", "format", "gone", "types"}
+    written = set().union(*(record_kinds(transaction.writes) for _, transaction in sim.sent))
+    assert written >= {"j", "t", "p", "own", "n", "term", "version", "format", "gone", "types"}
     for _, transaction in sim.sent:
         writes = transaction.writes
         keys = {write[0] for write in writes if write[0].split("/")[1] not in UNGUARDED}
-        guarded = {key for key, _ in transaction.conditions}
-        assert keys <= guarded, keys
-        # Who was replaced must not bind a task beside what its successor has bound (R quota).
+        condition_keys = {key for key, _ in transaction.conditions}
+        assert keys <= condition_keys, keys
+        # A replaced role holder must not bind tasks in addition to its successor (rule `quota`).
         assert not record_kinds(writes) & {"t", "p"} or any(
-            k.startswith("ox/own/") for k in guarded
+            k.startswith("ox/own/") for k in condition_keys
         )
-    for core in sim.cores.values():  # nobody writes for a while, but what was sent comes again
+    for core in sim.cores.values():  # no new writes; only the recorded transactions are repeated
         core.step = lambda now, commands: []  # type: ignore[method-assign]
     rows = {k: v[:2] for k, v in sim.store.rows.items()}
     for label, transaction in [*sim.sent, *reversed(sim.sent)]:
@@ -223,13 +227,13 @@
     sim.submit("job-2", spec("array", 4, "blue", estimate_s=60.0))
     sim.run(10)
     before = len(sim.start_log)
-    again = [row for row in sim.sent if kind in record_kinds(row[1].writes)]
-    assert again
-    for label, transaction in again:
+    transactions = [row for row in sim.sent if kind in record_kinds(row[1].writes)]
+    assert transactions
+    for label, transaction in transactions:
         sim.store.serve(label, transaction)
         sim.run(0.2)
     sim.run(20 + constants.TERMINATION_KEEP_S)
-    assert len(sim.start_log) == before  # no role, machine or task was lost by it
+    assert len(sim.start_log) == before  # the repeated write lost no role, machine or task
     gone = [key for key in sim.store.rows if key.startswith("ox/gone/")]
     assert not gone
     assert sorted(sim.cores["h0"].context.replica.live_controllers) == sim.labels
@@ -237,7 +241,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_late_writes_of_crashed_controllers_with_late_heartbeats_of_unreachable_machines(seed):
+def test_late_writes_of_crashed_controllers_and_late_heartbeats_together(seed):
     sim = Simulation(seed, 7 if seed == 3 else 3)
     sim.run(10)
     sim.late_write_share, sim.late_copy_share = 0.25, 0.3
@@ -260,7 +264,7 @@
                 sim.rng.sample(running_machines(sim), min(2, len(running_machines(sim)))),
                 2 * LEASE_S,
             )
-        if step == 9:  # a zone cut off while all controllers are started anew
+        if step == 9:  # a zone is partitioned while all controllers restart
             zone = [name for name in running_machines(sim) if sim.workers[name].zone == "a"]
             partition_machines(sim, zone, 1.3 * LEASE_S)
             for label in sim.labels:
@@ -270,10 +274,10 @@
 
 
 class UnansweredTransactions(RepeatedTransactions):
-    """Loses the answer of the n-th transaction that changes something of a kind."""
+    """Loses the answer of the n-th transaction that changes records of a kind."""
 
     def __init__(self, kind: str, at: int, count: int) -> None:
-        self.kind, self.left, self.armed = kind, at, False
+        self.kind, self.remaining, self.armed = kind, at, False
         super().__init__(5, count)
 
     def send_to_store(
@@ -284,8 +288,8 @@
             and isinstance(effect, messages.Transaction)
             and self.kind in record_kinds(effect.writes)
         ):
-            self.left -= 1
-            if self.left == 0:
+            self.remaining -= 1
+            if self.remaining == 0:
                 self.after(self.delay(), lambda: self.store.serve(label, effect))
                 self.after(constants.STORE_TIMEOUT_S, lambda: done((0, None)))
                 return
@@ -294,9 +298,9 @@
 
 @pytest.mark.parametrize("kind", ["j", "t", "p", "own", "term", "n"])
 @pytest.mark.parametrize("count", [3, 7])
-def test_a_writer_without_an_answer_neither_reverts_nor_repeats_a_committed_write(kind, count):
-    # Must not happen: a task bound or a job accepted twice, a cancellation or an end taken back.
-    # Small jobs have their bindings in pages, larger ones in records of their own.
+def test_an_unanswered_write_is_neither_reverted_nor_repeated(kind, count):
+    # Must not happen: a task bound or a job accepted twice, a cancellation or an end undone.
+    # Small jobs have their bindings in shared batch records, larger jobs in their own records.
     tasks, gpus = (constants.BATCH_JOB_TASKS + 1, 0.1) if kind == "t" else (2, 1.0)
     for at in {"j": (1, 2, 4, 7), "t": (1, 2, 3), "p": (1, 2, 3)}.get(kind, (1,)):
         sim = UnansweredTransactions(kind, at, count)
@@ -321,45 +325,48 @@
                 sim.after(1.2, lambda n=step, sim=sim: sim.cancel(f"job-{n}"))
             sim.run(2)
         sim.run(6)
-        assert sim.left <= 0
+        assert sim.remaining <= 0
         sim.query_burst_share = 0.0
         attempts = [(task, attempt) for _, task, attempt, _ in sim.start_log]
         assert len(attempts) == len(set(attempts))
         check_recovered(sim, 40)
 
 
-@pytest.mark.parametrize("when", [0.05, 0.3, 0.7, 1.2, 2.0, 4.0])
+@pytest.mark.parametrize("delay_s", [0.05, 0.3, 0.7, 1.2, 2.0, 4.0])
 @pytest.mark.parametrize("count", [3, 7])
-def test_stale_heartbeats_at_a_new_leader_change_nothing(when, count):
-    """Of earlier sessions, tokens and attempts, before and after its first own report. Must not
-    happen: a task taken for gone or for done, a machine back that is gone."""
+def test_stale_heartbeats_at_a_new_leader_change_nothing(delay_s, count):
+    """The heartbeats show old agent epochs, fencing tokens and attempts.
+
+    They arrive before or after the first heartbeat to the new leader. Must not happen: a running
+    task counts as gone or done, a terminated machine counts as alive.
+    """
     sim = Simulation(5, count)
     sim.run(12)
     for number in range(4):
         sim.submit(
             f"job-{number}", spec("array", 3, "red" if number < 2 else "blue", estimate_s=300.0)
         )
-    old = []
+    old_heartbeats = []
     for step in range(5):
         sim.run(3)
-        old += [sim.workers[name].peek() for name in running_machines(sim)]
+        old_heartbeats += [sim.workers[name].peek() for name in running_machines(sim)]
         if step == 1:
             sim.drop_inbound(running_machines(sim)[:1], 1.2 * LEASE_S)
         if step == 3:
             sim.kill(running_machines(sim)[0])
     sim.run(50)
-    where = sorted((task, worker.name) for worker, task, _ in sim.running_tasks())
+    placement = sorted((task, worker.name) for worker, task, _ in sim.running_tasks())
     starts = len(sim.start_log)
-    ended = {busiest_controller(sim), role_holder(sim, "red"), role_holder(sim, "#fleet")}
-    for label in ended:
+    crashed = {busiest_controller(sim), role_holder(sim, "red"), role_holder(sim, "#fleet")}
+    for label in crashed:
         sim.crash(label, 0.2)
-    sim.run(0.2 + when)
-    for heartbeat in [*old, *reversed(old)]:
+    sim.run(0.2 + delay_s)
+    for heartbeat in [*old_heartbeats, *reversed(old_heartbeats)]:
         for label in sim.labels:
             if sim.cores[label] is not None:
                 deliver(sim, label, heartbeat)
     sim.run(8)
-    left = sorted((task, worker.name) for worker, task, _ in sim.running_tasks())
-    assert left == where
+    final_placement = sorted((task, worker.name) for worker, task, _ in sim.running_tasks())
+    assert final_placement == placement
     assert len(sim.start_log) == starts
     check_recovered(sim, 350)
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -27,18 +27,18 @@
 
 
 def test_roles_are_rebalanced_after_a_controller_returns():
-    # Roles once stayed where a takeover had put them: one controller wrote for all.
+    # Otherwise roles stay where a takeover put them, and one controller writes for all teams.
     sim = idle_cluster()
     for label in ("h0", "h1"):
         sim.crash(label, 8.0)
     sim.run(7)
     assert len(sim.cores["h2"].context.held_roles) == 3
     sim.run(30)
-    held = sorted(len(core.context.held_roles) for core in sim.cores.values())
-    assert held == [1, 1, 1]
+    role_counts = sorted(len(core.context.held_roles) for core in sim.cores.values())
+    assert role_counts == [1, 1, 1]
 
 
-def test_capacity_granted_to_a_crashed_role_holder_is_freed_once_another_takes_over():
+def test_capacity_offered_to_a_crashed_role_holder_is_freed_after_takeover():
     sim = idle_cluster()
     sim.submit("job-1", spec("array", 1, "red", estimate_s=3.0))
     sim.run(12)
@@ -48,7 +48,7 @@
     worker.controller_index = (sim.labels.index(owner) + 1) % 3
     sim.run(2)
     for core in sim.cores.values():
-        core.autoscaler.scale_out.rentals.rent = lambda *a: None  # one machine has to do
+        core.autoscaler.scale_out.rentals.rent = lambda *a: None  # no second machine is rented
     sim.cores[owner].scheduler.writer.flush = lambda: None
     sim.submit("job-2", spec("array", 1, "red", gpus=4.0, estimate_s=60.0))
     sim.run(0.5)
@@ -59,51 +59,53 @@
 
 @pytest.mark.parametrize("at", range(1, 25))
 def test_each_role_has_one_holder_after_candidates_restart_at_any_message(at):
-    for who in (1, 2, 3):
+    for crashes in (1, 2, 3):
         for served in (True, False):
-            sim = QuickRestart(at, who, 0.05 + 0.1 * (at % 3), served)
+            sim = QuickRestart(at, crashes, 0.05 + 0.1 * (at % 3), served)
             sim.run(5)
             sim.armed = True
-            for label in sim.labels:  # all roles are free at once, and all controllers claim
+            for label in sim.labels:  # all roles become free at once, and all controllers claim
                 sim.crash(label, 0.1)
             sim.run(14)
-            held = sorted(r for core in sim.cores.values() for r in core.context.held_roles)
-            assert held == ["#fleet", "blue", "red"], (at, who, served)
+            held_roles = sorted(r for core in sim.cores.values() for r in core.context.held_roles)
+            assert held_roles == ["#fleet", "blue", "red"], (at, crashes, served)
             assert sorted(sim.cores["h0"].context.replica.live_controllers) == sim.labels, (
                 at,
-                who,
+                crashes,
                 served,
             )
 
 
-def test_a_late_write_of_an_earlier_incarnation_does_not_deregister_a_controller():
+def test_a_late_write_of_an_old_incarnation_does_not_deregister_a_controller():
     sim = idle_cluster()
     core = sim.cores["h1"]
-    old = (controller_key("h1"), core.context.incarnation, core.leadership.lease.lease_id)
+    old_write = (controller_key("h1"), core.context.incarnation, core.leadership.lease.lease_id)
     sim.crash("h1", 0.1)
     sim.run(1.5)
-    held_up = messages.Transaction(0, [], [old], constants.LEADERSHIP_WRITE_PRIORITY)
-    assert sim.store.serve("h1", held_up)[0] == 200
+    late_write = messages.Transaction(0, [], [old_write], constants.LEADERSHIP_WRITE_PRIORITY)
+    assert sim.store.serve("h1", late_write)[0] == 200
     sim.run(constants.CONTROLLER_LEASE_S + 6)
     assert "h1" in sim.cores["h0"].context.replica.live_controllers
     assert sim.store.rows[controller_key("h1")][0] == sim.cores["h1"].context.incarnation
 
 
-def test_a_role_holder_that_was_frozen_returns_no_machine_for_its_own_silence():
-    # With the state service out as well, its lease and its role were still there afterwards.
+def test_a_frozen_fleet_holder_returns_no_machines_when_it_resumes():
+    # With the store down as well, its lease and its role still exist afterwards. Its own silence
+    # must not count as silence of the machines.
     sim = busy_cluster()
     holder = next(label for label, core in sim.cores.items() if FLEET in core.context.held_roles)
     names = running_machines(sim)
     sim.store.outage(4 * LEASE_S)
     sim.run(1)
     sim.freeze(holder, 4 * LEASE_S - 1)
-    sim.after(4 * LEASE_S - 1.001, lambda: sim.frozen[holder].clear())  # its connections are gone
+    # The connections are closed by then, so queued messages are lost.
+    sim.after(4 * LEASE_S - 1.001, lambda: sim.frozen[holder].clear())
     sim.run(4 * LEASE_S + 1.5)
     assert not any(sim.workers[name].dead for name in names)
 
 
-def test_unwritten_changes_of_an_earlier_holding_do_not_overwrite_the_next_holders():
-    # A late twin of a claim can win a role back in the moment in which its next holder lets go.
+def test_unwritten_changes_do_not_overwrite_those_of_a_later_role_holder():
+    # A duplicate of an old claim can win a role back when its next holder releases it.
     sim = Simulation(2)
     sim.capacity = 2
     sim.run(10)
@@ -115,34 +117,34 @@
         sim.run(0.2)
     sim.stalled_watches = {owner}
     [binding] = core.scheduler.buffer.changed["job-1"][0].bindings.values()
-    theirs = binding._replace(attempt=5, agent_epoch=binding.agent_epoch + 1)
-    block = TaskBlock(0, 5, 0, {0: theirs})
-    state = sim.store
-    mine, _, lease = state.rows[role_key("red")]
+    next_binding = binding._replace(attempt=5, agent_epoch=binding.agent_epoch + 1)
+    block = TaskBlock(0, 5, 0, {0: next_binding})
+    store = sim.store
+    own_value, _, lease = store.rows[role_key("red")]
     for key, value in (
         (role_key("red"), None),
         (role_key("red"), [other, 1]),
         (block_key("job-1", 0), encode_block(block, 2)),
         (role_key("red"), None),
-        (role_key("red"), mine),
+        (role_key("red"), own_value),
     ):
-        state.revision += 1
+        store.revision += 1
         if value is None:
-            state.drop(key)
+            store.drop(key)
         else:
-            state.put(key, value, lease)
+            store.put(key, value, lease)
     sim.stalled_watches = set()
     sim.run(0.1)
     core.scheduler.writer.write_after = 0.0
     sim.run(2)
     assert not [row for row in sim.start_log if row[1] == "job-1/0"]
-    assert decode_block(*state.rows[block_key("job-1", 0)][:2]).bindings == {0: theirs}
+    assert decode_block(*store.rows[block_key("job-1", 0)][:2]).bindings == {0: next_binding}
 
 
 @pytest.mark.parametrize("outage", [False, True])
 @pytest.mark.parametrize("count", [3, 7])
 def test_ten_leader_changes_in_two_minutes_lose_and_repeat_no_task(count, outage):
-    # Must not happen: a task of a live machine started anew, a cancelled job that comes back.
+    # Must not happen: a task of a live machine starts again, a cancelled job is restored.
     sim = busy_cluster(count, run_s=400.0)
     sim.late_copy_share = 0.2
     if outage:
@@ -158,9 +160,9 @@
         sim.crash(busiest_controller(sim), 0.3 if step % 2 else 4.0)
         sim.run(10.0)
     sim.late_copy_share = 0.0
-    begun: dict[str, tuple[str, int]] = {}
+    last_start: dict[str, tuple[str, int]] = {}
     for _, task, attempt, name in sim.start_log:
-        before = begun.get(task)
+        before = last_start.get(task)
         assert before is None or before[1] != attempt, task
-        begun[task] = (name, attempt)
+        last_start[task] = (name, attempt)
     check_recovered(sim, 450)
--- a/tests/test_partitions.py
+++ b/tests/test_partitions.py
@@ -18,12 +18,12 @@
 )
 
 
-def test_the_tasks_of_a_partitioned_machine_are_not_replaced_before_termination_is_proven():
+def test_tasks_of_a_partitioned_machine_wait_for_proof_of_termination():
     sim = idle_cluster()
     sim.submit("job-1", spec("service", 1))
     sim.run(10)
     worker = sim.running_tasks()[0][0]
-    sim.cloud_down = True  # it can't be returned either
+    sim.cloud_down = True  # the machine can't be returned either
     for label in sim.labels:
         sim.cuts.add(frozenset((label, worker.name)))
     sim.run(LEASE_S + 1)
@@ -51,39 +51,40 @@
 
 
 @pytest.mark.parametrize("count", [3, 7])
-def test_a_controller_that_reaches_only_its_workers_releases_them_in_time(count):
+def test_an_isolated_controller_releases_its_workers_in_time(count):
     sim = Simulation(5, count)
     sim.run(12)
     sim.submit("job-1", spec("service", 6, "blue"))
     sim.submit("job-2", spec("service", 6, "red"))
     sim.run(12)
-    alone = max(
+    isolated = max(
         sim.labels,
         key=lambda label: sum(
             1 for m in sim.cores[label].context.machines.values() if m.manager == label
         ),
     )
-    sim.isolate(alone, 3 * CANCEL_S)
-    # the others can't hear its workers either: they stay as long as they may
+    sim.isolate(isolated, 3 * CANCEL_S)
+    # Its workers can't reach the other controllers, so they keep reporting to it.
     for name in running_machines(sim):
         for label in sim.labels:
-            if label != alone:
+            if label != isolated:
                 sim.one_way.add((name, label))
     sim.run(1)
-    there, starts = running_machines(sim), len(sim.start_log)
+    isolated_machines, starts = running_machines(sim), len(sim.start_log)
     health: list[int] = []
-    taken: list[int] = []
+    submit_status: list[int] = []
     sim.cancel("job-1")
     sim.run(constants.ISOLATION_S + 1)
-    sim.command(alone, messages.CheckHealth(lambda status, _: health.append(status)))
-    sim.specs["job-3"] = spec()  # what is written late is accepted, though nobody was told
+    sim.command(isolated, messages.CheckHealth(lambda status, _: health.append(status)))
+    sim.specs["job-3"] = spec()  # its record may be written late, without an answer to the user
     sim.command(
-        alone, messages.SubmitJob(lambda status, _: taken.append(status), "job-3", spec(), "")
+        isolated,
+        messages.SubmitJob(lambda status, _: submit_status.append(status), "job-3", spec(), ""),
     )
     sim.run(CANCEL_S + 3)  # the fakes check that no task of job-1 is left
     assert health == [503]
-    assert taken == [503]
-    assert not {name for *_, name in sim.start_log[starts:]} & set(there)
+    assert submit_status == [503]
+    assert not {name for *_, name in sim.start_log[starts:]} & set(isolated_machines)
     sim.one_way.clear()
     sim.run(2 * CANCEL_S)
     assert sim.unfinished_jobs(60) == set()
@@ -93,16 +94,16 @@
 def test_a_partitioned_zone_whose_controller_crashes_loses_its_tasks_only_once(count):
     sim = busy_cluster(count, run_s=40.0)
     inside, zone = sim.labels[0], running_machines(sim)[:2]
-    pairs = {frozenset((label, name)) for label in sim.labels[1:] for name in zone}
-    pairs |= {frozenset((inside, other)) for other in [*sim.labels[1:], "state"]}
-    sim.cuts |= pairs
+    links = {frozenset((label, name)) for label in sim.labels[1:] for name in zone}
+    links |= {frozenset((inside, other)) for other in [*sim.labels[1:], "state"]}
+    sim.cuts |= links
     sim.run(4)
     sim.crash(inside, 7.0)
     sim.run(2.5 * LEASE_S)
-    sim.cuts -= pairs
+    sim.cuts -= links
     before = len(sim.start_log)
     sim.run(6)
-    assert len(sim.start_log) > before  # as soon as their reports say so
+    assert len(sim.start_log) > before  # as soon as heartbeats show that the tasks are gone
     assert sim.unanswered_jobs() == set()
     assert sim.unfinished_jobs(60) == set()
 
@@ -111,7 +112,7 @@
     "seconds",
     [LEASE_S, CANCEL_S - LEASE_S - constants.CANCELLATION_MARGIN_S, CANCEL_S, 2.5 * CANCEL_S],
 )
-def test_a_leader_that_reaches_only_workers_and_users_acts_on_no_overridden_state(seconds):
+def test_an_isolated_controller_does_not_act_on_outdated_state(seconds):
     sim = busy_cluster(run_s=200.0)
     move_workers_to(sim, "h0")
     sim.isolate("h0", seconds)
@@ -120,7 +121,7 @@
     sim.run(0.3)
     cancel_through(sim, "h1", "job-0")
     sim.specs["job-7"] = sim.specs["job-8"] = spec("array", 2)
-    late = [
+    late_answers = [
         sim.send_request("h0", messages.SubmitJob, "job-7", spec("array", 2), ""),
         sim.send_request("h0", messages.QueryJob, "job-0"),
         sim.send_request("h0", messages.CancelJob, "job-1"),
@@ -131,7 +132,7 @@
     assert not {name for *_, name in sim.start_log[starts:]} & set(
         machines_reporting_to(sim, "h0")
     )
-    assert all(status == 503 for answers in late for status, _ in answers)
+    assert all(status == 503 for answers in late_answers for status, _ in answers)
     sim.run(CANCEL_S)
     sim.submit("job-7", spec("array", 2))
     check_recovered(sim, 220)
@@ -140,8 +141,8 @@
 @pytest.mark.parametrize("seconds", [0.8 * LEASE_S, 1.3 * LEASE_S, 3 * LEASE_S])
 @pytest.mark.parametrize("count", [3, 7])
 def test_a_long_partition_of_a_zone_with_its_controller_breaks_no_rule(seconds, count):
-    # Must not happen: cancelled work that goes on inside, kept alive by the controller there; a
-    # task that starts outside while it runs inside; a job that waits for ever afterwards.
+    # Must not happen: a cancelled task keeps running in the zone because the controller there
+    # renews its lease; a task starts outside while it runs inside; a job never starts afterwards.
     sim = busy_cluster(count, run_s=90.0)
     inside, outside = sim.labels[0], sim.labels[1]
     names = [
@@ -153,11 +154,11 @@
         sim.workers[name].controller_index = 0
     sim.run(3)
     others = [label for label in sim.labels if label != inside]
-    far = [name for name in running_machines(sim) if name not in names]
-    pairs = {frozenset((inside, end)) for end in [*others, "state", *far]}
-    pairs |= {frozenset((label, name)) for label in others for name in names}
-    sim.cuts |= pairs
-    sim.after(seconds, lambda: sim.cuts.difference_update(pairs))
+    outside_machines = [name for name in running_machines(sim) if name not in names]
+    links = {frozenset((inside, end)) for end in [*others, "state", *outside_machines]}
+    links |= {frozenset((label, name)) for label in others for name in names}
+    sim.cuts |= links
+    sim.after(seconds, lambda: sim.cuts.difference_update(links))
     sim.run(0.3)
     sim.cancel("job-0")
     sim.submit("job-5", spec("gang", 3, "red", one_zone=True, estimate_s=5.0))
@@ -172,7 +173,7 @@
 
 @pytest.mark.parametrize("count", [3, 7])
 def test_jobs_constrained_to_a_zone_that_loses_its_machines_resume_there(count):
-    # Must not happen: wrong_place, tasks of one job in two zones, a job that waits for ever.
+    # Must not happen: `wrong_place`, tasks of one job in two zones, a job that never starts.
     sim = Simulation(4, count)
     sim.run(10)
     sim.submit("job-1", spec("array", 6, "red", zone="a", estimate_s=30.0))
@@ -180,14 +181,14 @@
     sim.submit("job-3", spec("gang", 3, "blue", one_zone=True, estimate_s=30.0))
     sim.submit("job-4", spec("service", 2, "red", spread=True))
     sim.run(14)
-    for turn in range(2):
+    for round_number in range(2):
         zones = {
             w.zone for w, task, _ in sim.running_tasks() if task.startswith(("job-1/", "job-2/"))
         }
         for name in running_machines(sim):
             if sim.workers[name].zone in zones:
                 sim.kill(name)
-        sim.crash(role_holder(sim, "#fleet" if turn else "red"), 0.5)
+        sim.crash(role_holder(sim, "#fleet" if round_number else "red"), 0.5)
         sim.run(8 * LEASE_S)
     assert sim.startable_jobs() == set()
     check_recovered(sim, 150)
--- a/tests/test_peer_client.py
+++ b/tests/test_peer_client.py
@@ -9,11 +9,11 @@
 from oakmux.transport.peer_client import PeerClient
 
 
-def view_of(machine: str) -> MachineView:
+def machine_view(machine: str) -> MachineView:
     return MachineView(1, machine, "10.1.0.1:1", "big", "a", False, 1, 1, 1, None, [], [])
 
 
-def test_messages_that_cannot_be_read_are_left_out_of_a_batch(caplog):
+def test_undecodable_messages_are_left_out_of_a_batch(caplog):
     rows = [["nonsense"], [], ["view", 1], [["lent"], 1.0], ["lent", 0.75]]
     batch = decode_batch(encode(["batch", "h1", rows, 5]))
     assert batch.messages == [LendChanges(0.75)] and batch.since == 5
@@ -22,15 +22,15 @@
     ] * 4
 
 
-def test_machine_views_are_batched_unless_an_urgent_message_goes_to_that_peer():
-    # Each changed report was a request to six peers by itself.
+def test_machine_views_are_batched_until_an_urgent_message_is_sent():
+    # Otherwise each changed heartbeat causes one request to each of six peers.
     sent: list[tuple[float, list]] = []
 
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
         peer = PeerClient("h0", "h1", "10.0.0.2:81", lambda command: None, lambda: 7)
 
-        async def request(addr, method, path, body, timeout, most):
+        async def request(addr, method, path, body, timeout, limit):
             sent.append((loop.time() - start, [m[0] for m in decode(body)[2]]))
             return 200, encode(["peer", "h1", 1, 0.0, []])
 
@@ -38,10 +38,10 @@
         start = loop.time()
         sender = asyncio.ensure_future(peer.send_batches())
         for name in ("m1", "m2"):
-            peer.send(view_of(name))
+            peer.send(machine_view(name))
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.4)
-        peer.send(view_of("m1"))
+        peer.send(machine_view("m1"))
         await asyncio.sleep(0.02)
         peer.send(Offer("m1", "job-1", 1, 1, 1, "h0"))
         await asyncio.sleep(0.4)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Unhealthy machines and faulty jobs are told apart."""
+"""Failures are attributed to unhealthy machines or to faulty jobs."""
 
 import pytest
 
@@ -22,12 +22,12 @@
     assert set(sim.reported_state.values()) == {"done"}
 
 
-def test_jobs_that_fail_everywhere_quarantine_no_machine_and_delay_no_other_job(caplog):
+def test_jobs_that_fail_everywhere_neither_quarantine_machines_nor_delay_jobs(caplog):
     caplog.set_level("INFO")
     sim = Simulation(2)
     sim.capacity = 4
     sim.run(12)
-    sim.submit("job-0", spec("service", 2, "blue"))  # its machine never sees a task done
+    sim.submit("job-0", spec("service", 2, "blue"))  # its machine never completes a task
     sim.run(10)
     for number in range(1, 7):
         sim.failing_jobs.add(f"job-{number}")
@@ -37,8 +37,10 @@
     sim.submit("job-8", spec("array", 8, "red", estimate_s=2.0))
     sim.run(30)
     assert wait_for_state(sim, "job-8", 1) == "done"
-    tries = [row for row in sim.start_log[before:] if row[1].startswith(tuple(sim.failing_jobs))]
-    assert len(tries) <= 6 * 4  # spaced out, and one task at a time
+    attempts = [
+        row for row in sim.start_log[before:] if row[1].startswith(tuple(sim.failing_jobs))
+    ]
+    assert len(attempts) <= 6 * 4  # with a backoff, one task at a time
     assert "why=quarantined" not in caplog.text
     assert sum(t.startswith("job-0/") for _, t, _ in sim.running_tasks()) == 2
     for number in range(1, 7):
@@ -51,7 +53,7 @@
 def test_a_job_that_failed_everywhere_is_retried_one_task_at_a_time(caplog):
     caplog.set_level("INFO")
     sim = busy_cluster(run_s=500.0)
-    # full: what it needs has to be stopped for it, at first
+    # The machines are full: at first, job-7 preempts other tasks.
     sim.capacity = len(running_machines(sim))
     sim.failing_jobs.add("job-7")
     sim.submit("job-7", spec("array", 8, "red", priority=2, estimate_s=0.5, gpus=0.0, cpus=6.0))
@@ -60,15 +62,16 @@
     caplog.clear()
     before = len(sim.start_log)
     sim.run(140)
-    tries = sorted(at for at, task, _, _ in sim.start_log[before:] if task.startswith("job-7/"))
+    attempts = sorted(at for at, task, _, _ in sim.start_log[before:] if task.startswith("job-7/"))
     assert "by=job-7" not in caplog.text
     assert all(
-        later - at > constants.RETRY_FIRST_S for at, later in zip(tries, tries[1:], strict=False)
+        later - at > constants.RETRY_FIRST_S
+        for at, later in zip(attempts, attempts[1:], strict=False)
     )
 
 
 def test_a_machine_is_returned_as_unhealthy_only_after_a_confirmation_delay():
-    for elsewhere in (True, False):
+    for fails_elsewhere in (True, False):
         sim = busy_cluster(run_s=500.0)
         name = running_machines(sim)[0]
         for number in range(10, 13):
@@ -82,10 +85,10 @@
         sim.run(constants.QUARANTINE_HOLD_S - 2)
         assert not sim.workers[name].dead
         for core in sim.cores.values():
-            for number in range(10, 13) if elsewhere else ():
+            for number in range(10, 13) if fails_elsewhere else ():
                 core.context.failures.record(f"job-{number}", "m-other")
         sim.run(6)
-        assert sim.workers[name].dead is not elsewhere
+        assert sim.workers[name].dead is not fails_elsewhere
 
 
 def test_without_failure_attribution_faulty_jobs_quarantine_machines(monkeypatch, caplog):
@@ -93,7 +96,7 @@
         FailureAttribution, "counts_against_machine", lambda self, job_id, machine: True
     )
     with pytest.raises(AssertionError):
-        test_jobs_that_fail_everywhere_quarantine_no_machine_and_delay_no_other_job(caplog)
+        test_jobs_that_fail_everywhere_neither_quarantine_machines_nor_delay_jobs(caplog)
 
 
 def test_an_unhealthy_machine_is_found_while_faulty_jobs_run():
@@ -101,13 +104,13 @@
     for number in range(10, 14):
         sim.failing_jobs.add(f"job-{number}")
         sim.submit(f"job-{number}", spec("array", 3, "red", estimate_s=0.5))
-    is_quarantined = sim.workers[running_machines(sim)[0]]
-    is_quarantined.fails_tasks = True
+    unhealthy = sim.workers[running_machines(sim)[0]]
+    unhealthy.fails_tasks = True
     for number in range(20, 32):
         sim.submit(f"job-{number}", spec("array", 2, "blue", estimate_s=1.0))
         sim.run(6)
     for number in range(10, 14):
         sim.cancel(f"job-{number}")
     sim.run(40)
-    assert is_quarantined.dead
+    assert unhealthy.dead
     assert sim.unfinished_jobs(60) == set()
--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -1,4 +1,4 @@
-"""The rules of the protocol under random faults, and that the checks can fail."""
+"""The protocol rules under random faults, and proof that each check can fail."""
 
 import pytest
 
@@ -27,21 +27,21 @@
 
 
 def test_random_faults_break_a_rule_without_termination_proofs(monkeypatch):
-    # Without the proof, a task that a report does not list yet is started a second time.
-    real = termination.prove_termination
+    # Without the proof, a task that the heartbeat does not list yet is started a second time.
+    prove_termination = termination.prove_termination
 
-    def hasty(context, machine, task, binding, shown):
+    def assume_termination(context, machine, task, binding, shown):
         if (
             machine is not None
             and machine.agent_epoch == binding.agent_epoch
             and task not in shown
         ):
             return termination.Termination("lost", False)
-        return real(
+        return prove_termination(
             context, machine, task, binding, {k: v for k, v in shown.items() if v[0] != "starting"}
         )
 
-    monkeypatch.setattr("oakmux.core.scheduling.binding.prove_termination", hasty)
+    monkeypatch.setattr("oakmux.core.scheduling.binding.prove_termination", assume_termination)
     with pytest.raises(AssertionError, match="ran_twice|quota|wrong_place"):
         for seed in range(1, 12):
             run_with_random_faults(seed)
@@ -52,7 +52,7 @@
     worker, task, attempt = sim.running_tasks()[0]
     other = next(sim.workers[name] for name in running_machines(sim) if name != worker.name)
     order = {"verb": "launch", "piece": task, "try": attempt + 1}
-    for state in PLACED:  # on its machine, whatever it does there
+    for state in PLACED:  # any state in which the task is placed
         worker.tasks[(task, attempt)][0] = state
         with pytest.raises(AssertionError, match="ran_twice"):
             other.apply_commands(other.fencing_token, [order])
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -12,14 +12,15 @@
 
 def test_records_round_trip_within_the_value_limit():
     zone = "z" * 40
-    per = tasks_per_block(8.0)
-    bound = {
-        i: Binding(2**40, f"n-{2**40}", 2**20, 2**40, zone) for i in range(100_000 - per, 100_000)
+    tasks = tasks_per_block(8.0)
+    bindings = {
+        i: Binding(2**40, f"n-{2**40}", 2**20, 2**40, zone)
+        for i in range(100_000 - tasks, 100_000)
     }
-    block = TaskBlock(9, 7, (1 << 63) | 5, bound)
+    block = TaskBlock(9, 7, (1 << 63) | 5, bindings)
     value = decode(encode(encode_block(block, 1)))
-    again = decode_block(value, 9)
-    assert (again.last_attempt, again.completed_mask, again.bindings) == (
+    decoded = decode_block(value, 9)
+    assert (decoded.last_attempt, decoded.completed_mask, decoded.bindings) == (
         block.last_attempt,
         block.completed_mask,
         block.bindings,
@@ -27,16 +28,16 @@
     assert len(json.dumps(value)) <= 8 * 1024
 
 
-def test_a_replica_drops_older_revisions():
+def test_a_replica_ignores_older_revisions():
     replica = Replica()
-    bound = encode_block(TaskBlock(0, 1, 0, {0: Binding(1, "m", 1, 1, "a")}), 1)
+    bindings = encode_block(TaskBlock(0, 1, 0, {0: Binding(1, "m", 1, 1, "a")}), 1)
     replica.apply(job_key("job-1"), ["queued", "red", None, 1, 2], 5)
-    replica.apply(block_key("job-1", 0), bound, 6)
+    replica.apply(block_key("job-1", 0), bindings, 6)
     replica.apply(block_key("job-1", 0), encode_block(TaskBlock(0, 1, 0, {}), 1), 4)
     assert replica.bindings.by_machine == {"m": {("job-1", 0): Binding(1, "m", 1, 1, "a")}}
     replica.apply(block_key("job-1", 0), None, 8)
-    # A late answer must not bring a deleted chunk back.
-    replica.apply(block_key("job-1", 0), bound, 7)
+    # A late answer must not restore a deleted block.
+    replica.apply(block_key("job-1", 0), bindings, 7)
     assert replica.bindings.by_machine == {}
     replica.apply(job_key("job-1"), ["done", "red", None, 1, 2], 9)
     replica.apply(job_key("job-1"), ["queued", "red", None, 1, 2], 5)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings files, limits that are about to change, and unused constants."""
+"""Settings files, upcoming limits and unused constants."""
 
 import subprocess
 import sys
@@ -38,12 +38,12 @@
 """
 
 
-COMING = "\n[facts.state.next]\nwrite_rps = 1e6\nvalue_kb = 2.0\ntxn_ops = 4\n"
+UPCOMING_LIMITS = "\n[facts.state.next]\nwrite_rps = 1e6\nvalue_kb = 2.0\ntxn_ops = 4\n"
 
 
 @pytest.fixture
 def config_file(tmp_path):
-    """A valid settings file."""
+    """Return the path of a valid settings file."""
     file = tmp_path / "c.toml"
     file.write_text(CONFIG)
     return file
@@ -70,13 +70,13 @@
         settings.load(str(config_file))
 
 
-def test_the_smaller_of_present_and_coming_limits_counts(config_file):
-    config_file.write_text(CONFIG + COMING)
-    present = settings.load(str(config_file)).facts.store
-    least = present.strictest
-    assert (least.rps, least.write_rps, least.value_kb, least.txn_ops) == (
-        present.rps,
-        present.write_rps,
+def test_the_strictest_of_present_and_upcoming_limits_applies(config_file):
+    config_file.write_text(CONFIG + UPCOMING_LIMITS)
+    limits = settings.load(str(config_file)).facts.store
+    strictest = limits.strictest
+    assert (strictest.rps, strictest.write_rps, strictest.value_kb, strictest.txn_ops) == (
+        limits.rps,
+        limits.write_rps,
         2.0,
         4,
     )
@@ -90,8 +90,8 @@
         ("txn_ops = 4", "txn_ops = 'x'", "txn_ops"),
     ],
 )
-def test_errors_of_coming_limits_name_the_field(config_file, old, new, field):
-    config_file.write_text(CONFIG + COMING.replace(old, new))
+def test_errors_of_upcoming_limits_name_the_field(config_file, old, new, field):
+    config_file.write_text(CONFIG + UPCOMING_LIMITS.replace(old, new))
     with pytest.raises(settings.SettingsError, match=field):
         settings.load(str(config_file))
 
@@ -99,15 +99,15 @@
 def test_invalid_settings_exit_with_one_line_and_code_2(tmp_path):
     file = tmp_path / "c.toml"
     file.write_text(CONFIG.replace('zones = ["a"]', "zones = []"))
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "run.py", "--config", str(file)],
         text=True,
         capture_output=True,
         check=False,
     )
-    assert done.returncode == 2
-    assert done.stderr.count("\n") == 1
-    assert "facts.zones" in done.stderr
+    assert result.returncode == 2
+    assert result.stderr.count("\n") == 1
+    assert "facts.zones" in result.stderr
 
 
 def test_constants_are_used():
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -1,4 +1,4 @@
-"""The store client: how it shares the allowed rate of requests among controllers and uses."""
+"""The store client: sharing of the allowed request rate among controllers and uses."""
 
 import asyncio
 
@@ -24,20 +24,22 @@
     assert 100 <= sent <= 111
 
 
-def with_state(play):
-    """Run `play` with a store client whose requests are only recorded."""
+def with_store_client(scenario):
+    """Run `scenario` with a store client that only records its requests."""
 
     async def run():
-        sent, put = [], []
-        state = StoreClient(settings_for("h0", 3), put.append)
+        sent, commands = [], []
+        client = StoreClient(settings_for("h0", 3), commands.append)
 
         async def request(_, method, path, *rest):
             sent.append(path)
             return 200, encode({"epoch": 1})
 
-        state.client.request = request
-        tasks = [asyncio.create_task(state.dispatch(line)) for line in (state.reads, state.writes)]
-        await play(state, sent, put)
+        client.client.request = request
+        tasks = [
+            asyncio.create_task(client.dispatch(queue)) for queue in (client.reads, client.writes)
+        ]
+        await scenario(client, sent, commands)
         for task in tasks:
             task.cancel()
 
@@ -45,136 +47,140 @@
 
 
 def stop_clock():
-    """Stop the running loop's clock, so that no bucket refills while a busy machine is slow."""
+    """Stop the running loop's clock, so that no bucket refills if the test machine is slow."""
     loop = asyncio.get_running_loop()
     now = loop.time()
     loop.time = lambda: now
 
 
-async def turns(count=20):
+async def run_loop(count=20):
     for _ in range(count):
         await asyncio.sleep(0)
 
 
-def test_a_lease_renewal_does_not_wait_for_a_write_without_tokens():
-    # One line for all once let leases end behind a change that waited seconds for its rate.
-    async def play(state, sent, put):
-        state.write_tokens.level = -1e6
-        state.write_tokens.refilled_at = asyncio.get_running_loop().time()
-        state.submit(messages.Transaction(1, [], [("k", 1, None)], 1))
-        await turns()
-        state.submit(messages.RenewLease(2, 7))
-        await turns()
+def test_a_lease_renewal_does_not_wait_behind_a_rate_limited_write():
+    # In a single queue, leases would expire behind a write that waits seconds for tokens.
+    async def scenario(client, sent, commands):
+        client.write_tokens.level = -1e6
+        client.write_tokens.refilled_at = asyncio.get_running_loop().time()
+        client.submit(messages.Transaction(1, [], [("k", 1, None)], 1))
+        await run_loop()
+        client.submit(messages.RenewLease(2, 7))
+        await run_loop()
         assert sent == [f"{PATH_LEASES}/7/renew"]
 
-    with_state(play)
+    with_store_client(scenario)
 
 
-def test_a_users_write_may_borrow_from_the_rate_but_not_without_bound():
-    # Behind an owner's transaction of several changes, submissions waited up to two seconds.
-    async def play(state, sent, put):
-        state.write_tokens.refilled_at = asyncio.get_running_loop().time()
-        state.burst_allowance.reset(
-            state.write_tokens.refilled_at - 2 * constants.USER_ADVANCE_GROWTH_S
+def test_users_writes_may_exceed_the_rate_only_within_a_bound():
+    # Otherwise submissions wait up to 2 s behind an owner's transaction of several changes.
+    async def scenario(client, sent, commands):
+        client.write_tokens.refilled_at = asyncio.get_running_loop().time()
+        client.burst_allowance.reset(
+            client.write_tokens.refilled_at - 2 * constants.USER_ADVANCE_GROWTH_S
         )
-        state.write_tokens.level = -state.write_tokens.rate
-        state.submit(messages.Transaction(1, [], [("k", 1, None)], 1))
-        state.submit(messages.Transaction(2, [], [("user", 1, None)], 0))
-        await turns()
+        client.write_tokens.level = -client.write_tokens.rate
+        client.submit(messages.Transaction(1, [], [("k", 1, None)], 1))
+        client.submit(messages.Transaction(2, [], [("user", 1, None)], 0))
+        await run_loop()
         assert sent == [PATH_TRANSACTIONS]
-        assert state.write_tokens.level < -state.write_tokens.rate
-        state.write_tokens.level = -3 * state.write_tokens.rate
-        state.submit(messages.Transaction(3, [], [("user", 1, None)], 0))
-        await turns()
+        assert client.write_tokens.level < -client.write_tokens.rate
+        client.write_tokens.level = -3 * client.write_tokens.rate
+        client.submit(messages.Transaction(3, [], [("user", 1, None)], 0))
+        await run_loop()
         assert len(sent) == 1
 
-    with_state(play)
+    with_store_client(scenario)
 
 
 def test_controllers_that_start_together_stay_within_the_stores_burst():
-    # Each went two seconds ahead of its share at once: thirty to forty submissions of a cold
-    # start were refused 429. The service allows one second's worth of changes.
-    async def play(state, sent, put):
+    # The store allows a burst of 1 s of writes. If each controller at once advanced 2 s of its
+    # share, 30 to 40 submissions of a cold start would get 429.
+    async def scenario(client, sent, commands):
         stop_clock()
         limit = settings_for("h0", 3).facts.store.write_rps
         for number in range(int(limit)):
-            state.submit(messages.Transaction(number, [], [("user", 1, None)], 0))
-        await turns(int(limit))
+            client.submit(messages.Transaction(number, [], [("user", 1, None)], 0))
+        await run_loop(int(limit))
         assert len(sent) > 0.2 * limit
         assert 3 * len(sent) <= limit
-        # The others come in time or hear at once that they can't be served.
+        # The others are sent in time or refused at once.
         for number in range(int(4 * limit)):
-            state.submit(messages.Transaction(number, [], [("user", 1, None)], 0))
+            client.submit(messages.Transaction(number, [], [("user", 1, None)], 0))
         assert (
-            sum(isinstance(one, messages.OperationDone) and one.status == 503 for one in put)
+            sum(
+                isinstance(command, messages.OperationDone) and command.status == 503
+                for command in commands
+            )
             > 2 * limit
         )
-        waiting = len(state.writes.heap)
-        assert waiting <= state.write_tokens.rate * (constants.STORE_QUEUE_TIMEOUT_S + 1)
+        queued = len(client.writes.heap)
+        assert queued <= client.write_tokens.rate * (constants.STORE_QUEUE_TIMEOUT_S + 1)
 
-    with_state(play)
+    with_store_client(scenario)
 
 
 def test_a_rejection_reduces_how_much_users_may_borrow():
-    async def play(state, sent, put):
+    async def scenario(client, sent, commands):
         now = asyncio.get_running_loop().time()
-        state.burst_allowance.reset(now - 2 * constants.USER_ADVANCE_GROWTH_S)
+        client.burst_allowance.reset(now - 2 * constants.USER_ADVANCE_GROWTH_S)
         assert (
-            state.burst_allowance.allowed(now)
-            == state.write_tokens.rate * constants.USER_ADVANCE_S
+            client.burst_allowance.allowed(now)
+            == client.write_tokens.rate * constants.USER_ADVANCE_S
         )
 
         async def outage(*_):
             return 503, b""
 
-        state.client.request = outage
-        state.submit(messages.Transaction(1, [], [("k", 1, None)], 1))
-        await turns()
-        assert messages.OperationDone(1, 503, None) in put
+        client.client.request = outage
+        client.submit(messages.Transaction(1, [], [("k", 1, None)], 1))
+        await run_loop()
+        assert messages.OperationDone(1, 503, None) in commands
         assert (
-            state.burst_allowance.allowed(asyncio.get_running_loop().time())
-            < state.write_tokens.rate
+            client.burst_allowance.allowed(asyncio.get_running_loop().time())
+            < client.write_tokens.rate
         )
 
-    with_state(play)
+    with_store_client(scenario)
 
 
 def test_tokens_are_lent_once_and_only_by_controllers_with_a_surplus():
-    async def play(state, sent, put):
-        state.write_tokens.wait(asyncio.get_running_loop().time(), 0)
-        before = state.write_tokens.level
-        given = state.lend(5.0)
-        assert given == 5.0
-        assert state.write_tokens.level == pytest.approx(before - 5.0)
-        assert state.lend(1e9) < before  # never more than there is
-        state.write_tokens.level = -1e6
-        state.submit(messages.Transaction(1, [], [("k", 1, None)], 1))
-        await turns()
-        assert state.lend(1.0) == 0.0  # it waits itself
-        assert isinstance(put[0], messages.BorrowQuota)
+    async def scenario(client, sent, commands):
+        client.write_tokens.wait(asyncio.get_running_loop().time(), 0)
+        before = client.write_tokens.level
+        lent = client.lend(5.0)
+        assert lent == 5.0
+        assert client.write_tokens.level == pytest.approx(before - 5.0)
+        assert client.lend(1e9) < before  # never more than the present level
+        client.write_tokens.level = -1e6
+        client.submit(messages.Transaction(1, [], [("k", 1, None)], 1))
+        await run_loop()
+        assert client.lend(1.0) == 0.0  # its own write waits for tokens
+        assert isinstance(commands[0], messages.BorrowQuota)
         assert not sent
-        state.credit(2e6)
-        await turns()
+        client.credit(2e6)
+        await run_loop()
         assert sent == [PATH_TRANSACTIONS]
 
-    with_state(play)
+    with_store_client(scenario)
 
 
 def test_role_and_lease_writes_precede_users_writes():
-    # Roles of a controller that fell stayed free behind a flood of submissions to its heirs.
-    async def play(state, sent, put):
-        state.write_tokens.refilled_at = asyncio.get_running_loop().time()
-        state.write_tokens.level = 0.0
+    # Otherwise roles of a crashed controller stay free behind many submissions to its successors.
+    async def scenario(client, sent, commands):
+        client.write_tokens.refilled_at = asyncio.get_running_loop().time()
+        client.write_tokens.level = 0.0
         for number in range(50):
-            state.submit(messages.Transaction(number, [], [("user", 1, None)], 0))
-        state.submit(
+            client.submit(messages.Transaction(number, [], [("user", 1, None)], 0))
+        client.submit(
             messages.Transaction(99, [], [("role", 1, None)], constants.LEADERSHIP_WRITE_PRIORITY)
         )
-        assert state.writes.heap[0][4].operation == 99
-        state.write_tokens.level = -1e6  # the share is spent for a long time
-        state.submit(
+        assert client.writes.heap[0][4].operation == 99
+        client.write_tokens.level = -1e6  # the share is spent for a long time
+        client.submit(
             messages.Transaction(100, [], [("role", 1, None)], constants.LEADERSHIP_WRITE_PRIORITY)
         )
-        assert not any(one.operation == 100 for one in put)  # refused is what users are, not this
+        # Only users' writes are refused.
+        assert not any(command.operation == 100 for command in commands)
 
-    with_state(play)
+    with_store_client(scenario)
--- a/tests/test_store_outages.py
+++ b/tests/test_store_outages.py
@@ -5,7 +5,7 @@
 from tests.helpers.clusters import idle_cluster, wait_for_state
 
 
-def test_requests_are_answered_503_in_a_store_outage_and_tasks_go_on():
+def test_a_store_outage_answers_requests_503_and_keeps_tasks_running():
     sim = idle_cluster()
     sim.submit("job-1", spec("service", 3))
     sim.run(10)
@@ -54,22 +54,22 @@
     sim.store.outage(8.0)
     for label in sim.labels:
         sim.after(2.0, lambda name=label: sim.crash(name, 4.0))
-    pairs = {
+    links = {
         frozenset((label, w.name))
         for label in sim.labels
         for w in sim.workers.values()
         if w.zone == "a"
     }
-    sim.cuts |= pairs
-    sim.after(25.0, lambda: sim.cuts.difference_update(pairs))
+    sim.cuts |= links
+    sim.after(25.0, lambda: sim.cuts.difference_update(links))
     sim.run(120)
     for number in range(1, 7):
         sim.query(f"job-{number}")
     sim.run(2)
     assert {sim.reported_state[f"job-{n}"] for n in (1, 3, 4, 6)} == {"done"}
     assert sum(len(core.context.held_roles) for core in sim.cores.values()) == 3
-    live = [task for _, task, _ in sim.running_tasks()]
-    assert sorted(live) == ["job-2/0", "job-2/1", "job-5/0", "job-5/1"]  # the services
+    running = [task for _, task, _ in sim.running_tasks()]
+    assert sorted(running) == ["job-2/0", "job-2/1", "job-5/0", "job-5/1"]  # the services
 
 
 def test_a_store_outage_shared_by_all_controllers_leaves_all_healthy():
