--- a/tests/fakes/objectives.py
+++ b/tests/fakes/objectives.py
@@ -155,15 +155,15 @@
                 groups.setdefault(f"largest {job.job_class}", []).append(job_id)
         violations = []
         for name, ids in sorted(groups.items()):
-            begun = [
+            started_in_time = [
                 j
                 for j in ids
                 if (at := self.begun_at(j)) is not None and at - self.submitted[j] <= begin_s
             ]
-            if 2 * len(begun) < len(ids):
-                violations.append(f"{name}: {len(begun)} of {len(ids)}")
-            elif name.startswith("largest") and len(begun) < len(ids):
-                violations.append(f"{name}: late {sorted(set(ids) - set(begun))[0]}")
+            if 2 * len(started_in_time) < len(ids):
+                violations.append(f"{name}: {len(started_in_time)} of {len(ids)}")
+            elif name.startswith("largest") and len(started_in_time) < len(ids):
+                violations.append(f"{name}: late {sorted(set(ids) - set(started_in_time))[0]}")
         return violations
 
     def unfinished_jobs(self, seconds: float) -> set[str]:
--- a/tests/helpers/faults.py
+++ b/tests/helpers/faults.py
@@ -50,46 +50,46 @@
             [
                 "none",
                 "crash",
-                "all",
-                "state",
-                "refused",
-                "cut",
-                "machine",
-                "peers",
-                "die",
-                "cloud",
-                "deaf",
-                "copies",
-                "alone",
-                "blink",
-                "broken",
-                "boots",
+                "crash_all",
+                "store_outage",
+                "store_refusal",
+                "store_link",
+                "machine_link",
+                "peer_link",
+                "machine_death",
+                "cloud_outage",
+                "lost_inbound",
+                "late_copies",
+                "isolation",
+                "quick_restart",
+                "failing_job",
+                "boot_times",
                 "freeze",
-                "late",
-                "slow",
-                "gap",
+                "late_writes",
+                "slow_store",
+                "refusal_then_outage",
                 "hang",
                 "mute",
-                "answers",
-                "next",
-                "close",
-                "now",
+                "lost_answers",
+                "stale_heartbeats",
+                "query_bursts",
+                "cancel_running",
             ]
         )
         if fault == "crash":
             sim.crash(rng.choice(sim.labels), rng.uniform(1, 6))
-        elif fault == "all" and rng.random() < 0.5:
+        elif fault == "crash_all" and rng.random() < 0.5:
             for label in sim.labels:
                 sim.crash(label, rng.uniform(1, 4))
-        elif fault == "state":
+        elif fault == "store_outage":
             sim.store.outage(rng.uniform(1, 8))
-        elif fault == "refused":
+        elif fault == "store_refusal":
             sim.store.refused = {rng.choice(sim.labels)}
             sim.after(rng.uniform(2, 12), lambda: setattr(sim.store, "refused", set()))
-        elif fault in ("cut", "peers", "machine"):
+        elif fault in ("store_link", "peer_link", "machine_link"):
             ends = {
-                "cut": [rng.choice(sim.labels), "state"],
-                "peers": rng.sample(sim.labels, 2),
+                "store_link": [rng.choice(sim.labels), "state"],
+                "peer_link": rng.sample(sim.labels, 2),
             }.get(fault)
             if ends is None and sim.workers:
                 name = rng.choice(sorted(sim.workers))
@@ -98,16 +98,16 @@
                 links = [frozenset(ends or ("x", "y"))]
             sim.cuts.update(links)
             sim.after(rng.uniform(2, 20), lambda p=links: sim.cuts.difference_update(p))
-        elif fault == "die" and sim.workers:
+        elif fault == "machine_death" and sim.workers:
             sim.kill(rng.choice(sorted(sim.workers)))
-        elif fault == "deaf" and sim.workers:
+        elif fault == "lost_inbound" and sim.workers:
             names = sorted(sim.workers)
             sim.drop_inbound(rng.sample(names, min(3, len(names))), rng.uniform(2, 30))
-        elif fault == "copies":
+        elif fault == "late_copies":
             sim.late_copy_share = rng.choice([0.0, 0.1, 0.4])
-        elif fault == "alone":
+        elif fault == "isolation":
             sim.isolate(rng.choice(sim.labels), rng.uniform(2, 30))
-        elif fault == "blink":  # quick restarts of one or all controllers, some of them twice
+        elif fault == "quick_restart":  # one or all controllers, some of them twice
             for label in sim.labels if rng.random() < 0.2 else rng.sample(sim.labels, 1):
                 sim.crash(label, rng.uniform(0.05, 0.5))
                 if rng.random() < 0.5:
@@ -115,10 +115,10 @@
                         rng.uniform(0.3, 1.5),
                         lambda la=label: sim.crash(la, rng.uniform(0.05, 0.5)),
                     )
-        elif fault == "broken":
+        elif fault == "failing_job":
             sim.failing_jobs.add(f"job-{number}")
             sim.after(rng.uniform(10, 60), lambda n=number: sim.cancel(f"job-{n}"))
-        elif fault == "boots":
+        elif fault == "boot_times":
             sim.boot_s = rng.choice(
                 [
                     lambda: 0.05,
@@ -130,9 +130,9 @@
             label = rng.choice(sim.labels)
             if label not in sim.frozen and sim.cores[label] is not None:
                 sim.freeze(label, rng.uniform(1, 15))
-        elif fault == "late":
+        elif fault == "late_writes":
             sim.late_write_share = rng.choice([0.0, 0.1, 0.4])
-        elif fault == "slow":
+        elif fault == "slow_store":
             sim.store_delay_s = rng.uniform(0.2, 3.0)
             sim.after(rng.uniform(2, 12), lambda: setattr(sim, "store_delay_s", 0.0))
         elif fault in ("hang", "mute") and sim.workers:
@@ -142,13 +142,13 @@
                 sim.mute(names, rng.uniform(2, 30))
             for name in names if fault == "hang" else ():
                 sim.workers[name].hang(rng.uniform(0.5, 2.5 * LEASE_S))
-        elif fault == "answers":
+        elif fault == "lost_answers":
             sim.lost_answer_share = rng.choice([0.0, 0.1, 0.4])
-        elif fault == "next":
+        elif fault == "stale_heartbeats":
             sim.stale_heartbeat_share = rng.choice([0.0, 0.1, 0.4])
-        elif fault == "close":
+        elif fault == "query_bursts":
             sim.query_burst_share = rng.choice([0.0, 0.3, 1.0])
-        elif fault == "now":  # running jobs are cancelled and their machines hang
+        elif fault == "cancel_running":  # running jobs are cancelled and their machines hang
             for worker, task, _ in rng.sample(
                 sim.running_tasks(), min(3, len(sim.running_tasks()))
             ):
@@ -156,9 +156,8 @@
                 sim.after(rng.uniform(0, 0.3), lambda w=worker: w.hang(rng.uniform(1, 15)))
             if rng.random() < 0.5:
                 sim.crash(rng.choice(sim.labels), rng.uniform(0.05, 4))
-        elif (
-            fault == "gap"
-        ):  # the store refuses one controller, jobs are cancelled, then it is out for all
+        elif fault == "refusal_then_outage":
+            # The store refuses one controller, others cancel jobs, then it is out for all.
             sim.store.refused = {rng.choice(sim.labels)}
             for _ in range(3):
                 sim.cancel(f"job-{rng.randrange(number + 1)}")
@@ -166,7 +165,7 @@
                 rng.uniform(0.2, 3), lambda: sim.store.outage(rng.uniform(0.5, 2) * CANCEL_S)
             )
             sim.after(4.0, lambda: setattr(sim.store, "refused", set()))
-        elif fault == "cloud":
+        elif fault == "cloud_outage":
             sim.cloud_down = True
             sim.after(rng.uniform(2, 20), lambda: setattr(sim, "cloud_down", False))
         for _ in range(3):
--- a/tests/test_regression_verdict.py
+++ b/tests/test_regression_verdict.py
@@ -9,7 +9,7 @@
 from tools import regress
 
 ROOT = Path(__file__).resolve().parent.parent
-# Journal entries: a full score without broken rules, a run whose day `rough` was too slow, a
+# Journal entries: a full score without broken rules, a run whose day `rough` was too slow, the
 # production version on a deployment that it was not made for, and an interrupted benchmark.
 FULL_SCORE, SLOW_DAY, RULES_BROKEN, INTERRUPTED = "ba8a545f", "c6a72347", "4a9605d4", "6459fd8b"
 
