--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud: machines that boot, are listed two seconds late, and are given back."""
+"""A fake cloud whose machines boot, are listed two seconds late, and can be returned."""
 
 from collections.abc import Callable
 from typing import Any
@@ -10,7 +10,7 @@
 
 
 class FakeCloud(FakeNetwork):
-    """Rents machines up to its capacity; the same request always gives the same machines."""
+    """Rents machines up to its capacity; a repeated request returns the same machines."""
 
     def __init__(self, seed: int, labels: list[str]) -> None:
         super().__init__(seed, labels)
@@ -22,7 +22,7 @@
         self.boot_s: Callable[[], float | None] = lambda: self.rng.uniform(1.0, 4.0)
 
     def record_machines(self) -> None:
-        """Record the current list; the cloud answers with the list of two seconds ago."""
+        """Record the current machine list; answers show the list of two seconds ago."""
         rows = [
             ListedInstance(
                 w.name, w.name, "big", w.zone, w.spot, "running" if w.up else "booting", 1.0
@@ -37,8 +37,8 @@
         if self.cloud_down:
             return 503, None
         if isinstance(operation, messages.ListInstances):
-            seen = [rows for at, rows in self.history if at <= self.now - 2.0]
-            return 200, seen[-1] if seen else []
+            visible = [rows for at, rows in self.history if at <= self.now - 2.0]
+            return 200, visible[-1] if visible else []
         if isinstance(operation, messages.ReturnInstances):
             for name in operation.names:
                 if name in self.workers:
@@ -47,10 +47,10 @@
         assert isinstance(operation, messages.RentInstances)
         request, zone, spot = operation.name, operation.zone, operation.spot
         if request not in self.requests:
-            left = self.capacity - sum(1 for w in self.workers.values() if not w.dead)
-            if left <= 0:
+            available = self.capacity - sum(1 for w in self.workers.values() if not w.dead)
+            if available <= 0:
                 return 503, "no capacity"
-            names = [f"m{len(self.workers) + i}" for i in range(min(operation.count, left))]
+            names = [f"m{len(self.workers) + i}" for i in range(min(operation.count, available))]
             self.requests[request] = names
             for name in names:
                 self.workers[name] = FakeWorker(self, name, zone, spot)
--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -1,6 +1,6 @@
-"""The small deployment that tests run: its limits, settings and jobs.
+"""Limits, settings and jobs of the small deployment that tests run.
 
-Tests may patch the constants here; the fakes read them through this module.
+Tests may patch these constants; the fakes read them through this module.
 """
 
 from typing import Any
@@ -21,17 +21,17 @@
 ZONES = ["a", "b", "c"]
 TYPE = MachineType("big", 8.0, 4.0, 64.0, 100.0, 1.0, 10.0, 3.0, 3.0, ZONES)
 LEASE_S, REPORT_S, CANCEL_S, GANG_WAIT_S = 6.0, 1.0, 20.0, 8.0
-ANSWER_S = 4.0  # a worker drops answers that come later
+ANSWER_S = 4.0  # a worker drops answers that take longer
 TEAMS = (Team("red", gpus=4, gpus_max=8), Team("blue", gpus=4, gpus_max=10))
-# States in which a task is on its machine (PROTOCOL, "How aims are counted"): from when it has its
-# image until it exits.
+# States in which a task counts as placed on its machine: from the end of the image fetch until it
+# exits.
 PLACED = ("waiting", "running", "saving")
 
 
 def settings_for(
     label: str,
     count: int = 3,
-    coming: UpcomingLimits | None = None,
+    upcoming_limits: UpcomingLimits | None = None,
     teams: tuple[Team, ...] = TEAMS,
 ) -> Settings:
     """Return the settings of one controller of a small deployment."""
@@ -45,7 +45,7 @@
             ZONES,
             list(teams),
             WorkerTimings(REPORT_S, LEASE_S, GANG_WAIT_S, 3.0, CANCEL_S),
-            StoreLimits(1000, 1000, 8, 12, coming or UpcomingLimits()),
+            StoreLimits(1000, 1000, 8, 12, upcoming_limits or UpcomingLimits()),
             CloudLimits(5, 2),
             count,
         ),
@@ -53,7 +53,7 @@
     )
 
 
-def spec(kind: str = "array", tasks: int = 1, team: str = "red", **more: Any) -> JobSpec:
+def spec(kind: str = "array", tasks: int = 1, team: str = "red", **overrides: Any) -> JobSpec:
     """Return a job of small tasks."""
     fields: dict[str, Any] = dict(
         job_class="l",
@@ -76,4 +76,4 @@
         save_s=0.0,
         deadline_s=None,
     )
-    return JobSpec(**{**fields, **more})
+    return JobSpec(**{**fields, **overrides})
--- a/tests/fakes/network.py
+++ b/tests/fakes/network.py
@@ -1,4 +1,4 @@
-"""Simulated time and a network that delays, repeats, loses and holds back messages."""
+"""Simulated time and a network that delays, duplicates and loses messages."""
 
 import heapq
 import random
@@ -7,7 +7,10 @@
 
 
 class FakeNetwork:
-    """The event queue, and the links between controllers, workers, store and cloud."""
+    """The event queue and the links between controllers, workers, store and cloud.
+
+    Names of links are names of hosts; "state" is the store.
+    """
 
     def __init__(self, seed: int, labels: list[str]) -> None:
         self.rng = random.Random(seed)
@@ -16,9 +19,11 @@
         self.heap: list[tuple[float, int, Callable[[], None]]] = []
         self.serial = 0
         self.cuts: set[frozenset[str]] = set()
-        self.one_way: set[tuple[str, str]] = set()  # (from, to): messages are delayed
-        self.loss = self.twice = self.slow = 0.0
-        self.state_slow = 0.0  # maximum delay of messages of the store, in seconds
+        self.one_way: set[tuple[str, str]] = (
+            set()
+        )  # (from, to): messages are delayed in this direction
+        self.loss_rate = self.duplicate_rate = self.slow_rate = 0.0
+        self.store_delay_s = 0.0  # maximum delay of messages from and to the store
         self.muted: set[str] = set()  # machines that reach no controller but receive commands
 
     def after(self, seconds: float, run: Callable[[], None]) -> None:
@@ -35,60 +40,63 @@
     def delay(self) -> float:
         return self.rng.uniform(0.001, 0.01)
 
-    def cut(self, a: str, b: str) -> bool:
+    def is_cut(self, a: str, b: str) -> bool:
         return frozenset((a, b)) in self.cuts or (a, b) in self.one_way
 
-    def carry(self, a: str, b: str, run: Callable[[], None]) -> None:
-        """Deliver a message: soon, much later (partition, slow link), twice or never."""
-        if self.cut(a, b):
+    def deliver(self, a: str, b: str, run: Callable[[], None]) -> None:
+        """Deliver a message: soon, late (partition, slow link), twice or never."""
+        if self.is_cut(a, b):
             self.after(self.rng.uniform(1.0, 40.0), run)
-        elif self.state_slow and "state" in (a, b):
-            self.after(self.rng.uniform(0.0, self.state_slow), run)
-        elif self.rng.random() < self.slow:
+        elif self.store_delay_s and "state" in (a, b):
+            self.after(self.rng.uniform(0.0, self.store_delay_s), run)
+        elif self.rng.random() < self.slow_rate:
             self.after(self.rng.uniform(1.0, 30.0), run)
-        elif self.rng.random() >= self.loss:
+        elif self.rng.random() >= self.loss_rate:
             self.after(self.delay(), run)
-            if self.rng.random() < self.twice:
+            if self.rng.random() < self.duplicate_rate:
                 self.after(self.rng.uniform(0.01, 5.0), run)
 
-    def ask(
+    def call(
         self,
         a: str,
         b: str,
         serve: Callable[[], Any],
-        done: Callable[[Any], None],
-        lost: Any,
+        on_answer: Callable[[Any], None],
+        timeout_answer: Any,
         timeout: float,
-        when: Callable[[Callable[[], None]], None] = lambda run: run(),
+        defer: Callable[[Callable[[], None]], None] = lambda run: run(),
     ) -> None:
-        """Send a request, served once and perhaps late, and pass its answer or `lost` on time-out
-        to `done`; `when` lets the server defer serving it."""
+        """Send a request that is served at most once and perhaps late.
+
+        Passes the answer to `on_answer`, or `timeout_answer` after `timeout` seconds; `defer` lets
+        the server postpone the work.
+        """
         state = {"open": True, "served": False}
 
         def answer(value: Any) -> None:
             if state["open"]:
                 state["open"] = False
-                done(value)
+                on_answer(value)
 
         def at_server() -> None:
             if not state["served"]:
                 state["served"] = True
-                when(reply)
+                defer(reply)
 
         def reply() -> None:
             value = serve()
-            self.carry(b, a, lambda: answer(value))
+            self.deliver(b, a, lambda: answer(value))
 
-        self.after(timeout, lambda: answer(lost))
-        self.carry(a, b, at_server)
+        self.after(timeout, lambda: answer(timeout_answer))
+        self.deliver(a, b, at_server)
 
     def mute(self, names: list[str], seconds: float) -> None:
-        """Block messages from machines to controllers, but not commands sent to them."""
+        """Block messages from machines to controllers, but not commands to the machines."""
         self.muted.update(names)
         self.after(seconds, lambda: self.muted.difference_update(names))
 
     def drop_inbound(self, names: list[str], seconds: float) -> None:
-        """Delay answers and commands to machines, while their heartbeats arrive."""
+        """Delay answers and commands to machines; their heartbeats still arrive."""
         pairs = {(label, name) for label in self.labels for name in names}
         self.one_way |= pairs
         self.after(seconds, lambda: self.one_way.difference_update(pairs))
--- a/tests/fakes/objectives.py
+++ b/tests/fakes/objectives.py
@@ -1,4 +1,4 @@
-"""What users may expect once faults are over: jobs start, finish and are answered."""
+"""Checks of what users can expect after faults end: jobs start, finish and are answered."""
 
 from oakmux.core.model import JobSpec
 from tests.fakes import deployment
@@ -32,10 +32,10 @@
 
 
 class Objectives(FakeUsers):
-    """Judges a whole run by what users saw."""
+    """Evaluates a whole run by the answers that users got."""
 
     def startable_jobs(self, seconds: float = 90.0) -> set[str]:
-        """Return the jobs that could have started throughout; called once all faults are over."""
+        """Return the jobs that could have started during the whole period, without faults."""
         found = set(self.specs)
         end = self.now + seconds
         while self.now < end and found:
@@ -50,9 +50,11 @@
         """
         job = self.specs[job_id]
         if (
-            self.told.get(job_id) != "accepted"
-            or job_id in self.broken
-            or any(self.told.get(name) != "done" for name in self.needs(job_id))
+            self.reported_state.get(job_id) != "accepted"
+            or job_id in self.failing_jobs
+            or any(
+                self.reported_state.get(name) != "done" for name in self.all_dependencies(job_id)
+            )
         ):
             return False
         unfinished = self.unfinished_tasks()
@@ -82,7 +84,7 @@
         return self.specs[task.partition("/")[0]]
 
     def is_within_quota(self, job: JobSpec, count: int, unfinished: list[PlacedTask]) -> bool:
-        """Whether so many more tasks of a job stay within its team's quota."""
+        """Whether `count` more tasks of a job stay within its team's quota."""
         team = self.teams[job.team]
         specs = [self.spec_of(task) for _, task in unfinished]
         cpus = count * job.cpus + sum(s.cpus for s in specs if s.team == job.team)
@@ -101,28 +103,27 @@
                 specs = [self.spec_of(task) for other, task in unfinished if other is worker]
                 by_zone[worker.zone] = by_zone.get(worker.zone, 0) + count_fitting(job, specs)
         if job.spread:
-            most = (job.tasks + 1) // 2
-            by_zone = {zone: min(fit, most - zones.count(zone)) for zone, fit in by_zone.items()}
+            limit = (job.tasks + 1) // 2
+            by_zone = {zone: min(fit, limit - zones.count(zone)) for zone, fit in by_zone.items()}
         return max(by_zone.values(), default=0) if job.one_zone else sum(by_zone.values())
 
-    def unresponsive(self, seconds: float = 90.0) -> set[str]:
-        """Ask for every job ever accepted, and return those about which no question was answered
-        for 75 s."""
+    def unanswered_jobs(self, seconds: float = 90.0) -> set[str]:
+        """Query every accepted job repeatedly; return those without any answer for 75 s."""
         found: set[str] = set()
-        begun, end = self.now, self.now + seconds
+        query_start, end = self.now, self.now + seconds
         while self.now < end:
-            for job_id in self.told:
+            for job_id in self.reported_state:
                 self.query(job_id)
             self.run(5)
             found |= {
                 job_id
-                for job_id in self.told
-                if self.now - max(begun, self.answered.get(job_id, 0.0)) >= 75
+                for job_id in self.reported_state
+                if self.now - max(query_start, self.answered_at.get(job_id, 0.0)) >= 75
             }
         return found
 
     def begun_at(self, job_id: str) -> float | None:
-        """Return when a job began: an array with one task, else with all, one after the other."""
+        """Return when a job began: an array with its first task, any other job with its last."""
         first: dict[str, float] = {}
         for at, task, _, _ in self.start_log:
             if task.startswith(job_id + "/"):
@@ -133,15 +134,18 @@
         return min(first.values()) if job.kind == "array" else max(first.values())
 
     def underserved(self, begin_s: float = 240.0) -> list[str]:
-        """Return which classes, teams and classes' largest jobs had less than half served, and
-        which of the largest did not begin in time. Served is what began in time."""
+        """Return the groups of jobs that were served too little within `begin_s`.
+
+        A job is served if it began in time. Classes, teams and the largest jobs of each class
+        need half of their jobs served; all of the largest jobs must begin in time.
+        """
         groups: dict[str, list[str]] = {}
         jobs = {
             j: s
             for j, s in self.specs.items()
-            if j in self.told
-            and j not in self.broken
-            and self.told[j] != "cancelled"
+            if j in self.reported_state
+            and j not in self.failing_jobs
+            and self.reported_state[j] != "cancelled"
             and self.submitted[j] <= self.now - begin_s
         }
         for job_id, job in jobs.items():
@@ -149,21 +153,21 @@
             groups.setdefault(f"team {job.team}", []).append(job_id)
             if job.tasks == max(s.tasks for s in jobs.values() if s.job_class == job.job_class):
                 groups.setdefault(f"largest {job.job_class}", []).append(job_id)
-        bad = []
+        violations = []
         for name, ids in sorted(groups.items()):
-            begun = [
+            started_in_time = [
                 j
                 for j in ids
                 if (at := self.begun_at(j)) is not None and at - self.submitted[j] <= begin_s
             ]
-            if 2 * len(begun) < len(ids):
-                bad.append(f"{name}: {len(begun)} of {len(ids)}")
-            elif name.startswith("largest") and len(begun) < len(ids):
-                bad.append(f"{name}: late {sorted(set(ids) - set(begun))[0]}")
-        return bad
-
-    def unfinished(self, seconds: float) -> set[str]:
-        """Cancel services, go on, ask for every job; return those not told done or cancelled."""
+            if 2 * len(started_in_time) < len(ids):
+                violations.append(f"{name}: {len(started_in_time)} of {len(ids)}")
+            elif name.startswith("largest") and len(started_in_time) < len(ids):
+                violations.append(f"{name}: late {sorted(set(ids) - set(started_in_time))[0]}")
+        return violations
+
+    def unfinished_jobs(self, seconds: float) -> set[str]:
+        """Cancel services, run, query all jobs; return those not reported done or cancelled."""
         for job_id, job in self.specs.items():
             if job.kind == "service":
                 self.cancel(job_id)
@@ -171,4 +175,4 @@
         for job_id in self.specs:
             self.query(job_id)
         self.run(8)
-        return {j for j in self.specs if self.told.get(j) not in ("done", "cancelled")}
+        return {j for j in self.specs if self.reported_state.get(j) not in ("done", "cancelled")}
--- a/tests/helpers/samples.py
+++ b/tests/helpers/samples.py
@@ -1,6 +1,6 @@
-"""Samples of messages and settings."""
+"""Sample messages."""
 
-GOOD = {
+SUBMISSION = {
     "id": "job-000412",
     "lane": "train",
     "owner": "vision",
--- a/tests/recorded.py
+++ b/tests/recorded.py
@@ -1,9 +1,9 @@
 """Builders for the recorded bytes: the only part of that test that uses internal names.
 
-`written` returns what the present code writes, `inputs` what is given to it, `read` what it makes
-of such bytes, and `played` digests of whole runs. Values that were read are returned as plain
-lists by position, so that renaming a field inside changes nothing, while moving or dropping one
-does. Keys of maps are those on the wire.
+`outputs` returns the bytes that the present code writes, `inputs` the bytes given to it, `read`
+the result of reading such bytes, and `summarize_run` the digest of a whole run. Results of reading
+are plain lists by position: renaming an internal field changes nothing, moving or dropping one
+does. Keys of maps are the keys on the wire.
 """
 
 import asyncio
@@ -130,7 +130,7 @@
     "due_s": 900.0,
     "waits_on": ["job-7", "job-8", "job-7"],
 }
-BEAT = {
+HEARTBEAT = {
     "box": "n-000231",
     "addr": "10.1.0.232:9000",
     "flavour": "g8",
@@ -204,7 +204,7 @@
 
 
 def plain(value: Any) -> Any:
-    """Return a value as JSON can hold it: structures as lists, settings as maps by file key."""
+    """Convert a value for JSON: positional structs become lists, settings maps by file key."""
     if isinstance(value, msgspec.Struct):
         if value.__struct_config__.array_like:
             return [plain(item) for item in msgspec.structs.astuple(value)]
@@ -229,7 +229,7 @@
 
 
 def bindings() -> dict[int, Binding]:
-    """Return bindings that share machine and head, differ in one part, and are to stop."""
+    """Return bindings: three differ in the attempt only, one of them is to stop."""
     return {
         0: Binding(3, "m1", 1, 41, "a"),
         1: Binding(4, "m1", 1, 41, "a"),
@@ -239,12 +239,12 @@
     }
 
 
-def stored() -> dict[str, list]:
-    """Return [key, value] of each kind of record and each form of it."""
+def stored_records() -> dict[str, list]:
+    """Return [key, value] of each kind and format of record."""
     block = TaskBlock(STAMP, 2**40, 0b1010011000, bindings())
     small = TaskBlock(STAMP, 1, 0, {0: Binding(1, "m3", 1, 2, "c")})
     done = TaskBlock(STAMP, 2, 2**64 - 1, {})
-    made: dict[str, list] = {
+    values: dict[str, list] = {
         f"chunk/{name}/format-{form}": [block_key("job-5", 3), encode_block(value, form)]
         for form in (1, 2, 3)
         for name, value in (("full", block), ("small", small), ("done", done))
@@ -252,27 +252,30 @@
     for state in ("queued", "running", "done", "cancelled"):
         for name, job in (("full", FULL), ("plain", PLAIN)):
             value = encode_job(state, job.team, job, 12_000, job.tasks)
-            made[f"job/{name}/{state}"] = [job_key("job-5"), value]
-        made[f"job/bare/{state}"] = [job_key("job-6"), encode_job(state, "red", None, 1, 100_000)]
+            values[f"job/{name}/{state}"] = [job_key("job-5"), value]
+        values[f"job/bare/{state}"] = [
+            job_key("job-6"),
+            encode_job(state, "red", None, 1, 100_000),
+        ]
     rows = [
         BatchRow(job_id, tasks, encode_block(value, 3)).to_value()
         for job_id, tasks, value in (("job-5", 10, block), ("job-6", 1, small), ("job-9", 2, done))
     ]
-    made["page/rows"] = [batch_key("red/4"), rows]
-    made["page/empty"] = [batch_key("red/5"), []]
-    made["role/team"] = [role_key("red"), ["h1", 41]]
-    made["role/fleet"] = [role_key("#fleet"), ["h2", 42]]
-    made["node"] = [controller_key("h1"), 41]
-    made["gone"] = [termination_key("n-000231"), True]
-    made["term"] = [TERM_KEY, 42]
-    made["types"] = [TYPES_KEY, msgspec.to_builtins([TYPE, *parse_catalogue(CATALOGUE)])]
-    made["version"] = [version_key("h1"), 3]
-    made["format"] = [FORMAT_KEY, [3, 64]]
-    return made
+    values["page/rows"] = [batch_key("red/4"), rows]
+    values["page/empty"] = [batch_key("red/5"), []]
+    values["role/team"] = [role_key("red"), ["h1", 41]]
+    values["role/fleet"] = [role_key("#fleet"), ["h2", 42]]
+    values["node"] = [controller_key("h1"), 41]
+    values["gone"] = [termination_key("n-000231"), True]
+    values["term"] = [TERM_KEY, 42]
+    values["types"] = [TYPES_KEY, msgspec.to_builtins([TYPE, *parse_catalogue(CATALOGUE)])]
+    values["version"] = [version_key("h1"), 3]
+    values["format"] = [FORMAT_KEY, [3, 64]]
+    return values
 
 
 def schedule_records() -> dict[str, list]:
-    """Return [key, value] of each kind of record of schedules."""
+    """Return [key, value] of each kind of schedule record."""
     calendar = Rule(
         "ical", "Europe/Berlin", "FREQ=DAILY", 1000, (2000,), (3000,), ((4000, 5000), (6000, None))
     )
@@ -321,13 +324,13 @@
 
 
 def read_record(data: bytes) -> Any:
-    """Return what the replica and the schedules' copy hold after one record."""
+    """Return the contents of the replica and of the schedule store after one record."""
     key, value = decode(data)
     replica, store = Replica(), records.ScheduleStore()
     replica.namespaces[records.NAMESPACE] = store
     replica.apply(key, value, STAMP)
     blocks = [
-        [job_id, number, *plain_chunk(block)]
+        [job_id, number, *plain_block(block)]
         for job_id, found in replica.job_records.orphan_blocks.items()
         for number, block in found.items()
     ]
@@ -377,8 +380,8 @@
     )
 
 
-def plain_chunk(block: TaskBlock) -> list:
-    """Return all that a chunk holds."""
+def plain_block(block: TaskBlock) -> list:
+    """Return all fields of a task block."""
     return [
         block.mod_revision,
         block.last_attempt,
@@ -392,10 +395,10 @@
 # --- whole runs -------------------------------------------------------------------------------
 
 
-def told(effect: Effect, numbered: bool = True) -> list:
-    """Return an effect as what leaves the process, without numbers that stay inside.
+def outgoing_form(effect: Effect, numbered: bool = True) -> list:
+    """Return an effect in the form that leaves the process, without operation numbers.
 
-    Without `numbered`, offers' numbers are left out as well.
+    Without `numbered`, numbers of offers are left out as well.
     """
     if isinstance(effect, core_messages.Answer):
         return ["answer", effect.status, answer_body(effect.body)]
@@ -417,7 +420,7 @@
     return [*EFFECT_TAGS[type(effect)], *fields]
 
 
-# What commands and effects are called in the recorded values.
+# Tags of commands and effects in the recorded values.
 EFFECT_TAGS: dict[type, tuple[str, ...]] = {
     core_messages.LendQuota: ("lend",),
     core_messages.CreditQuota: ("credit",),
@@ -451,11 +454,11 @@
 
 
 class RecordedSimulation(Simulation):
-    """A Simulation that takes a digest of all that controllers send, with the time of it.
+    """A Simulation that computes a digest of all effects of controllers and their times.
 
-    The effects of one step are brought into the order of their bytes, and numbers of offers and
-    operations are left out: names stand in sets inside, so that both follow the hash seed of the
-    process.
+    The effects of one step are sorted by their bytes, and numbers of offers and operations are
+    left out: both depend on the hash seed of the process, because controllers iterate over sets of
+    names.
     """
 
     def __init__(self, *args: Any, **more: Any) -> None:
@@ -469,23 +472,23 @@
         core, incarnation = self.cores[label], self.incarnations[label]
         if core is None:
             return
-        rows = [(told(effect, False), effect) for effect in core.step(self.now, commands)]
+        rows = [(outgoing_form(effect, False), effect) for effect in core.step(self.now, commands)]
         for row, effect in sorted(rows, key=lambda one: encode(one[0])):
-            self.note(label, row)
+            self.add_to_digest(label, row)
             self.carry_out(label, incarnation, effect)
 
-    def note(self, label: str, row: list) -> None:
+    def add_to_digest(self, label: str, row: list) -> None:
         """Add one effect to the digest."""
         self.digest.update(encode([round(self.now, 6), label, *row]))
         self.count += 1
-        for kind in kinds(row):
+        for kind in effect_kinds(row):
             self.kinds[kind] = self.kinds.get(kind, 0) + 1
             if kind not in self.first:
                 self.first[kind] = plain(row)
 
 
-def kinds(row: list) -> list[str]:
-    """Return the kinds that an effect counts for: by message and its length, order, record."""
+def effect_kinds(row: list) -> list[str]:
+    """Return the kinds of an effect: message tag and length, command verbs or record kinds."""
     if row[0] == "send":
         return [f"send {row[2][0]} of {len(row[2])}"]
     if row[0] == "answer":
@@ -500,10 +503,10 @@
     return [f"cloud {row[1]}" if row[0] == "cloud" else row[0]]
 
 
-def play(seed: int, count: int, rest_s: float) -> RecordedSimulation:
-    """Play jobs of all kinds, with one crash, one cancellation, one machine lost."""
+def run_mixed_jobs(seed: int, count: int, final_s: float) -> RecordedSimulation:
+    """Run jobs of all kinds with one crash, one cancellation and one lost machine."""
     sim = RecordedSimulation(seed, count)
-    sim.fetches = True
+    sim.simulate_fetches = True
     sim.run(12)
     sim.submit("job-1", spec("array", 20, estimate_s=6.0))
     sim.submit("job-2", spec("gang", 3, "blue", one_zone=True, checkpoint_s=2.0, save_s=0.5))
@@ -516,16 +519,16 @@
     sim.run(12)
     sim.submit("job-6", spec("array", 90, "blue", gpus=0.0, cpus=0.1, memory_gb=0.1))
     sim.run(1)
-    sim.kill(min(worker.name for worker, _, _ in sim.live()))
-    sim.run(rest_s)
+    sim.kill(min(worker.name for worker, _, _ in sim.running_tasks()))
+    sim.run(final_s)
     for job_id in list(sim.specs):
         sim.query(job_id)
     sim.run(2)
     return sim
 
 
-def play_crowded(seed: int) -> RecordedSimulation:
-    """Play three machines on which work gives way, gangs wait for openings, services move."""
+def run_crowded(seed: int) -> RecordedSimulation:
+    """Run three full machines: tasks are preempted, gangs wait for openings, services move."""
     sim = RecordedSimulation(seed, 3, scheduling=SchedulingOptions(backfill=True))
     sim.capacity = 3
     sim.run(12)
@@ -544,47 +547,47 @@
 
 
 RUNS: dict[str, Callable[[], RecordedSimulation]] = {
-    "three controllers": lambda: play(4, 3, 55),
-    "seven controllers": lambda: play(3, 7, 12),
-    "crowded, with openings": lambda: play_crowded(1),
-    "crowded, with moves": lambda: play_crowded(3),
+    "three controllers": lambda: run_mixed_jobs(4, 3, 55),
+    "seven controllers": lambda: run_mixed_jobs(3, 7, 12),
+    "crowded, with openings": lambda: run_crowded(1),
+    "crowded, with moves": lambda: run_crowded(3),
 }
 
 
-def played(name: str) -> dict[str, Any]:
-    """Return the digest of a run, how many messages of each kind it had, the first of each."""
+def summarize_run(name: str) -> dict[str, Any]:
+    """Return the digest of a run, the number of messages of each kind and the first of each."""
     sim = RUNS[name]()
     return {
         "digest": sim.digest.hexdigest(),
         "count": sim.count,
         "kinds": dict(sorted(sim.kinds.items())),
         "first": dict(sorted(sim.first.items())),
-        "told": dict(sorted(sim.told.items())),
+        "told": dict(sorted(sim.reported_state.items())),
     }
 
 
-# --- requests that come in --------------------------------------------------------------------
+# --- incoming requests ------------------------------------------------------------------------
 
 
-class Line(asyncio.Transport):
-    """A connection in memory: keeps what is written, and answers it from a list."""
+class MemoryTransport(asyncio.Transport):
+    """An in-memory transport that records writes and answers each from a list of replies."""
 
     def __init__(self, replies: list[bytes]) -> None:
         self.replies = replies
         self.sent: list[bytes] = []
-        self.end: asyncio.Protocol | None = None
+        self.protocol: asyncio.Protocol | None = None
 
     def write(self, data: Any) -> None:
-        """Keep what is sent; the next reply comes a moment later."""
+        """Record the data; the next reply is delivered in the next loop iteration."""
         self.sent.append(bytes(data))
-        if self.replies and self.end is not None:
-            asyncio.get_running_loop().call_soon(self.end.data_received, self.replies.pop(0))
+        if self.replies and self.protocol is not None:
+            asyncio.get_running_loop().call_soon(self.protocol.data_received, self.replies.pop(0))
 
     def close(self) -> None:
-        """Nothing is to be closed."""
+        """There is nothing to close."""
 
     def abort(self) -> None:
-        """Nothing is to be closed."""
+        """There is nothing to close."""
 
 
 def request(method: str, path: str, body: Any = None) -> bytes:
@@ -600,26 +603,26 @@
     return f"HTTP/1.1 {status} X\r\nContent-Length: {len(data)}\r\n\r\n".encode() + data
 
 
-def asked(data: bytes, internal: bool = False) -> tuple[list[Command], list[bytes]]:
-    """Return the commands that a request becomes, and what is answered at once."""
+def route_request(data: bytes, internal: bool = False) -> tuple[list[Command], list[bytes]]:
+    """Return the commands that a request becomes, and the data that is answered at once."""
     commands: list[Command] = []
-    front = RequestRouter(lambda command: commands.append(command) is None)
-    line = Line([])
-    server = ServerProtocol(front.handle_internal if internal else front.handle_public, set(), 1)
-    server.connection_made(line)
+    router = RequestRouter(lambda command: commands.append(command) is None)
+    transport = MemoryTransport([])
+    server = ServerProtocol(router.handle_internal if internal else router.handle_public, set(), 1)
+    server.connection_made(transport)
     server.data_received(data)
-    return commands, line.sent
+    return commands, transport.sent
 
 
 def read_request(data: bytes, internal: bool = False) -> Any:
-    """Return a request's command, without its handle, and what is answered at once."""
-    commands, sent = asked(data, internal)
+    """Return a request's commands without their handles, and the data answered at once."""
+    commands, sent = route_request(data, internal)
     rows = [command_row(command) for command in commands]
     return plain([[[tag, *fields] for tag, _, *fields in rows], sent])
 
 
 def requests() -> dict[str, bytes]:
-    """Return requests of users and workers, good and bad."""
+    """Return valid and invalid requests of users and workers."""
     bad = {
         "shape": "x",
         "rank": "x",
@@ -653,11 +656,11 @@
         "health": request("GET", "/healthz"),
         "status": request("GET", "/oakmux/status"),
         "unknown": request("GET", "/x"),
-        "report": request("POST", "/agent/beat", BEAT),
+        "report": request("POST", "/agent/beat", HEARTBEAT),
         "report/no-tasks": request(
-            "POST", "/agent/beat", {**BEAT, "warning_s": None, "pieces": []}
+            "POST", "/agent/beat", {**HEARTBEAT, "warning_s": None, "pieces": []}
         ),
-        "report/bad": request("POST", "/agent/beat", {**BEAT, "tick": -1}),
+        "report/bad": request("POST", "/agent/beat", {**HEARTBEAT, "tick": -1}),
     }
     for key, value in bad.items():
         found[f"submit/bad-{key}"] = request("POST", "/api/jobs", {**SUBMISSION, key: value})
@@ -668,7 +671,7 @@
     return {f"request/{name}": data for name, data in found.items()}
 
 
-# --- answers that go out ----------------------------------------------------------------------
+# --- outgoing answers -------------------------------------------------------------------------
 
 
 def orders() -> list[dict]:
@@ -683,11 +686,11 @@
 
 def answers() -> dict[str, bytes]:
     """Return the whole response for each kind of answer."""
-    given: dict[str, tuple[int, tuple]] = {
+    answers_by_name: dict[str, tuple[int, tuple]] = {
         f"job/{state}": (200, ("job", "job-1", state, 3, 13))
         for state in ("queued", "running", "done", "cancelled")
     }
-    given |= {
+    answers_by_name |= {
         "job/accepted": (201, ("job", "job-1", "queued", 0, 0)),
         "job/waits": (200, ("job", "job-1", "queued", 0, 0, ["job-7", "job-8"])),
         "orders": (200, ("orders", 41, orders())),
@@ -700,55 +703,55 @@
         "schedules": (200, ("schedules", {"entries": [1]})),
     }
     for status in (400, 404, 421, 422, 503):
-        given[f"error/{status}"] = (status, ("error", "why"))
-    made = {}
-    for name, (status, answer) in given.items():
+        answers_by_name[f"error/{status}"] = (status, ("error", "why"))
+    values = {}
+    for name, (status, answer) in answers_by_name.items():
         commands: list[Any] = []
-        front = RequestRouter(lambda command, commands=commands: commands.append(command) is None)
-        line = Line([])
-        server = ServerProtocol(front.handle_public, set(), 1)
-        server.connection_made(line)
+        router = RequestRouter(lambda command, commands=commands: commands.append(command) is None)
+        transport = MemoryTransport([])
+        server = ServerProtocol(router.handle_public, set(), 1)
+        server.connection_made(transport)
         server.data_received(request("GET", "/healthz"))
-        front.answer(commands[0].request, status, answer)
-        made[f"answer/{name}"] = line.sent[0]
-    return made
+        router.answer(commands[0].request, status, answer)
+        values[f"answer/{name}"] = transport.sent[0]
+    return values
 
 
-# --- requests that go out, and what becomes of their answers ----------------------------------
+# --- outgoing requests and the handling of their answers --------------------------------------
 
 
-class Scripted(Client):
+class ScriptedClient(Client):
     """A client whose connections are answered from a list."""
 
     def __init__(self, replies: list[bytes]) -> None:
         super().__init__(1)
-        self.line = Line(replies)
+        self.transport = MemoryTransport(replies)
         self.addrs: list[str] = []
 
     async def _connect(self, addr: str, limit: int) -> ClientProtocol:
-        end = ClientProtocol(limit)
+        protocol = ClientProtocol(limit)
         self.addrs.append(addr)
-        self.line.end = end
-        end.connection_made(self.line)
-        return end
+        self.transport.protocol = protocol
+        protocol.connection_made(self.transport)
+        return protocol
 
 
-class StillLoop(asyncio.SelectorEventLoop):
-    """An event loop whose clock stands: no timer fires."""
+class FrozenLoop(asyncio.SelectorEventLoop):
+    """An event loop whose clock stands still, so that no timer fires."""
 
     def time(self) -> float:
-        """Return always the same time."""
+        """Return a constant time."""
         return 100.0
 
 
-Put = Callable[[Command], None]
-Call = Callable[[Client, Put], Coroutine]
+PutCommand = Callable[[Command], None]
+ClientCall = Callable[[Client, PutCommand], Coroutine]
 
 
-def on_state(make: Callable[[StoreClient], Coroutine]) -> Call:
-    """Return a call of the state service."""
+def store_call(make: Callable[[StoreClient], Coroutine]) -> ClientCall:
+    """Return a call that uses the store client."""
 
-    def call(client: Client, put: Put) -> Coroutine:
+    def call(client: Client, put: PutCommand) -> Coroutine:
         state = StoreClient(settings_for("h0"), put)
         state.client = client
         return make(state)
@@ -756,10 +759,10 @@
     return call
 
 
-def on_cloud(make: Callable[[CloudClient], Coroutine]) -> Call:
-    """Return a call of the cloud."""
+def cloud_call(make: Callable[[CloudClient], Coroutine]) -> ClientCall:
+    """Return a call that uses the cloud client."""
 
-    def call(client: Client, put: Put) -> Coroutine:
+    def call(client: Client, put: PutCommand) -> Coroutine:
         cloud = CloudClient(settings_for("h0"), put)
         cloud.client = client
         return make(cloud)
@@ -767,7 +770,7 @@
     return call
 
 
-def on_worker(client: Client, put: Put) -> Coroutine:
+def call_worker(client: Client, put: PutCommand) -> Coroutine:
     """Send one command of each kind to a worker."""
     workers = WorkerClient(put)
     workers.client = client
@@ -776,7 +779,7 @@
     )
 
 
-def on_peer(client: Client, put: Put) -> Coroutine:
+def call_peer(client: Client, put: PutCommand) -> Coroutine:
     """Send one message of each kind to a peer."""
     peer = PeerClient("h0", "h1", "10.0.0.2:81", put, lambda: 433)
     peer.client = client
@@ -784,14 +787,14 @@
 
 
 class UnknownMessage(PeerMessage, frozen=True):
-    """A message that this version does not know."""
+    """A message kind that this version can't decode."""
 
     TAG = "unknown"
     value: int
 
 
 def message_from(row: list) -> PeerMessage:
-    """Return the message that is sent as a row."""
+    """Return the message for an encoded row."""
     return UnknownMessage(*row[1:]) if row[0] == UnknownMessage.TAG else decode_message(row)
 
 
@@ -804,18 +807,20 @@
 RENT = core_messages.RentInstances(5, "r-17", "g8", "a", True, 12)
 
 
-def exchanges() -> dict[str, tuple[Call, list[bytes]]]:
-    """Return a call and the replies that it gets, by name."""
+def exchanges() -> dict[str, tuple[ClientCall, list[bytes]]]:
+    """Return each call and its replies, by name."""
 
-    def txn(status: int, body: Any = None, writes: list | None = None) -> tuple[Call, list[bytes]]:
+    def txn(
+        status: int, body: Any = None, writes: list | None = None
+    ) -> tuple[ClientCall, list[bytes]]:
         op = core_messages.Transaction(5, GUARDS, WRITES if writes is None else writes, 1)
-        return on_state(lambda state: state._carry_out(op)), [reply(status, body)]
+        return store_call(lambda state: state._carry_out(op)), [reply(status, body)]
 
-    def state(op: core_messages.StoreOperation) -> Call:
-        return on_state(lambda state: state._carry_out(op))
+    def state(op: core_messages.StoreOperation) -> ClientCall:
+        return store_call(lambda state: state._carry_out(op))
 
-    def cloud(op: core_messages.CloudOperation) -> Call:
-        return on_cloud(lambda cloud: cloud.carry_out(op))
+    def cloud(op: core_messages.CloudOperation) -> ClientCall:
+        return cloud_call(lambda cloud: cloud.carry_out(op))
 
     list_more = {**ROWS, "has_next": True}
     hosts_more = {**HOSTS, "has_next": True}
@@ -842,15 +847,15 @@
         "state/renew/200": (state(core_messages.RenewLease(5, 7)), [reply(200, {})]),
         "state/renew/404": (state(core_messages.RenewLease(5, 7)), [reply(404)]),
         "state/list": (
-            on_state(lambda state: state._load()),
+            store_call(lambda state: state._load()),
             [reply(200, list_more), reply(200, {**ROWS, "epoch": 435})],
         ),
         "state/watch": (
-            on_state(lambda state: state.load_and_watch()),
+            store_call(lambda state: state.load_and_watch()),
             [reply(200, ROWS), reply(410), reply(200, ROWS), reply(200, EVENTS)],
         ),
         "cloud/catalogue": (
-            on_cloud(lambda cloud: cloud.poll_catalogue()),
+            cloud_call(lambda cloud: cloud.poll_catalogue()),
             [reply(200, CATALOGUE)],
         ),
         "cloud/list": (
@@ -867,49 +872,52 @@
         "cloud/rent/503": (cloud(RENT), [reply(503, {"error": "trouble"})]),
         "cloud/rent/400": (cloud(RENT), [reply(400)]),
         "cloud/return": (cloud(core_messages.ReturnInstances(5, ["n-1", "n-2"])), [reply(200)]),
-        "worker/200": (on_worker, [reply(200, BEAT)]),
-        "worker/409": (on_worker, [reply(409, BEAT)]),
-        "worker/400": (on_worker, [reply(400)]),
-        "peer/answer": (on_peer, [reply(200, [*old, 433])]),
-        "peer/old-answer": (on_peer, [reply(200, old)]),
+        "worker/200": (call_worker, [reply(200, HEARTBEAT)]),
+        "worker/409": (call_worker, [reply(409, HEARTBEAT)]),
+        "worker/400": (call_worker, [reply(400)]),
+        "peer/answer": (call_peer, [reply(200, [*old, 433])]),
+        "peer/old-answer": (call_peer, [reply(200, old)]),
     }
 
 
 def read_exchange(name: str, data: bytes) -> Any:
-    """Make a call with these replies; return where to, what was sent and what became of it."""
+    """Make a call with these replies.
+
+    Returns the addresses, the data sent, the resulting commands and the number of unused replies.
+    """
     call, _ = exchanges()[name]
-    client = Scripted(list(decode(data)))
+    client = ScriptedClient(list(decode(data)))
     commands: list[Command] = []
 
     async def run() -> None:
-        over = asyncio.Event()
+        endless = asyncio.Event()
 
         def put(command: Command) -> None:
             commands.append(command)
             if isinstance(
                 command, core_messages.ApplyWatchEvents | core_messages.UpdateMachineTypes
             ):
-                over.set()  # these go on for ever
+                endless.set()  # these calls never end by themselves
 
-        work = asyncio.ensure_future(call(client, put))
-        ended = asyncio.ensure_future(over.wait())
-        await asyncio.wait([work, ended], return_when=asyncio.FIRST_COMPLETED)
-        for task in (work, ended):
+        call_task = asyncio.ensure_future(call(client, put))
+        endless_task = asyncio.ensure_future(endless.wait())
+        await asyncio.wait([call_task, endless_task], return_when=asyncio.FIRST_COMPLETED)
+        for task in (call_task, endless_task):
             task.cancel()
-        await asyncio.gather(work, ended, return_exceptions=True)
+        await asyncio.gather(call_task, endless_task, return_exceptions=True)
 
-    with asyncio.Runner(loop_factory=StillLoop) as runner:
+    with asyncio.Runner(loop_factory=FrozenLoop) as runner:
         runner.run(run())
-    sent = [data.decode("latin-1") for data in client.line.sent]
+    sent = [data.decode("latin-1") for data in client.transport.sent]
     rows = [command_row(command) for command in commands]
-    return plain([client.addrs, sent, rows, len(client.line.replies)])
+    return plain([client.addrs, sent, rows, len(client.transport.replies)])
 
 
 # --- messages between controllers -------------------------------------------------------------
 
 
 def messages(machine: str, sender: str) -> list[list]:
-    """Return one message of each kind and form, with fields that differ from the usual."""
+    """Return one message of each kind and form, with fields that differ from the defaults."""
     tasks = [["job-1/0", 1, "running", "", False], ["job-2/0", 3, "exited", "stopped", True]]
     return [
         ["heard", [machine, "m8", "m9"]],
@@ -933,8 +941,8 @@
     ]
 
 
-def plain_core(core: Any) -> list:
-    """Return what messages change in a controller."""
+def controller_state(core: Any) -> list:
+    """Return the state of a controller that peer messages can change."""
     context = core.context
     machines = [
         [
@@ -952,7 +960,7 @@
         + [m.manager, m.manager_term, m.last_heartbeat_at, m.images]
         for m in context.machines.values()
     ]
-    kept = [
+    tracked = [
         [name, [[r.job_id, r.count] for r in one.queue.values()], one.offers, one.stops]
         for name, one in core.agents.workers.tracked.items()
     ]
@@ -965,17 +973,17 @@
             context.draining,
             context.terminated,
             context.backfill.by_job,
-            kept,
+            tracked,
             sorted(offers),
         ]
     )
 
 
 def read_messages(data: bytes, to_owner: bool) -> Any:
-    """Hand messages one by one to a controller of a small deployment with one machine: to the
-    machine's keeper, or to the owner of the team whose tasks wait.
+    """Deliver messages one by one to a controller of a deployment with one machine.
 
-    With one machine only, no order of a set matters.
+    The receiver is the controller that manages the machine, or the owner of the team whose tasks
+    wait. With a single machine, no set order matters.
     """
     sim = Simulation(2)
     sim.capacity = 1
@@ -985,57 +993,59 @@
     sim.submit("job-2", spec("array", 5, "red", gpus=2.0))
     sim.run(3)
     (machine,) = [worker for worker in sim.workers.values() if worker.up and not worker.dead]
-    label = sim.labels[machine.node]
+    label = sim.labels[machine.controller_index]
     if to_owner:
         (label,) = [
             name for name, core in sim.cores.items() if core and "red" in core.context.held_roles
         ]
     core = sim.cores[label]
     assert core is not None
-    seen = []
-    before = plain_core(core)
-    for firing, body in enumerate(decode(data)):
-        now = sim.now + firing * 0.05
-        commands, sent = asked(request_bytes("POST", "/peer", body), internal=True)
-        effects = [told(effect) for effect in core.step(now, commands)]
-        after = plain_core(core)
-        changes = [new for old, new in zip(before, after, strict=True) if old != new]
-        seen.append([effects, changes, sent])
-        before = after
-    return plain([label, seen])
+    results = []
+    previous = controller_state(core)
+    for index, body in enumerate(decode(data)):
+        now = sim.now + index * 0.05
+        commands, sent = route_request(request_bytes("POST", "/peer", body), internal=True)
+        effects = [outgoing_form(effect) for effect in core.step(now, commands)]
+        current = controller_state(core)
+        changes = [new for old, new in zip(previous, current, strict=True) if old != new]
+        results.append([effects, changes, sent])
+        previous = current
+    return plain([label, results])
 
 
 def request_bytes(method: str, path: str, data: bytes) -> bytes:
-    """Return a request with a body that is encoded already."""
+    """Return a request with an encoded body."""
     return f"{method} {path} HTTP/1.1\r\nContent-Length: {len(data)}\r\n\r\n".encode() + data
 
 
 def batches() -> dict[str, list[bytes]]:
-    """Return requests of a peer, one message to each, of this version's form and the earlier."""
+    """Return requests of a peer with one message each, in the present and the earlier form."""
     bodies = [encode(["batch", "h9", [one], 5]) for one in messages("m0", "h9")]
     more = [encode(["batch", "h9", [["heard", []]]]), encode(["batch"]), b"\xff"]
     return {"messages/keeper": bodies + more, "messages/owner": bodies}
 
 
-def lending() -> dict[str, Any]:
-    """Return what is sent when changes at the state service are borrowed, lent and credited."""
+def quota_messages() -> dict[str, Any]:
+    """Return the messages sent when write quota of the store is borrowed, lent and credited."""
     conf = settings_for("h0")
     core = Controller(conf, random.Random(1), 0)
-    borrowed = [told(effect) for effect in core.step(0.0, [core_messages.BorrowQuota(3.5)])]
+    borrowed = [
+        outgoing_form(effect) for effect in core.step(0.0, [core_messages.BorrowQuota(3.5)])
+    ]
 
     async def lend() -> list:
         service = Service(conf)
-        before = service.store.write_tokens.level
+        previous = service.store.write_tokens.level
         service.carry_out(core_messages.LendQuota("h1", 3.5))
-        lent = before - service.store.write_tokens.level
+        lent = previous - service.store.write_tokens.level
         service.carry_out(core_messages.CreditQuota(0.75))
         return [
             [encode_message(one) for one in service.peers["h1"].outbox],
             lent,
-            before - service.store.write_tokens.level,
+            previous - service.store.write_tokens.level,
         ]
 
-    with asyncio.Runner(loop_factory=StillLoop) as runner:
+    with asyncio.Runner(loop_factory=FrozenLoop) as runner:
         return {"lending/borrow": borrowed, "lending/lend": runner.run(lend())}
 
 
@@ -1103,15 +1113,15 @@
 
 
 def settings_files() -> dict[str, str]:
-    """Return settings files, good and bad, by name."""
-    least = "\n".join(
+    """Return valid and invalid settings files, by name."""
+    minimal = "\n".join(
         row
         for row in SETTINGS.replace("[facts.state.next]\n", "[more]\n").splitlines()
         if not row.startswith(("area", "size", "skew_ms", "cores", "ram_mb", "fd_limit"))
     )
     return {
         "settings/full": SETTINGS,
-        "settings/least": least.replace("[facts.resources]", ""),
+        "settings/least": minimal.replace("[facts.resources]", ""),
         "settings/bad-addr": SETTINGS.replace("10.2.0.1:2379", "x"),
         "settings/bad-limit": SETTINGS.replace("txn_ops = 24", "txn_ops = 1"),
         "settings/missing": SETTINGS.replace("lease_s = 10.0\n", ""),
@@ -1124,7 +1134,7 @@
 
 
 def read_settings(name: str, data: bytes) -> Any:
-    """Return what a settings file gives, or why it is refused."""
+    """Return the settings that a file gives, or the error text."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "file"
         path.write_bytes(data)
@@ -1137,35 +1147,35 @@
     return [plain(conf), conf.size, plain(conf.facts.store.strictest)]
 
 
-# --- the command line's words -----------------------------------------------------------------
+# --- command line fields ---------------------------------------------------------------------
 
 
-def words() -> dict[str, Any]:
-    """Return jobs in the command line's words, as submissions and back."""
-    made: dict[str, Any] = {}
+def cli_jobs() -> dict[str, Any]:
+    """Return jobs in the fields of the command line, as submissions and back."""
+    values: dict[str, Any] = {}
     for name, job in (("full", FULL), ("plain", PLAIN)):
-        said = job_description(job)
-        made[f"words/{name}"] = said
-        made[f"words/{name}/submission"] = submission_body({"id": "job-1", **said})
+        description = job_description(job)
+        values[f"words/{name}"] = description
+        values[f"words/{name}/submission"] = submission_body({"id": "job-1", **description})
     for state in ("queued", "running", "done", "aborted", "x"):
         body = {"id": "job-1", "status": state, "done": 3, "running": 4, "waits_on": ["job-2"]}
-        made[f"words/state/{state}"] = [*parse_job_summary(body)]
-    made["words/state/none"] = [*parse_job_summary(None)]
-    return made
+        values[f"words/state/{state}"] = [*parse_job_summary(body)]
+    values["words/state/none"] = [*parse_job_summary(None)]
+    return values
 
 
-# --- all of it --------------------------------------------------------------------------------
+# --- all cases --------------------------------------------------------------------------------
 
 
-def written() -> dict[str, bytes]:
-    """Return what the present code writes: records, responses, words."""
-    values = {**stored(), **schedule_records(), **words(), **lending()}
+def outputs() -> dict[str, bytes]:
+    """Return the bytes that the present code writes: records, responses, command line fields."""
+    values = {**stored_records(), **schedule_records(), **cli_jobs(), **quota_messages()}
     return {name: encode(value) for name, value in values.items()} | answers()
 
 
 def inputs() -> dict[str, bytes]:
-    """Return what others, or earlier processes of ours, hand to the present code."""
-    rows = {**stored(), **schedule_records()}
+    """Return the bytes that other programs and earlier versions give to the present code."""
+    rows = {**stored_records(), **schedule_records()}
     del rows["schedule/ids"]
     return (
         {f"record/{name}": encode(row) for name, row in rows.items()}
@@ -1177,14 +1187,14 @@
 
 
 def read(name: str, data: bytes) -> Any:
-    """Return what the present code makes of an input."""
-    kind, _, rest = name.partition("/")
+    """Return the result of reading an input with the present code."""
+    kind, _, case = name.partition("/")
     if kind == "record":
         return read_record(data)
     if kind == "request":
         return read_request(data)
     if kind == "exchange":
-        return read_exchange(rest, data)
+        return read_exchange(case, data)
     if kind == "messages":
-        return read_messages(data, rest == "owner")
+        return read_messages(data, case == "owner")
     return read_settings(name, data)
--- a/tests/test_recorded_bytes.py
+++ b/tests/test_recorded_bytes.py
@@ -1,15 +1,15 @@
-"""Every byte that leaves a controller, and all that it makes of bytes, as recorded.
-
-`data/recorded_bytes.json` holds what the version before a large renaming wrote and read. A change
-of it is a change of the protocols or of stored data: deployments that are upgraded one controller
-at a time would fail. `RECORD_BYTES=1 python -m tests.test_recorded_bytes` writes it anew; no
-test does, and a test fails if a case is not recorded.
-
-Digests of whole runs show changes of behaviour. Names stand in sets inside, so that some orders
-follow the hash seed of the process; so the effects of one step of a controller are put in order by
-their bytes, guards and writes of a transaction likewise, and numbers of offers and operations are
-left out. Which machines a gang draws follows the hash seed in some runs; these four gave the same
-digests with each of 90 hash seeds.
+"""Bytes that a controller sends and stores, and how it reads bytes, compared with a recording.
+
+`data/recorded_bytes.json` holds what an earlier version wrote and read. A difference means that a
+protocol or the stored data changed, which breaks upgrades of one controller at a time.
+`RECORD_BYTES=1 python -m tests.test_recorded_bytes` records anew; no test does, and a test fails
+if a case is not recorded.
+
+Digests of whole runs show changes of behaviour. Controllers iterate over sets of names, so some
+orders depend on the hash seed of the process. Therefore the effects of one step are sorted by
+their bytes, so are the guards and writes of a transaction, and numbers of offers and operations
+are left out. In some runs the machines chosen for a gang depend on the hash seed as well; the four
+runs here gave the same digests with each of 90 hash seeds.
 """
 
 import json
@@ -28,15 +28,15 @@
 
 
 def jsonable(value: Any) -> Any:
-    """Return a value as it is after a way through JSON."""
+    """Return a value as it is after a JSON round trip."""
     return json.loads(json.dumps(value))
 
 
-def shown(data: bytes) -> Any:
-    """Return bytes in a form for people: decoded CBOR, or text."""
+def readable_form(data: bytes) -> Any:
+    """Return bytes in readable form: decoded CBOR or text."""
     if data.startswith((b"HTTP/", b"POST ", b"GET ")):
         head, _, body = data.partition(b"\r\n\r\n")
-        return [head.decode().split("\r\n"), shown(body) if body else None]
+        return [head.decode().split("\r\n"), readable_form(body) if body else None]
     try:
         return jsonable(cbor2.loads(data))
     except Exception:  # not CBOR, or CBOR that JSON can't hold
@@ -44,58 +44,58 @@
 
 
 def record() -> dict[str, Any]:
-    """Return the present version's recording."""
+    """Return the recording of the present version."""
     return {
         "written": {
-            name: {"hex": data.hex(), "shown": shown(data)}
-            for name, data in recorded.written().items()
+            name: {"hex": data.hex(), "shown": readable_form(data)}
+            for name, data in recorded.outputs().items()
         },
         "read": {
             name: {
                 "hex": data.hex(),
-                "shown": shown(data),
+                "shown": readable_form(data),
                 "gives": recorded.read(name, data),
             }
             for name, data in recorded.inputs().items()
         },
-        "runs": {name: recorded.played(name) for name in recorded.RUNS},
+        "runs": {name: recorded.summarize_run(name) for name in recorded.RUNS},
     }
 
 
 @pytest.fixture(scope="module")
-def present() -> dict[str, bytes]:
-    """Return what the present version writes."""
-    return recorded.written()
+def current_outputs() -> dict[str, bytes]:
+    """Return the bytes that the present version writes."""
+    return recorded.outputs()
 
 
-def test_all_cases_are_recorded_and_no_other(present):
-    assert set(present) == set(RECORDED["written"])
+def test_the_recorded_cases_are_exactly_the_known_cases(current_outputs):
+    assert set(current_outputs) == set(RECORDED["written"])
     assert set(recorded.inputs()) == set(RECORDED["read"])
     assert set(recorded.RUNS) == set(RECORDED["runs"])
 
 
 @pytest.mark.parametrize("name", RECORDED.get("written", ()))
-def test_what_is_written_is_the_same_byte_for_byte(name, present):
+def test_written_bytes_are_unchanged(name, current_outputs):
     row = RECORDED["written"][name]
-    assert shown(present[name]) == row["shown"]
-    assert present[name].hex() == row["hex"]
+    assert readable_form(current_outputs[name]) == row["shown"]
+    assert current_outputs[name].hex() == row["hex"]
 
 
 @pytest.mark.parametrize("name", RECORDED.get("read", ()))
-def test_what_was_recorded_is_read_as_before(name):
+def test_recorded_input_is_read_with_the_same_result(name):
     row = RECORDED["read"][name]
     assert jsonable(recorded.read(name, bytes.fromhex(row["hex"]))) == row["gives"]
 
 
 @pytest.mark.parametrize("name", RECORDED.get("runs", ()))
-def test_a_whole_run_is_the_same(name):
-    now, then = jsonable(recorded.played(name)), RECORDED["runs"][name]
-    for part in ("told", "kinds", "first"):
-        assert now[part] == then[part]
-    assert now == then
+def test_a_simulated_run_is_unchanged(name):
+    current, expected = jsonable(recorded.summarize_run(name)), RECORDED["runs"][name]
+    for field in ("told", "kinds", "first"):
+        assert current[field] == expected[field]
+    assert current == expected
 
 
 if __name__ == "__main__":
     if not os.environ.get("RECORD_BYTES"):
-        sys.exit("set RECORD_BYTES=1 to write the recording anew")
+        sys.exit("set RECORD_BYTES=1 to overwrite the recording")
     FILE.write_text(json.dumps(record(), indent=1, ensure_ascii=False) + "\n")
