--- a/tests/test_schedule_firings.py
+++ b/tests/test_schedule_firings.py
@@ -188,7 +188,9 @@
         sim.put_cron_entry(f"red/{name}", "0 3 * * *", overlap="allow")
     sim.run_until("2026-12-01T02:59:58+00:00")
     assert sim.put_cron_entry("red/edit", "1 3 * * *", overlap="allow")[0] == 200
-    assert sim.put_cron_entry("red/same", "0 3 * * *", overlap="skip")[0] == 200  # the time stays the same
+    assert (
+        sim.put_cron_entry("red/same", "0 3 * * *", overlap="skip")[0] == 200
+    )  # the time stays the same
     assert sim.request("pause", name="red/pause")[0] == 200
     assert sim.request("remove", name="red/remove")[0] == 200
     sim.run(4)
