--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,7 +1,7 @@
-"""The import contract: which parts of oakmux may import which, and that no imports form a circle.
+"""The import contract: which parts of oakmux may import which, and no import cycles.
 
-Imports for type checkers and inside functions count as well. What does not hold yet is listed as
-known exceptions, which fail here as soon as they are no longer needed.
+Imports for type checkers and inside functions count too. Imports that still break the contract
+are listed as known exceptions; a test fails as soon as an exception is no longer needed.
 """
 
 import ast
@@ -13,7 +13,7 @@
 ROOT = Path(__file__).parent.parent
 SUBSYSTEMS = ("agents", "api", "autoscaling", "leadership", "peers", "scheduling")
 
-# (importer, imported) pairs that break a layer, until they are mended.
+# (importer, imported) pairs that still break the layers.
 KNOWN_LAYER_BREAKS: set[tuple[str, str]] = {
     ("oakmux.core.context", "oakmux.core.scheduling.failure_attribution"),
 }
@@ -27,7 +27,7 @@
 
 
 def imported_names(module: str, source: str) -> Iterator[str]:
-    """Yield the full dotted names that a module's source imports, wherever the import stands."""
+    """Yield the full dotted names that a module's source imports, at any place in it."""
     for node in ast.walk(ast.parse(source)):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
@@ -37,7 +37,7 @@
 
 
 def resolve(name: str) -> str:
-    """Return the module of ours that a dotted name lies in, or the name itself."""
+    """Return the oakmux module that contains a dotted name, or the name itself."""
     parts = name.split(".")
     for length in range(len(parts), 0, -1):
         if (module := ".".join(parts[:length])) in MODULES:
@@ -46,7 +46,7 @@
 
 
 def import_graph() -> dict[str, set[str]]:
-    """Return what each module imports: our own modules and the full names of others."""
+    """Return the imports of each module: oakmux modules, and full names of others."""
     return {
         module: {resolve(name) for name in imported_names(module, path.read_text())} - {module}
         for module, path in MODULES.items()
@@ -61,7 +61,7 @@
 
 
 def is_forbidden(importer: str, imported: str) -> bool:
-    """Whether an import goes against the layers, from the lowest to the highest."""
+    """Whether an import breaks the layers; they are checked from the lowest to the highest."""
     subsystems = [f"oakmux.core.{part}" for part in SUBSYSTEMS]
     if within(imported, "tests", "tools"):
         return True
@@ -80,7 +80,7 @@
             return False
         if imported == "oakmux.core.controller":
             return True
-        # The records and what all parts share lie below the parts.
+        # Records and modules that all subsystems share are below the subsystems.
         return not within(importer, *subsystems) and within(imported, *subsystems)
     if within(importer, "oakmux.codec", "oakmux.transport"):
         return within(
--- a/tests/test_autoscaling.py
+++ b/tests/test_autoscaling.py
@@ -1,4 +1,4 @@
-"""Machines are rented and returned as needed."""
+"""Renting and returning machines as needed."""
 
 import pytest
 
@@ -38,13 +38,13 @@
     sim.boot_s = lambda: boot_s
     sim.submit("job-1", spec("array", 8, "blue", estimate_s=5.0))
     for _ in range(20):
-        sim.run(1)  # late ones are replaced, but not all of them rented twice over
+        sim.run(1)  # late machines are replaced, but not all are rented twice
         assert sum(not w.dead for w in sim.workers.values()) <= 4
     assert boot_s is not None or len(sim.workers) > 4
     sim.boot_s = lambda: 2.0
     assert sim.unfinished(60) == set()
     sim.run(60)
-    assert all(w.dead for w in sim.workers.values())  # none is paid for to the end of time
+    assert all(w.dead for w in sim.workers.values())  # no machine is paid for forever
 
 
 def test_a_zone_whose_machines_fail_to_boot_is_avoided_for_a_while():
--- a/tests/test_backfill.py
+++ b/tests/test_backfill.py
@@ -1,4 +1,4 @@
-"""Backfill reservations: against the optimum of a solver, and while several machines fail."""
+"""Backfill reservations: compared with a solver's optimum, and while several machines fail."""
 
 import math
 import random
@@ -29,7 +29,7 @@
 
 
 def fragmented_fleet(rng: random.Random) -> tuple[list[BackfillCandidate], int]:
-    """Return a small fleet with tasks scattered over it, and the size of a gang."""
+    """Return a small fleet with scattered tasks, and a gang's number of tasks."""
     candidates = []
     for number in range(rng.randint(3, 9)):
         free, running = [4.0, 4.0, 16.0], []
@@ -54,7 +54,7 @@
 
 
 def least_lost_work(candidates: list[BackfillCandidate], tasks: int, by: float) -> float | None:
-    """Return the least work lost so that a gang fits on these machines by a time, or None."""
+    """Return the least work to lose so that a gang fits by a given time, or None if it can't."""
     model = highspy.Highs()
     model.setOptionValue("output_flag", False)
     placed, cost = [], []
@@ -77,7 +77,7 @@
 
 
 def earliest_fit(candidates: list[BackfillCandidate], tasks: int) -> tuple[float, float] | None:
-    """Return when a gang fits on these machines at the earliest, and the work lost for that."""
+    """Return the earliest time at which a gang fits, and the least work to lose for that."""
     for by in sorted(
         {0.0, *(h.ready_s for s in candidates for h in s.tasks if h.ready_s < math.inf)}
     ):
@@ -102,7 +102,7 @@
         by = min(answer[0] for answer in answers)
         assert plan.ready_s <= by + min(by, constants.BACKFILL_MARGIN_S)
         assert sum(plan.machines.values()) == tasks
-        for candidate in candidates:  # never what is protected, never more than there is
+        for candidate in candidates:  # no protected tasks, no more than the free capacity
             if candidate.name in plan.machines:
                 assert candidate.zone == plan.zone
                 ended = [t.resources for t in candidate.tasks if t.ready_s <= plan.ready_s]
@@ -142,7 +142,7 @@
 
 
 def crowded_cluster(seed: int, capacity: int = 4) -> Simulation:
-    """Return a fleet full of small gangs, with more of them to come."""
+    """Return a fleet full of small gangs, with more submitted later."""
     sim = Simulation(seed, scheduling=SchedulingOptions(backfill=True))
     sim.run(12)
     sim.capacity = capacity
@@ -162,7 +162,8 @@
 
 @pytest.mark.parametrize("fault", ["none", "machines", "scheduler", "frozen", "zone"])
 def test_a_large_gang_starts_among_small_ones_whichever_fault_occurs(fault):
-    # Gangs of 32 waited 230 s and more in a full fleet: younger small ones took what became free.
+    # Without reservations gangs of 32 wait 230 s and more in a full fleet, because younger small
+    # gangs take the capacity that becomes free.
     sim = crowded_cluster(3)
     sim.submit("job-100", spec("gang", 4, "blue", priority=2, cpus=2.0, one_zone=True))
     sim.run(6)
@@ -225,19 +226,19 @@
         True,
     ]
     assert not reservations.blocks_job("m3", younger, younger.spec)
-    reservations.announced(
-        AnnounceBackfill("job-1", 2, 40.0, ["m1"], 30.0)
-    )  # m1 is the older gang's
+    # Now m1 is reserved for the older gang.
+    reservations.announced(AnnounceBackfill("job-1", 2, 40.0, ["m1"], 30.0))
     assert reservations.by_machine == {"m1": "job-1", "m2": "job-2"}
     reservations.announced(AnnounceBackfill("job-1", 2, 40.0, [], 0.0))
     context.now = 26.0
-    assert not blocked(younger)  # its controller does not announce it any more
+    assert not blocked(younger)  # the reservation expired: no more announcements
     reservations.announced(AnnounceBackfill("job-2", 2, 50.0, ["m1"], 1.0))
-    assert blocked(array)  # it would be preempted in a moment
+    assert blocked(array)  # the array would soon be preempted
 
 
 def test_the_oldest_gang_may_take_machines_reserved_for_younger_ones():
-    # Two younger gangs had reserved 72 machines; 36 others were ready in 260 s.
+    # Guards against a wait for other machines: with 72 machines reserved by two younger gangs, the
+    # other 36 are ready only in 260 s.
     context = Context(settings_for("h0"), random.Random(1), 0)
     reservations = BackfillReservations(context)
     jobs = {}
@@ -258,7 +259,7 @@
 
 
 def test_a_large_gang_starts_at_its_teams_quota_beside_younger_small_ones():
-    # What a small gang freed of the limit was taken by the next small one, for ever.
+    # Guards against the next small gang always taking the quota that a small gang frees.
     sim = idle_cluster(seed=3)
     sim.run_s = lambda task: 5.0 + (int(task[4:].split("/")[0]) * 7) % 9
     for number in range(1, 120):
@@ -268,12 +269,13 @@
         )
     sim.run(30)
     sim.submit("job-200", spec("gang", 6, "blue", priority=2))
-    sim.run(80)  # some thirty are older
+    sim.run(80)  # about thirty gangs are older
     assert [at for at, task, _, _ in sim.start_log if task.startswith("job-200/")]
 
 
 def test_machines_reserved_for_a_gang_are_not_returned_as_idle():
-    # Some of 32 machines that a gang waited for were returned while the rest became free.
+    # Guards against returning some of the 32 machines that a gang waits for while others become
+    # free.
     sim = idle_cluster()
     sim.submit("job-1", spec("array", 8, "blue", estimate_s=3.0))
     sim.run(14)
@@ -295,7 +297,7 @@
 
 
 def test_machines_that_fell_idle_in_a_store_outage_are_kept_until_it_ends():
-    # Nothing could be started meanwhile, and users submit again a moment after the outage.
+    # No task can start during the outage, and users submit jobs again right after it.
     sim = idle_cluster()
     sim.submit("job-1", spec("array", 8, "blue", estimate_s=3.0))
     sim.run(8)
--- a/tests/test_binding_batches.py
+++ b/tests/test_binding_batches.py
@@ -1,4 +1,4 @@
-"""Binding batches: bindings of many small jobs in one record, and faults of its writer."""
+"""Binding batches: one record holds the bindings of many small jobs; faults of its writer."""
 
 import random
 from collections import Counter
@@ -19,12 +19,12 @@
 from tests.helpers.faults import RepeatedTransactions, kinds
 from tools.capacity.cell import Cell, cpu_job
 
-# The writes of pages at which troubles strike, by the number of controllers.
+# Cases: the number of controllers and the n-th batch write, at which a fault occurs.
 FAULT_CASES = [(3, 1), (3, 3), (7, 2)]
 
 
 def settled_cluster(seed: int = 1, count: int = 3) -> Simulation:
-    """Return a deployment that has machines and writes pages."""
+    """Return a deployment that has machines and writes batches."""
     sim = Simulation(seed, count)
     sim.run(12)
     assert sim.state.rows[FORMAT_KEY][0][0] == FORMAT
@@ -32,7 +32,7 @@
 
 
 def small_job(team: str = "red", **more: Any):
-    """Return a job of one task that needs little."""
+    """Return a job of one small task."""
     fields = {"gpus": 0.0, "cpus": 0.1, "memory_gb": 0.1, "estimate_s": 4.0, **more}
     return spec("array", 1, team, **fields)
 
@@ -57,17 +57,17 @@
 
 
 def batch_records(sim: Simulation) -> dict[str, tuple[list, int]]:
-    """Return all pages by their key, with their stamps."""
+    """Return all batch records by key, with their revisions."""
     return {key: row[:2] for key, row in sim.state.rows.items() if key.startswith("ox/p/")}
 
 
 def batch_row(job_id: str, machine: str = "m1", attempt: int = 1, tasks: int = 1) -> list:
-    """Return a page's row with one task bound."""
+    """Return a batch row with one bound task."""
     block = TaskBlock(last_attempt=attempt, bindings={0: Binding(attempt, machine, 1, 1, "a")})
     return BatchRow(job_id, tasks, encode_block(block, FORMAT)).to_value()
 
 
-# --- what it is for ---
+# --- writing batches ---
 
 
 def test_jobs_submitted_together_share_transactions():
@@ -90,7 +90,7 @@
     assert sim.starts == 60
     assert changes["j"] == 120
     assert changes["t"] == changes["-t"] == 0
-    assert changes["p"] < 80  # each job's own record took 120: one to bind it, one to let go
+    assert changes["p"] < 80  # a record per job takes 120 writes: bind, unbind
     assert all(value == [] for value, _ in batch_records(sim).values())
 
 
@@ -114,7 +114,7 @@
     assert sim.state.too_large == 0
 
 
-# Guards the sum behind BATCH_ROW_BYTES: a page that outgrew its value could never be written.
+# Guards the sum behind BATCH_ROW_BYTES: a batch larger than the value limit can't be written.
 def test_full_batch_rows_fit_in_their_reserved_bytes():
     for tasks in (1, 2, 7, constants.BATCH_JOB_TASKS):
         bound = {
@@ -142,7 +142,7 @@
     assert buffer.batches.choose("red", "job-9", 1) == "red/0"
 
 
-# --- what a reader makes of pages ---
+# --- reading batches ---
 
 
 def test_a_replica_applies_changed_batch_rows_and_ignores_older_revisions():
@@ -160,17 +160,16 @@
     replica.apply(key, [batch_row("job-1", "m3", 2), batch_row("job-2", "m2")], 12)
     assert replica.changes.jobs == {"job-1"}
     assert replica.jobs["job-2"].blocks[0] is kept
-    replica.apply(
-        key, [batch_row("job-1"), batch_row("job-2", "m9")], 11
-    )  # older: it changes nothing
+    # An older revision is ignored.
+    replica.apply(key, [batch_row("job-1"), batch_row("job-2", "m9")], 11)
     assert list(replica.bindings.by_machine) == ["m2", "m3"]
     assert replica.job_records.batches["red/0"].mod_revision == 12
     replica.apply(key, [batch_row("job-2", "m2")], 13)
     assert not replica.jobs["job-1"].blocks
     assert list(replica.bindings.by_machine) == ["m2"]
-    replica.apply(batch_key("red/7"), None, 13)  # read, and not there
+    replica.apply(batch_key("red/7"), None, 13)  # read, but absent
     assert "red/7" not in replica.job_records.batches
-    replica.apply(key, [batch_row("job-1"), ["torn"]], 14)  # all of it or nothing
+    replica.apply(key, [batch_row("job-1"), ["torn"]], 14)  # malformed: not applied at all
     assert replica.job_records.batches["red/0"].mod_revision == 13
     assert list(replica.bindings.by_machine) == ["m2"]
 
@@ -186,12 +185,13 @@
     assert not replica.bindings.by_machine
 
 
-# --- rules: one binder, durable before it is told, cancellation or binding ---
+# --- rules: one binder; durable before reported; either cancellation or binding wins ---
 
 
 def check_jobs_are_guarded(sent: list) -> None:
-    """A cancellation and a binding can't both win, nor an end of an owner that was replaced: what
-    binds tasks of a job, or ends it, is guarded by the job, the end by its team's role too."""
+    """Check that each transaction that binds tasks of a job or ends the job is conditional on the
+    job's record, and an end also on the team's role. So a cancellation and a binding can't both
+    win, and a replaced owner can't end a job."""
     bound: set[tuple] = set()
     ends = 0
     for _, transaction in sent:
@@ -233,7 +233,7 @@
             assert f"ox/own/{key.split('/')[2]}" in guarded
             assert value_bytes(value) <= constants.BATCH_BYTES
     check_jobs_are_guarded(sim.sent)
-    for core in sim.cores.values():  # nobody writes any more, but all that was sent comes again
+    for core in sim.cores.values():  # no new writes; everything sent arrives again
         core.step = lambda now, commands: []  # type: ignore[method-assign]
     before = {key: row[:2] for key, row in sim.state.rows.items()}
     for label, transaction in [*written, *reversed(written)]:
@@ -249,7 +249,7 @@
     sim.submit("job-2", small_job(estimate_s=60.0))
     while not replica.jobs.get("job-2") or not replica.jobs.get("job-1"):
         sim.run(0.01)
-    sim.stuck = {owner_label}  # it hears of nothing that others write
+    sim.stuck = {owner_label}  # it receives no writes of others
     sim.cancel_requested.add("job-1")
     other = next(label for label in sim.labels if label != owner_label)
     answers = sim.tell(other, messages.CancelJob, "job-1")
@@ -259,12 +259,12 @@
     assert not core.context.replica.jobs["job-1"].bindings()
     sim.stuck = set()
     sim.run(8)
-    assert [task for _, task, _ in sim.live()] == ["job-2/0"]  # not held up for good by the other
+    assert [task for _, task, _ in sim.live()] == ["job-2/0"]  # not blocked for good by job-1
     assert sim.told["job-1"] == "cancelled"
 
 
 class InterruptedWrites(Simulation):
-    """Lets something happen at the n-th write of a page."""
+    """Injects a fault at the n-th write of a batch."""
 
     def __init__(self, seed: int, count: int, nth_write: int, fault: str) -> None:
         self.writes_left, self.fault, self.armed = nth_write, fault, False
@@ -286,7 +286,7 @@
         self.after(0.0, lambda: self.fail_writer(label, effect, done))
 
     def fail_writer(self, label: str, effect: messages.StoreOperation, done: Any) -> None:
-        """Carry the write out at once or late, or never, and let its writer fail."""
+        """Carry out the write at once, late or never, and make its writer fail."""
         restart_s = 3.0 if "back" in self.fault else 0.1
 
         def serve() -> Any:
@@ -312,8 +312,8 @@
             self.after(constants.STORE_TIMEOUT_S, lambda: done((0, None)))
 
 
-# Guards, among others, the page that a read after "no answer" did not find: the writer once took
-# it for an empty one of that revision, and its jobs waited for ever.
+# Guards, among others, against a batch that a read after "no answer" does not find: if the writer
+# takes it for an empty batch of that revision, its jobs wait forever.
 @pytest.mark.parametrize(("count", "nth_write"), FAULT_CASES)
 @pytest.mark.parametrize(
     "fault",
@@ -348,7 +348,7 @@
     assert all(value == [] for value, _ in batch_records(sim).values())
 
 
-# A successor ends while it takes the predecessor's pages over, and its own successor as well.
+# A new owner crashes while it takes over its predecessor's batches, and so does the next owner.
 @pytest.mark.parametrize("gap", [0.05, 0.3, 0.8, 2.0])
 @pytest.mark.parametrize("count", [3, 7])
 def test_batch_rows_are_correct_after_successive_crashes_of_role_holders(count, gap):
@@ -364,11 +364,11 @@
     assert all(value == [] for value, _ in batch_records(sim).values())
 
 
-# --- beside the version before ---
+# --- together with the previous version ---
 
 
 def upgrade_controllers(sim: Simulation, *labels: str, gap: float) -> None:
-    """Replace controllers of the version before, one after the other."""
+    """Upgrade controllers of the previous version, one after another."""
     for label in labels:
         sim.formats.pop(label, None)
         sim.crash(label, 1.0)
@@ -392,7 +392,7 @@
     sim.run(3)
     assert sim.state.rows[FORMAT_KEY][0] == [FORMAT, 64]
     kept = {key for key in sim.state.rows if key.startswith("ox/t/")}
-    assert kept  # what the version before wrote stays where it is until it is over
+    assert kept  # records of the previous version stay until their jobs end
     submit_small_jobs(sim, 12, 3.0, first=50, estimate_s=5.0)
     sim.run(4)
     assert batch_records(sim)
@@ -427,8 +427,8 @@
     check_recovered(sim)
 
 
-# Guards the limit of a transaction in bytes: with as many records as it may hold it could be more
-# than the state service takes, and would be refused for ever.
+# Guards the byte limit of a transaction: a transaction with the maximum number of records could
+# exceed what the store accepts and would be refused forever.
 @pytest.mark.parametrize("limit", [4, 8, 1000])
 def test_no_transaction_exceeds_the_byte_limit(limit, monkeypatch):
     monkeypatch.setattr(constants, "TRANSACTION_BYTES", limit * 1024)
@@ -441,9 +441,8 @@
         transaction(effect)
 
     monkeypatch.setattr(cell, "_transaction", record_size)
-    monkeypatch.setattr(
-        cell.core.autoscaler, "tick", lambda: None
-    )  # it would return idle machines
+    # Otherwise the autoscaler returns idle machines.
+    monkeypatch.setattr(cell.core.autoscaler, "tick", lambda: None)
     cell.run(5.0)
     cell.submit(cpu_job("team-0", 1600, 60.0, "gang"))
     cell.run(5.0)
--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -47,7 +47,7 @@
     sim.run(10)
     sim.drop_inbound(running_machines(sim), 100.0)
     sim.cancel("job-1")
-    sim.run(CANCEL_S + 2)  # the fakes check it as well
+    sim.run(CANCEL_S + 2)  # the fakes check the time limit too
     assert sim.told["job-1"] == "cancelled"
     assert not sim.live()
 
@@ -66,7 +66,7 @@
     others = [task for _, task, _ in sim.live() if task.startswith("job-1/")]
     sim.run(CANCEL_S + 2)  # the fakes check that no task of job-0 is left by then
     assert not running(sim, "job-0")
-    # it could be, and was, answered for all the while
+    # The controller could answer its workers throughout the outage, and did.
     assert workers_of(sim, refused_label) == running_machines(sim)
     assert [task for _, task, _ in sim.live() if task.startswith("job-1/")] == others
     check_recovered(sim, 350)
@@ -74,8 +74,8 @@
 
 @pytest.mark.parametrize("count", [3, 7])
 def test_a_controller_without_the_bindings_forwards_a_cancellation(count):
-    # Whoever confirmed it had read the job's record, but was behind with the bindings: it took
-    # the job for one without tasks, and told nobody.
+    # Guards against a controller that confirms the cancellation with the job's record but without
+    # its bindings: it takes the job for one without tasks and forwards the cancellation to nobody.
     sim = busy_cluster(count)
     refused_label = sim.labels[0]
     other = next(
@@ -90,7 +90,7 @@
     sim.run(2)
     assert len(running(sim, "job-5")) == 4
     sim.state.refused = {refused_label}
-    sim.stuck = {*sim.labels} - {refused_label}  # its news reaches nobody any more
+    sim.stuck = {*sim.labels} - {refused_label}  # peers receive no changes any more
     cancel_at(sim, other, "job-5")
     sim.state.outage(2 * CANCEL_S)
     sim.state.refused, sim.stuck = set(), set()
@@ -102,22 +102,22 @@
 @pytest.mark.parametrize("terms", ["lower", "higher"])
 @pytest.mark.parametrize("count", [3, 7])
 def test_a_task_missing_from_the_replica_is_stopped_when_its_job_is_cancelled(count, terms):
-    # It was bound after we had been refused, and its worker comes to us in the outage, with the
-    # token of a controller that is there but can't be reached by it.
+    # The store refuses a controller, then a task is bound. In the outage its worker moves to the
+    # refused controller, with the token of a controller that runs but that the worker can't reach.
     sim = Simulation(4, count)
     sim.capacity = 3
     sim.run(8)
     refused_label, binder = sim.labels[0], sim.labels[1]
     sim.submit("job-0", spec("service", 1, "blue"))
     sim.run(8)
-    if terms == "higher":  # whoever started last has the highest term
+    if terms == "higher":  # the controller that starts last has the highest term
         sim.crash(refused_label, 0.2)
     else:
         sim.crash(binder, 0.2)
     sim.run(8)
     move_workers_to(sim, binder)
     sim.state.refused = {refused_label}
-    sim.run(8)  # what it owned has gone to others
+    sim.run(8)  # its roles have moved to others
     sim.submit("job-1", spec("array", 3, estimate_s=300.0))
     sim.run(3)
     names = running(sim, "job-1")
@@ -126,7 +126,7 @@
     sim.cuts |= {frozenset((label, name)) for label in sim.labels[1:] for name in names}
     cancel_at(sim, sim.labels[-1], "job-1")
     sim.state.outage(2 * CANCEL_S)
-    sim.run(1.7)  # nobody's records are fresh any more: we keep whom we have
+    sim.run(1.7)  # no records are fresh any more: controllers keep their workers
     token_within_term = [
         sim.workers[name].fencing_token <= sim.cores[refused_label].context.term for name in names
     ]
@@ -134,20 +134,21 @@
     for name in names:
         reset(sim, name, refused_label)
     sim.run(CANCEL_S)
-    # With a token above our term, a start that the other gave may be on its way as well: what is
-    # true of the task that runs is not known of that one, and the lease has to end.
+    # If the worker's token is above the refused controller's term, another start command of the
+    # binder may still be in flight. Stopping the running task does not cover that start, so the
+    # worker's lease has to end.
     for name, keeps_lease in zip(names, token_within_term, strict=True):
         assert (sim.workers[name].agent_epoch == before[name]) == keeps_lease
     if all(token_within_term):
         assert workers_of(sim, refused_label) == running_machines(sim)
-        assert len(running(sim, "job-0")) == 1  # nor did its machine lose the lease
+        assert len(running(sim, "job-0")) == 1  # its machine did not lose its lease
     sim.run(2.5 * CANCEL_S)
     assert len(running(sim, "job-0")) == 1
     check_recovered(sim)
 
 
 def job_in_replica(sim: Simulation, label: str, job_id: str) -> Any:
-    """Return a job as a controller knows it, or None."""
+    """Return a job from a controller's replica, or None."""
     return sim.cores[label].context.replica.jobs.get(job_id)
 
 
@@ -160,7 +161,7 @@
     cancel_at(sim, "h1", "job-0")
     for label in {"confirmer": ["h1"], "others": ["h2"], "all others": ["h1", "h2"]}[restarted]:
         sim.crash(label, 0.1)
-    sim.run(1.5)  # back, with records of which the cancellation is a part
+    sim.run(1.5)  # restarted, with records that include the cancellation
     sim.cuts.clear()
     sim.run(0.3)
     sim.state.outage(2 * CANCEL_S)
@@ -176,11 +177,11 @@
     sim.state.refused = {"h0"}
     sim.run(1)
     sim.cuts |= {frozenset(("h0", "h1"))}
-    sim.stuck = {"h2"}  # nor does the third hear of it, whatever it goes on saying to us
+    sim.stuck = {"h2"}  # h2 does not receive the cancellation but still answers h0
     cancel_at(sim, "h1", "job-0")
     sim.state.outage(2 * CANCEL_S)
     for label in sim.labels[1:][:crash_count]:
-        sim.crash(label, 0.1)  # it can't load its records, and so speaks for nobody
+        sim.crash(label, 0.1)  # it can't load its records, so its answers don't count
     sim.cuts.clear()
     sim.run(1.7)
     for name in running_machines(sim):
@@ -190,8 +191,8 @@
 
 
 def delayed_starts_with_highest_term(label: str) -> "DelayedStarts":
-    """Return a deployment that can hold up starts, all of whose machines report to a controller
-    whose term is above all others'."""
+    """Return a deployment that can delay starts; all machines report to the controller with the
+    highest term."""
     sim = DelayedStarts(6, "launch", 2 * CANCEL_S)
     sim.capacity = 2
     sim.run(8)
@@ -204,8 +205,8 @@
 
 @pytest.mark.parametrize("sender_alive", [True, False])
 def test_a_delayed_start_command_has_no_effect_after_its_job_was_cancelled(sender_alive):
-    """The worker goes to a controller with a lower term, which can't raise it in the outage; so
-    nothing but the end of the worker's session rules out the start that is on its way."""
+    """The worker moves to a controller with a lower term, which can't raise it in the outage.
+    Only the end of the worker's agent epoch rules out the start that is in flight."""
     sim = delayed_starts_with_highest_term("h1")
     sim.armed = True
     sim.submit("job-1", spec("array", 2, estimate_s=1.0, gpus=1.0))
@@ -215,7 +216,7 @@
     sim.cuts |= {frozenset(("h1", name)) for name in running_machines(sim)}
     cancel_at(sim, "h2", "job-1")
     sim.state.outage(3 * CANCEL_S)
-    if not sender_alive:  # the controller that gave it is gone as well
+    if not sender_alive:  # the sender of the start is down too
         sim.crash("h1", 3 * CANCEL_S)
     sim.run(1.7)
     for name in running_machines(sim):
@@ -245,7 +246,7 @@
         replica.apply(
             job_key(f"job-{number}"), encode_job("cancelled", "red", None, 0, 1), 10 * mod_revision
         )
-    # What was dropped must not look like nothing.
+    # Dropped entries give None, not an empty list.
     assert replica.cancellations.cancelled_after(29) is None
     assert replica.cancellations.cancelled_after(30) == ["job-5", "job-1", "job-11", "job-12"]
 
@@ -274,7 +275,7 @@
     effects = core.step(sim.now, batch if order == "written" else batch[::-1])
     answered = {e.request: (e.status, e.body) for e in effects if isinstance(e, messages.Answer)}
     assert answered["user"] == (200, ("job", "job-0", "cancelled", 0, 0))
-    # Asked before it was written, the answer speaks for the time before the user was told.
+    # If the peer's request precedes the write, the answer covers only the time before it.
     assert answered["peer"][1][4] == (["job-0"] if order == "written" else [])
     later = core.step(sim.now, [messages.ReceivePeerMessages("peer", "h0", [], revision)])
     assert [e.body[4:] for e in later if isinstance(e, messages.Answer)] == [(["job-0"], revision)]
@@ -296,8 +297,8 @@
 
 @pytest.mark.parametrize("sender_alive", [True, False])
 def test_an_unrecorded_delayed_start_has_no_effect_after_cancellation(sender_alive):
-    # It was bound after the state service had refused us, given by a controller with a newer term
-    # and held up on its way; its worker comes to us in an outage. No newer term is to be had.
+    # The store refuses h2. Then h1, which has a higher term, binds a task, and its start command
+    # is delayed. In an outage the worker moves to h2, which can't get a higher term.
     sim = delayed_starts_with_highest_term("h1")
     sim.state.refused = {"h2"}
     sim.armed = True
@@ -309,7 +310,7 @@
     assert "job-1" not in replica.jobs or not replica.jobs["job-1"].bindings()
     sim.cuts |= {frozenset(("h1", name)) for name in running_machines(sim)}
     cancel_at(sim, "h0", "job-1")
-    sim.run(0.5)  # the word is passed on
+    sim.run(0.5)  # peers receive the cancellation
     sim.state.outage(3 * CANCEL_S)
     sim.state.refused = set()
     if not sender_alive:
@@ -325,8 +326,9 @@
 @pytest.mark.parametrize("fault", ["yield", "expiry", "restart", "keeper", "all"])
 @pytest.mark.parametrize("count", [3, 7])
 def test_a_cancellation_during_a_role_change_ends_every_task(fault, count):
-    """At every fifth of a second about the change. Must not happen: ran_cancelled, a task that
-    starts though its giver could know, a limit given out twice, a job that comes back."""
+    """Cancels a job every 0.2 s around the role change. Must not happen: `ran_cancelled`, a start
+    by a controller that could know of the cancellation, a quota granted twice, a cancelled job
+    that becomes active again."""
     sim = teams_at_quota(count)
     for step in range(12):
         sim.submit(
@@ -363,8 +365,8 @@
 @pytest.mark.parametrize("seconds", [2.0, 0.9 * LEASE_S, 1.5 * LEASE_S, 1.2 * CANCEL_S])
 @pytest.mark.parametrize("fault", ["hang", "mute"])
 def test_unreachable_cancelled_tasks_end_in_time_even_if_the_leader_crashes(fault, seconds):
-    # Must not happen: cancelled work that goes on after its machine hung, a session that is kept
-    # alive by direct orders, a task found gone that is not.
+    # Must not happen: a cancelled task continues after its machine hung, direct commands keep a
+    # lease alive, a task that still runs is taken for ended.
     for leader_crashes in (False, True):
         sim = teams_at_quota(3)
         names = running_machines(sim)[:2]
@@ -386,11 +388,12 @@
 
 @pytest.mark.parametrize("moment", [round(-0.4 + 0.1 * step, 1) for step in range(10)])
 def test_cancellations_around_a_store_refusal_before_an_outage_end_in_time(moment):
-    """The leader is refused alone at 0, all are 1 s later, for longer than cancel_s. Must not
-    happen: ran_cancelled, whichever side of the moment and whoever confirms."""
+    """The store refuses the leader at second 0 and is down for all from second 1, for longer than
+    `cancel_s`. Must not happen: `ran_cancelled`, whether the cancellation comes before or after
+    the refusal and whichever controller confirms it."""
     for count in (3, 7):
         sim = busy_cluster(count, run_s=300.0)
-        sim.submit("job-2", spec("array", 2, "red", estimate_s=300.0))  # waits for the limit
+        sim.submit("job-2", spec("array", 2, "red", estimate_s=300.0))  # waits for quota
         refused_label = sim.labels[0]
         move_workers_to(sim, refused_label)
         refused_at = sim.now + 1.0
--- a/tests/test_capacity_claims.py
+++ b/tests/test_capacity_claims.py
@@ -1,4 +1,4 @@
-"""Capacity that a job of the shard has requested counts as taken for the shard's other jobs."""
+"""Capacity that a job of a shard has requested counts as used for the shard's other jobs."""
 
 import random
 
@@ -35,7 +35,7 @@
     context, claims, machine = claims_of_one_job()
     assert claims.remaining("job-2", machine, WHOLE).cpus == TYPE.cpus - 6.0
     assert claims.remaining("job-1", machine, WHOLE) == WHOLE
-    # It needs two tasks and requested more, to have a choice: the rest is not claimed.
+    # The job needs two tasks and requested four to have a choice: only two are claimed.
     assert claims.remaining("job-2", context.machines["m2"], WHOLE) == WHOLE
 
 
@@ -58,8 +58,8 @@
     assert len(claims.by_machine) <= 2 * len(context.machines) + 1
 
 
-# Without claims one controller started some 48 such jobs a second, however many were submitted:
-# all jobs sampled in a tick requested the same few machines.
+# Without claims one controller starts about 48 such jobs a second, however many are submitted: all
+# jobs sampled in a tick request the same few machines.
 def test_many_similar_jobs_start_at_once_where_there_is_capacity():
     cell = Cell(100, teams=1, run_s=60.0)
     cell.run(4.0)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line against a controller."""
+"""Commands of the command line against a stubbed controller."""
 
 import json
 
@@ -40,7 +40,7 @@
     result = run(main, [*base, "submit", "--file", str(job), "--gpus", "1"])
     assert result.exit_code == 0
     assert "job-1: done" in result.output
-    assert [a[0] for a in requests] == ["127.0.0.1:1", "127.0.0.1:2"]  # the second one answered
+    assert [a[0] for a in requests] == ["127.0.0.1:1", "127.0.0.1:2"]  # the second server answered
     run(main, [*base, "submit", "--file", str(job), "--waits-on", "job-5", "--waits-on", "job-6"])
     assert bodies[-1]["waits_on"] == ["job-5", "job-6"]
     waits = run(main, [*base, "status", "job-7"]).output
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -13,7 +13,7 @@
 
 
 def settled_cluster(seed: int = 1) -> Simulation:
-    """Return a deployment that has settled and switched to the new format."""
+    """Return a settled deployment, on the new format and with the upcoming store limits."""
     sim = Simulation(seed, coming=UPCOMING_LIMITS)
     sim.run(12)
     sim.state.value_kb, sim.state.txn_ops = 2.0, 4
@@ -33,7 +33,7 @@
 
 
 def query_states(sim: Simulation, *numbers: int) -> list[str]:
-    """Ask for jobs and return what their users have been told."""
+    """Query jobs and return the states reported to their users."""
     for number in numbers:
         sim.query(f"job-{number}")
     sim.run(2.5)
@@ -41,12 +41,12 @@
 
 
 def start_times(sim: Simulation, number: int) -> list[float]:
-    """Return when tasks of a job started."""
+    """Return the start times of a job's tasks."""
     return [at for at, task, _, _ in sim.start_log if task.startswith(f"job-{number}/")]
 
 
 def submit_pipeline(sim: Simulation) -> None:
-    """Submit a fan-out and a fan-in over two teams."""
+    """Submit jobs with a fan-out and a fan-in over two teams."""
     submit_in_turn(
         sim,
         (1, dict(tasks=3)),
@@ -70,7 +70,7 @@
 def test_a_job_whose_dependencies_are_done_starts_at_once():
     sim = settled_cluster()
     submit_in_turn(sim, (1, dict(tasks=2)))
-    sim.run(12)  # well before its machine has been idle for so long that it is given back
+    sim.run(12)  # well before its idle machine is returned
     assert query_states(sim, 1) == ["done"]
     submit_in_turn(sim, (2, dict(waits_on=("job-1",))))
     sim.run(8)
@@ -101,7 +101,7 @@
     assert query_states(sim, 2, 5) == ["cancelled"] * 2
     assert all(
         core.context.replica.jobs["job-5"].state == "cancelled" for core in sim.cores.values()
-    )  # written down, not only derived
+    )  # stored, not only derived
     sim.run(40)
     assert not start_times(sim, 5)
     assert query_states(sim, 3, 4) == (["cancelled"] * 2 if cancelled == 1 else ["done"] * 2)
@@ -128,7 +128,7 @@
 
 
 def test_a_cascade_survives_a_crash_of_the_controller_that_confirmed_it():
-    # The record of the cancelled job is all that the others have to go by.
+    # The other controllers have only the record of the cancelled job.
     sim = settled_cluster()
     submit_pipeline(sim)
     answers: list[tuple] = []
@@ -141,7 +141,7 @@
     sim.crash("h0", None)
     for number in (2, 5):
         sim.query(f"job-{number}")
-    sim.run(15)  # some users ask the dead one first
+    sim.run(15)  # some users query the crashed controller first
     assert query_states(sim, 2, 5) == ["cancelled"] * 2
 
 
@@ -204,7 +204,7 @@
         submit_in_turn(sim, (number, dict(waits_on=waits_on)))
     sim.run(2)
     assert sim.refusals == {"job-3": 422, "job-4": 422, "job-5": 422}
-    sim.cancel("job-1")  # also when the service is over
+    sim.cancel("job-1")  # rejected also once the service has ended
     sim.run(8)
     submit_in_turn(sim, (6, dict(waits_on=("job-1",))))
     sim.run(2)
@@ -226,7 +226,7 @@
     )
     sim.run(1)
     assert answers == [201, 201]
-    sim.state.down = True  # and what can't be decided now is answered so
+    sim.state.down = True  # an unknown dependency can't be checked now: 503
     sim.command(
         "h2",
         messages.SubmitJob(
@@ -246,7 +246,7 @@
     submit_in_turn(sim, (700, dict(waits_on=names)))
     sim.cancel(names[7])
     sim.run(2)
-    sim.submit("job-700", sim.specs["job-700"])  # whatever became of those it names
+    sim.submit("job-700", sim.specs["job-700"])  # accepted in whatever state its dependencies are
     sim.run(1)
     assert not sim.refusals
     assert query_states(sim, 700) == ["cancelled"]
@@ -289,7 +289,7 @@
 
 
 def test_tasks_without_gpus_avoid_spot_machines_while_others_have_capacity():
-    # A wave that took spot machines took the chains' tasks with them, past their deadline.
+    # If spot machines are reclaimed together, tasks of job chains on them miss their deadline.
     sim = settled_cluster()
     sim.submit("job-2", spec("array", 1, "red", gpus=4.0, cpus=4.0, spot=True, estimate_s=60.0))
     sim.run(12)
@@ -303,7 +303,7 @@
 
 
 def run_chains_with_random_faults(seed: int) -> Simulation:
-    """Play pipelines through crashes, outages, cuts and cancellations."""
+    """Run job chains under crashes, outages, partitions and cancellations."""
     sim = settled_cluster(seed)
     sim.loss, sim.twice, sim.slow = 0.01, 0.01, 0.005
     rng = random.Random(seed)
--- a/tests/test_gang_scheduling.py
+++ b/tests/test_gang_scheduling.py
@@ -9,7 +9,7 @@
 
 
 def test_small_jobs_do_not_starve_a_gang():
-    # Gangs of several tasks once never made room: arrays of lower priority kept them waiting.
+    # Guards against gangs of several tasks that never preempt: lower-priority arrays block them.
     sim = idle_cluster()
     sim.submit("job-1", spec("array", 8, "red", estimate_s=300.0, zone="a"))
     sim.run(20)
@@ -26,7 +26,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4, 5])
 def test_a_single_task_gang_takes_the_best_grant(seed):
-    # It once took the first offer that came, mostly from a machine without its image.
+    # Guards against taking the first offer, which mostly comes from a machine without the image.
     sim = idle_cluster(seed=seed)
     sim.submit("job-1", spec("array", 1, "red", cpus=8.0, image="rare", estimate_s=3.0))
     sim.submit("job-2", spec("array", 1, "blue", cpus=8.0, estimate_s=3.0))
@@ -40,7 +40,7 @@
 
 
 def test_a_gang_whose_image_fetch_outlasts_its_wait_does_not_restart_forever():
-    # Those that had the image gave up after gang_wait_s, and the fetch was given up with them.
+    # Guards against tasks with the image that give up after `gang_wait_s` and so abort the fetch.
     sim = idle_cluster()
     sim.fetches = True
     sim.submit("job-1", spec("service", 1, "blue", gpus=4.0, image="x", image_gb=14.0))
@@ -57,8 +57,8 @@
 
 
 def test_a_gang_beyond_its_teams_quota_preempts_nothing():
-    # One task more was once allowed where the whole gang was not: it had work of others stopped
-    # again and again and could not start.
+    # Guards against a quota check of one more task instead of the whole gang: the gang preempts
+    # other jobs again and again and can't start.
     sim = idle_cluster()
     sim.submit("job-1", spec("array", 8, "red", estimate_s=300.0, zone="a"))
     sim.submit("job-2", spec("service", 5, "blue", zone="b"))
@@ -73,8 +73,8 @@
 
 
 def test_simultaneous_urgent_gangs_all_start_in_a_full_fleet():
-    # Two gangs of one owner once saw the same room as free, or asked for the same work to stop;
-    # each got a part of it and let go of it again, for minutes on a day with 625 machines.
+    # Guards against two gangs of one owner that count the same capacity as free or preempt the
+    # same tasks: each gets a part and releases it again, for minutes in a fleet of 625 machines.
     sim = idle_cluster()
     sim.run_s = lambda task: 200.0
     sim.submit("job-1", spec("array", 8, "red"))
@@ -92,7 +92,8 @@
 
 
 def test_an_abandoned_gang_reservation_takes_no_late_grant():
-    # Offers from the queues of an earlier try once held room in two zones for one gang.
+    # Guards against late offers for an earlier attempt that reserve capacity in two zones
+    # for one gang.
     sim = idle_cluster()
     sim.submit("job-1", spec("array", 8, "red", estimate_s=200.0))
     sim.run(8)
--- a/tests/test_job_api.py
+++ b/tests/test_job_api.py
@@ -1,4 +1,4 @@
-"""Submission and queries: which jobs are accepted, and that answers are never stale."""
+"""Submissions and queries: accepted and rejected jobs, and answers that are never stale."""
 
 import msgspec
 import pytest
@@ -40,9 +40,8 @@
     assert send(messages.SubmitJob, "job-9", None, "pieces: missing") == 400
     sim.specs["job-9"] = spec()
     assert send(messages.SubmitJob, "job-9", spec(), "") == 201
-    assert (
-        send(messages.SubmitJob, "job-9", None, "pieces: missing") == 200
-    )  # known: whatever the body
+    # The body of a known job is not checked.
+    assert send(messages.SubmitJob, "job-9", None, "pieces: missing") == 200
 
 
 def test_store_reads_do_not_grow_with_the_number_of_polls():
@@ -78,7 +77,7 @@
     for number in range(60):
         sim.submit(f"job-{number}", spec("service", 1, "blue"))
     sim.run(10)
-    sim.cuts.add(frozenset(("h0", "state")))  # its records are behind, and it does not know
+    sim.cuts.add(frozenset(("h0", "state")))  # its records are behind, without a sign of that
     sim.cancel_requested.add("job-7")
     sim.command(
         "h1",
@@ -104,7 +103,7 @@
             ],
         )
     sim.run(2)
-    assert sim.answered["job-7"] > before  # and the fakes compared what was said
+    assert sim.answered["job-7"] > before  # the fakes compared the answers
 
 
 @pytest.mark.parametrize("count", [3, 7])
@@ -132,13 +131,13 @@
 @pytest.mark.parametrize("fault", ["watch behind", "peers cut", "roles change", "refused", "lost"])
 @pytest.mark.parametrize("count", [3, 7])
 def test_no_controller_answers_with_an_older_state_than_already_reported(count, fault):
-    # Must not happen: went_back, forgotten, a cancellation undone by a repeated submission.
+    # Must not happen: `went_back`, `forgotten`, a cancellation undone by a repeated submission.
     sim = Simulation(count, count)
     sim.run(12)
     sim.close = 1.0
     for step in range(16):
         label = sim.labels[step % count]
-        if fault == "watch behind":  # an instant, or for longer than a user waits
+        if fault == "watch behind":  # for a moment, or for longer than a user waits
             sim.stuck = {label, sim.labels[(step + 1) % count]}
             sim.after(0.3 if step % 2 else 1.5, sim.stuck.clear)
         elif fault == "peers cut":
@@ -173,8 +172,8 @@
 
 @pytest.mark.parametrize("offset_s", [-0.03, -0.01, 0.0, 0.005, 0.01, 0.02, 0.04, 0.1, 0.5, 1.5])
 def test_a_final_job_state_is_stable_when_commands_race_with_the_jobs_end(offset_s):
-    """A cancellation, a question or a repeated submission at each moment about the end. Must not
-    happen: done and then cancelled or the other way round, done too early."""
+    """Sends a cancellation, a query or a repeated submission at moments around the job's end. Must
+    not happen: `done` and then `cancelled`, or the reverse, or `done` too early."""
     for kind in ("array", "gang"):
         for command in (messages.CancelJob, messages.QueryJob, messages.SubmitJob):
             sim = Simulation(5)
@@ -190,7 +189,7 @@
             for label in sim.labels:
                 sim.tell(label, command, "job-1", *submission)
                 sim.run(0.004)
-            for _ in range(30):  # the fakes compare each answer with what was told before
+            for _ in range(30):  # the fakes compare each answer with earlier ones
                 for label in sim.labels:
                     sim.tell(label, messages.QueryJob, "job-1")
                 sim.run(0.1)
@@ -201,7 +200,7 @@
 
 @pytest.mark.parametrize("count", [3, 7])
 def test_a_flood_of_one_task_jobs_does_not_delay_leases_starts_or_answers(count):
-    # Must not happen: a lease, a start or a confirmation that starves behind the others' changes.
+    # Must not happen: a lease, a start or a confirmation starves behind the changes of other jobs.
     sim = Simulation(3, count)
     sim.run(12)
     sim.submit("job-0", spec("service", 2, "blue"))
@@ -256,7 +255,7 @@
     sim.specs["job-1"] = spec()
     sim.submit("job-1", spec())
     sim.run(1)
-    for label in sim.labels:  # known by now: its state, whatever the body says
+    for label in sim.labels:  # known by now: the answer is its state, whatever the body
         answers = [
             *sim.tell(label, messages.SubmitJob, "job-1", job, ""),
             *sim.tell(label, messages.SubmitJob, "job-1", None, "pieces: missing"),
@@ -265,7 +264,7 @@
         assert sim.told["job-1"] == "accepted"
     sim.run(30)
     sim.cancel_requested.add("job-1")
-    for label in sim.labels:  # a cancellation of what is done changes nothing
+    for label in sim.labels:  # cancelling a finished job changes nothing
         answers = sim.tell(label, messages.CancelJob, "job-1")
         sim.run(0.5)
         assert [(status, answer[2]) for status, answer in answers] == [(200, "done")]
--- a/tests/test_machine_index.py
+++ b/tests/test_machine_index.py
@@ -1,4 +1,4 @@
-"""The machine index against a full scan of all machines, over generated histories."""
+"""The machine index compared with a full scan of all machines, over generated histories."""
 
 import random
 
@@ -16,7 +16,7 @@
 from oakmux.core.state.keys import block_key, job_key
 from tests.fakes import TYPE, ZONES, settings_for, spec
 
-# The same examples every time, and nothing kept between runs.
+# The same examples in every run; nothing is stored between runs.
 settings.register_profile("same", derandomize=True, database=None, deadline=None)
 settings.load_profile("same")
 
@@ -143,7 +143,7 @@
                 )
             ]
         elif context.now - machine.last_heartbeat_at < heartbeat_timeout_s(context):
-            # Drained, about to be reclaimed or quarantined. Silent ones leave when drawn.
+            # Drained, about to be reclaimed or quarantined. Silent machines leave when drawn.
             assert classes == []
         images = {image for image, ids in index.image_holders.items() if number in ids}
         assert images == set(machine.images)
@@ -174,7 +174,7 @@
         and fits_resources(free_resources(context, m), job)
     }
     assert set(names) <= fitting
-    # With so few machines none with capacity may be missed, unless enough was found.
+    # In a fleet this small, no machine with capacity is missed unless enough were found.
     if sum(task_capacity(row.free, job) for row in drawn) < task_count:
         assert set(names) == fitting
     holds_image = [row.has_image for row in drawn]
@@ -233,8 +233,8 @@
 
 @pytest.mark.parametrize("scarce", ["cpus", "memory_gb"])
 def test_exhausted_machines_do_not_hide_machines_with_capacity(scarce):
-    # Measured: after a gang had filled the CPUs of 63 machines and little of their memory, jobs
-    # of one task started less than once a second although 337 machines were idle.
+    # A gang that filled the CPUs of 63 machines but little of their memory slowed jobs of one task
+    # to less than one start a second, although 337 machines were idle.
     fleet = IndexedFleet()
     full_use = {"cpus": 0.1, "memory_gb": 0.1, scarce: getattr(TYPE, scarce)}
     filler = spec("service", 100, "red", gpus=0.0, **full_use)
@@ -242,7 +242,7 @@
     names = [f"m{number}" for number in range(100)]
     for number, name in enumerate(names):
         tasks = {("job-9", number, "running")} if number < 90 else set()
-        for _ in range(2):  # the second shows that the worker receives our answers
+        for _ in range(2):  # the second shows that the worker receives the answers
             fleet.heartbeat(name, tasks, False)
     fleet.index.refresh()
     partial_need = {"cpus": 0.1, "memory_gb": 0.1, scarce: 0.2 * getattr(TYPE, scarce)}
--- a/tests/test_pending_queues.py
+++ b/tests/test_pending_queues.py
@@ -1,4 +1,4 @@
-"""Spread of load: pending queues, minimum shares, and busy teams while machines fail."""
+"""Sharing of capacity: pending queues, minimum shares, and busy teams while machines fail."""
 
 import random
 
@@ -58,7 +58,7 @@
 
 
 def sampled_jobs(sim: Simulation, seconds: float) -> list[str]:
-    """Return the jobs that are sampled from now on, in all controllers."""
+    """Run for some seconds and return the jobs that all controllers sample in them."""
     sampled: list[str] = []
     for core in sim.cores.values():
         real = core.scheduler.sampler._sample_job
@@ -71,7 +71,7 @@
 
 
 def test_unplaceable_jobs_are_not_resampled_every_tick():
-    # Every tick sampled 40 of 1,500 pending jobs anew, which took 80 % of a busy day's time.
+    # Sampling 40 of 1,500 pending jobs again at every tick takes 80 % of the time of a busy day.
     sim = idle_cluster()
     sim.submit("job-0", spec("array", 10, "blue", estimate_s=500.0))
     sim.run(15)
@@ -80,9 +80,8 @@
             f"job-{number}", spec("array", 1, "blue", cpus=1.0 + number % 2, estimate_s=1.0)
         )
     sim.run(15)
-    assert (
-        len(sampled_jobs(sim, 20.0)) < 20 / constants.RESAMPLE_S * 2 * 1.5
-    )  # two queues at the limit
+    # Two queues are at the quota.
+    assert len(sampled_jobs(sim, 20.0)) < 20 / constants.RESAMPLE_S * 2 * 1.5
 
 
 def test_unplaceable_jobs_are_retried_with_backoff():
@@ -127,14 +126,14 @@
     assert sim.unfinished(60) == set()
     order = [int(task[4:-2]) for _, task, _, _ in sim.start_log if not task.startswith("job-0/")]
     late = [abs(place - number) for place, number in enumerate(order, 1)]
-    assert max(late) <= 12  # ten at a time, and offers cross one another
+    assert max(late) <= 12  # ten run at a time, and offers overtake one another
 
 
 @pytest.mark.parametrize("missed_event", ["reopen_fitting", "reopen_limited", "none"])
 def test_a_blocked_queue_reopens_even_if_a_free_capacity_event_is_missed(
     monkeypatch, missed_event
 ):
-    # The safety net: a change that was missed must not keep a queue closed for ever.
+    # Guards the fallback: a missed change must not keep a queue closed forever.
     if missed_event != "none":
         monkeypatch.setattr(
             f"oakmux.core.scheduling.sampling_schedule.SamplingSchedule.{missed_event}",
@@ -196,7 +195,7 @@
 
 
 def overloaded_cluster(seed: int) -> Simulation:
-    """Return a full fleet with too much urgent work, and a pending array of priority 0."""
+    """Return a full fleet with too many urgent jobs and a pending array of priority 0."""
     sim = idle_cluster(seed=seed)
     sim.capacity = 3
     for number in range(1, 500):
@@ -214,7 +213,7 @@
 
 @pytest.mark.parametrize("fault", ["none", "machine", "scheduler", "agent_managers"])
 def test_the_lowest_priority_starts_within_the_aging_bound(monkeypatch, fault):
-    # By priority alone it waited for as long as the flood of urgent work lasted.
+    # By priority alone the array waits for as long as the flood of urgent jobs lasts.
     monkeypatch.setattr(constants, "AGED_S", 10.0)
     sim = overloaded_cluster(2)
     if fault == "machine":
@@ -245,8 +244,7 @@
 
 
 def test_jobs_that_missed_their_objective_follow_jobs_that_can_meet_it():
-    # By age alone all jobs of a burst above capacity were late: each was served as its time was
-    # over.
+    # By age alone all jobs of a burst above capacity are late: each starts when its time is over.
     context = Context(settings_for("h0"), random.Random(1), 0)
     context.objectives.finish_s["l"] = 60.0
     context.types = {"big": TYPE}
@@ -256,7 +254,7 @@
         context.replica.jobs[job.id] = job
         shape = queues.put(job, job.spec)
     assert queues.head(shape).job_id == "job-0"
-    context.now = 56.0  # it needs five seconds more, which is too late
+    context.now = 56.0  # job-0 needs five more seconds, so it ends too late
     order = []
     while (head := queues.head(shape)) is not None:
         order.append(head.job_id)
@@ -266,7 +264,7 @@
 
 
 def test_a_queue_stays_readable_when_its_only_job_misses_its_objective():
-    # Moving it deleted its queue while the queue was read, and the tick failed.
+    # Guards against a tick that fails because moving the job deletes the queue that is being read.
     context = Context(settings_for("h0"), random.Random(1), 0)
     context.objectives.finish_s["l"] = 60.0
     context.types = {"big": TYPE}
@@ -279,8 +277,8 @@
 
 
 def test_no_more_tasks_are_preempted_than_needed():
-    # The task with the least to lose was preempted first, and in vain where a larger one had to
-    # be preempted as well and freed all the capacity that was needed.
+    # Guards against preempting the task that loses the least work in vain, where a larger task has
+    # to be preempted as well and frees all the capacity that is needed.
     sim = idle_cluster()
     sim.capacity = 1
     sim.submit("job-1", spec("array", 1, "blue", gpus=3.0, cpus=3.0, estimate_s=100.0))
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Where tasks go, by image and free capacity."""
+"""Placement of tasks by image and free capacity."""
 
 import pytest
 
@@ -10,14 +10,15 @@
 
 
 def test_a_task_waits_briefly_for_a_machine_that_holds_its_image():
-    # A fetch blocks its place for longer than it takes until one of several holders has room.
+    # A fetch blocks capacity for longer than it takes until one of the image holders has room.
     sim = idle_cluster()
     sim.submit("job-1", spec("array", 4, "red", image="big", image_gb=40.0, estimate_s=14.0))
     sim.run(6)
     holder = {w.name for w, _, _ in sim.live()}
     sim.submit("job-2", spec("service", 1, "blue"))
     sim.run(6)
-    assert {w.name for w, _, _ in sim.live()} > holder  # there is room where the image is not
+    # A machine without the image has capacity.
+    assert {w.name for w, _, _ in sim.live()} > holder
     sim.submit("job-3", spec("array", 1, "red", image="big", image_gb=40.0, estimate_s=60.0))
     sim.run(2)
     assert not any(task == "job-3/0" for _, task, _ in sim.live())
@@ -27,14 +28,14 @@
 
 
 def test_granted_capacity_stays_reserved_until_the_binding_is_written():
-    # Held for 2 s, room was offered twice when writes took longer: half of all starts in a cold
-    # start of 590 machines were refused by their workers.
+    # With a reservation of only 2 s, capacity is offered twice when writes take longer: in a cold
+    # start of 590 machines, workers refuse half of all starts.
     sim = idle_cluster()
     sim.submit("job-1", spec("array", 1, "red", estimate_s=3.0))
     sim.run(12)
     writes = {label: core.scheduler.writer.flush for label, core in sim.cores.items()}
     for core in sim.cores.values():
-        core.autoscaler.scale_out.rentals.rent = lambda *a: None  # one machine has to do
+        core.autoscaler.scale_out.rentals.rent = lambda *a: None  # one machine has to suffice
         core.scheduler.writer.flush = lambda: None
     sim.submit("job-2", spec("array", 1, "red", gpus=4.0, estimate_s=60.0))
     sim.submit("job-3", spec("array", 1, "blue", gpus=4.0, estimate_s=60.0))
@@ -48,7 +49,8 @@
 
 
 def test_a_tick_stays_short_with_a_huge_job_and_a_thousand_pending():
-    # Team use once went over all jobs at every offer: 2,000 waiting jobs took more than a core.
+    # Guards against counting team usage over all jobs at every offer: with 2,000 pending jobs that
+    # takes more than one core.
     sim = idle_cluster()
     sim.submit("job-0", spec("array", 100_000, "blue", estimate_s=3.0))
     for number in range(1, 1001):
@@ -70,12 +72,13 @@
             for c in [core]
             for m in core.context.machines
         )
-        <= 18
-    )  # both teams' limits
+        <= 18  # both teams' quotas
+    )
 
 
 def test_a_task_avoids_a_machine_that_is_about_to_fetch_another_image():
-    # Bindings that a machine had not reported yet did not count: two fetches shared its rate.
+    # Guards against ignoring bindings that a machine has not reported yet: two fetches then share
+    # its rate.
     sim = idle_cluster()
     sim.submit("job-1", spec("array", 8, "red", image="r"))
     sim.run(6)
@@ -99,8 +102,8 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_overload_over_slow_links_serves_all_teams_within_quotas(seed):
-    # Must not happen: quota or ran_twice by work that gives way, a class or team less than half
-    # served, the largest begun late.
+    # Must not happen: `quota` or `ran_twice` because of preempted work, a class or team with less
+    # than half of its jobs served, a largest job that starts late.
     sim = Simulation(seed, 7 if seed == 3 else 3)
     sim.capacity = 4
     sim.slow, sim.loss = 0.02, 0.01
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -28,7 +28,7 @@
     assert worker.spot
     worker.take(10.0)
     sim.run(9.5)
-    assert worker.name not in {w.name for w, _, _ in sim.live()}  # stopped while it could save
+    assert worker.name not in {w.name for w, _, _ in sim.live()}  # stopped in time to save
     sim.run(120)
     assert wait_for_state(sim, "job-1", 1) == "done"
 
@@ -50,7 +50,7 @@
 
 
 def test_an_urgent_gang_precedes_its_teams_array_at_the_quota():
-    # The array's next task took each place below the limit that one of its tasks left.
+    # Guards against the array's next task taking each quota share that an ended task frees.
     sim = idle_cluster()
     sim.run_s = lambda task: 20.0 if task.startswith("job-2/") else 6.0 + int(task[6:]) % 8
     sim.submit("job-1", spec("array", 90, "red"))
@@ -62,7 +62,7 @@
 
 
 def test_a_gang_preempts_lower_priority_work_rather_than_fetch_a_large_image():
-    # One task that fetches keeps the whole gang waiting, on machines that then stand idle.
+    # One task that fetches makes the whole gang wait on idle machines.
     sim = idle_cluster()
     sim.fetches = True
     sim.run_s = lambda task: 300.0
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -1,4 +1,4 @@
-"""Team quotas: what counts against them, also while tasks cannot be reached."""
+"""Team quotas: which tasks count against them, also while the tasks are unreachable."""
 
 import pytest
 
@@ -31,7 +31,8 @@
 
 
 def test_incremental_free_resources_and_team_usage_agree_with_a_full_count():
-    # Counted anew for each machine and job, they took most of the time at 590 machines.
+    # They are incremental because full counts for each machine and job take most of the time at
+    # 590 machines.
     assert run_with_random_faults(7, 100.0, recount=True).starts > 10
 
 
@@ -39,14 +40,14 @@
     sim = idle_cluster()
     sim.submit("job-1", spec("service", 6, "red", priority=3))
     sim.run(10)
-    sim.submit("job-2", spec("gang", 4, "red", priority=2))  # 6 and 4 are more than the limit
+    sim.submit("job-2", spec("gang", 4, "red", priority=2))  # 6 and 4 exceed the quota
     sim.submit("job-3", spec("array", 4, "red"))
     sim.run(30)
     assert wait_for_state(sim, "job-3", 1) == "done"
 
 
 def add_idle_machines(sim: Simulation) -> list[str]:
-    """Let machines stand idle beside those that run what fills the limits; return the latter."""
+    """Add idle machines; return the machines whose tasks fill the quotas."""
     names = sorted({worker.name for worker, _, _ in sim.live()})
     sim.submit("job-8", spec("array", 16, "green", gpus=2.0, estimate_s=5.0))
     sim.run(25)
@@ -58,8 +59,8 @@
 @pytest.mark.parametrize("crashed", ["owners", "leader", "all"])
 @pytest.mark.parametrize("fault", ["cut", "hang", "deaf", "mute"])
 def test_a_quota_is_not_reused_while_cancelled_tasks_are_unreachable(fault, crashed):
-    # A controller that started anew read a cancelled job's record before those of its tasks, let
-    # go of what a task takes, and counted what was still on machines out of reach as nothing.
+    # Guards against a restarted controller that reads a cancelled job's record before those of its
+    # tasks, drops the resources per task and counts tasks on unreachable machines as nothing.
     for count, seconds in ((3, 0.6 * LEASE_S), (7, 2.5 * LEASE_S)):
         sim = teams_at_quota(count)
         inject_fault(sim, fault, add_idle_machines(sim), seconds)
@@ -76,7 +77,7 @@
             sim.crash(label, 0.2)
         for number, team in enumerate(("red", "blue")):
             sim.submit(f"job-{number + 10}", spec("array", 8, team, priority=2, estimate_s=5.0))
-        sim.run(seconds + 1)  # the fakes look at the limit whenever something starts
+        sim.run(seconds + 1)  # the fakes check the quota at every start
         sim.cloud_down = False
         sim.run(40)
         assert {t.partition("/")[0] for _, t, _, _ in sim.start_log} >= {"job-10", "job-11"}
@@ -99,8 +100,9 @@
 
 
 def test_a_gang_that_needs_quota_used_by_services_does_not_reserve_it():
-    # It claimed the rest of the limit for ever, counting on services to end, and for all gangs of
-    # its size at once: whatever else its team had to do waited beside empty machines.
+    # Guards against a gang that claims the rest of the quota forever because it counts on services
+    # to end, and for all gangs of its size at once: other jobs of the team wait beside empty
+    # machines.
     sim = Simulation(3, teams=(Team("red", gpus_max=6), Team("blue", gpus_max=6)))
     sim.run(10)
     sim.submit("job-1", spec("service", 3))
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -1,4 +1,4 @@
-"""Starvation: all jobs are answered, the largest start in time, half of each group is served."""
+"""Starvation: jobs are answered, the largest start in time, half of each group is served."""
 
 import random
 
@@ -20,7 +20,7 @@
 
 
 def submit_small_arrays(sim: Simulation, seconds: float, **fields) -> None:
-    """Submit small arrays of both teams every second: more than there is capacity for."""
+    """Submit a small array every second, by alternating teams: more than the capacity."""
     started_at = sim.now
     for number in range(int(seconds)):
         team = ("red", "blue")[number % 2]
@@ -71,7 +71,7 @@
     sim = Simulation(2, count)
     sim.capacity = 2
     sim.run(12)
-    for number in range(110):  # each leaves a machine half empty for the next
+    for number in range(110):  # each leaves half a machine to the next
         sim.after(
             2.0 * number,
             lambda n=number: sim.submit(
@@ -87,7 +87,7 @@
 
 
 def test_a_gang_waits_for_preempted_tasks_that_save_a_checkpoint():
-    # It declined its offers just before the requested capacity became free, again and again.
+    # Guards against a gang that repeatedly declines its offers just before the capacity is free.
     sim = Simulation(6)
     sim.capacity = 2
     sim.run(12)
@@ -113,7 +113,7 @@
     sim.run(2)
     until = scheduler.pending_jobs["job-9"].hold_until
     sim.run(8)
-    assert scheduler.pending_jobs["job-9"].hold_until == until > sim.now  # it has not started over
+    assert scheduler.pending_jobs["job-9"].hold_until == until > sim.now  # not started over
     sim.run(7)
     assert sim.begun_at("job-9") is not None
 
@@ -170,7 +170,7 @@
     queues = PendingQueues(context)
     for job in jobs.values():
         shape = queues.put(job, job.spec)
-    assert queues.head(shape).job_id == "small"  # it counts as younger by its size
+    assert queues.head(shape).job_id == "small"  # a large array counts as younger
     context.now = 100.0
     queues.promote_starving()
     assert queues.head(shape).job_id == "big"
@@ -187,7 +187,7 @@
     context, jobs = pending_jobs(gang=(70.0, dict(kind="gang", tasks=8)), young=(10.0, {}))
     claims = QuotaClaims(context, WriteBuffer(context))
     assert not claims.exceeds_limit(jobs["young"], jobs["young"].spec)
-    claims.claim(jobs["gang"], jobs["gang"].spec, 8)  # nothing of the team runs
+    claims.claim(jobs["gang"], jobs["gang"].spec, 8)  # no task of the team runs
     assert claims.exceeds_limit(jobs["young"], jobs["young"].spec)
     assert not claims.exceeds_limit(jobs["gang"], jobs["gang"].spec, 8)
 
@@ -206,7 +206,7 @@
 def test_the_objectives_check_reports_underserved_groups():
     sim = Simulation(4)
     sim.run(12)
-    sim.cloud_down = True  # nothing is rented, so none of this can start
+    sim.cloud_down = True  # no machines are rented, so no job can start
     sim.submit("job-1", spec("array", 2, "red", job_class="scan"))
     sim.run(BEGIN_WITHIN_S + 1)
     assert sim.underserved(BEGIN_WITHIN_S) == [
@@ -222,7 +222,7 @@
     sim.submit("job-1", spec("array", 2, "red"))
     sim.submit("job-2", spec("array", 2, "blue"))
     sim.run(20)
-    for core in sim.cores.values():  # each answers, but never for this one
+    for core in sim.cores.values():  # each answers queries, but never for job-2
         query = core.jobs_api.query
         core.handlers[messages.QueryJob] = lambda command, query=query, core=core: (
             core.jobs_api.answers.unavailable(command.request, "busy")
