--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,7 +1,7 @@
-"""The import contract: which parts of oakmux may import which, and that no imports form a circle.
+"""The import contract: which parts of oakmux may import which, and no import cycles.
 
-Imports for type checkers and inside functions count as well. What does not hold yet is listed as
-known exceptions, which fail here as soon as they are no longer needed.
+Imports for type checkers and inside functions count too. Imports that still break the contract
+are listed as known exceptions; a test fails as soon as an exception is no longer needed.
 """
 
 import ast
@@ -11,9 +11,9 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-PARTS = ("agents", "api", "autoscaling", "leadership", "peers", "scheduling")
+SUBSYSTEMS = ("agents", "api", "autoscaling", "leadership", "peers", "scheduling")
 
-# (importer, imported) pairs that break a layer, until they are mended.
+# (importer, imported) pairs that still break the layers.
 KNOWN_LAYER_BREAKS: set[tuple[str, str]] = {
     ("oakmux.core.context", "oakmux.core.scheduling.failure_attribution"),
 }
@@ -27,7 +27,7 @@
 
 
 def imported_names(module: str, source: str) -> Iterator[str]:
-    """Yield the full dotted names that a module's source imports, wherever the import stands."""
+    """Yield the full dotted names that a module's source imports, at any place in it."""
     for node in ast.walk(ast.parse(source)):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
@@ -37,7 +37,7 @@
 
 
 def resolve(name: str) -> str:
-    """Return the module of ours that a dotted name lies in, or the name itself."""
+    """Return the oakmux module that contains a dotted name, or the name itself."""
     parts = name.split(".")
     for length in range(len(parts), 0, -1):
         if (module := ".".join(parts[:length])) in MODULES:
@@ -46,7 +46,7 @@
 
 
 def import_graph() -> dict[str, set[str]]:
-    """Return what each module imports: our own modules and the full names of others."""
+    """Return the imports of each module: oakmux modules, and full names of others."""
     return {
         module: {resolve(name) for name in imported_names(module, path.read_text())} - {module}
         for module, path in MODULES.items()
@@ -61,8 +61,8 @@
 
 
 def is_forbidden(importer: str, imported: str) -> bool:
-    """Whether an import goes against the layers, from the lowest to the highest."""
-    core_parts = [f"oakmux.core.{part}" for part in PARTS]
+    """Whether an import breaks the layers; they are checked from the lowest to the highest."""
+    subsystems = [f"oakmux.core.{part}" for part in SUBSYSTEMS]
     if within(imported, "tests", "tools"):
         return True
     if within(importer, "oakmux.constants"):
@@ -80,8 +80,8 @@
             return False
         if imported == "oakmux.core.controller":
             return True
-        # The records and what all parts share lie below the parts.
-        return not within(importer, *core_parts) and within(imported, *core_parts)
+        # Records and modules that all subsystems share are below the subsystems.
+        return not within(importer, *subsystems) and within(imported, *subsystems)
     if within(importer, "oakmux.codec", "oakmux.transport"):
         return within(
             imported,
@@ -89,14 +89,14 @@
             "oakmux.cli",
             "oakmux.schedules",
             "oakmux.core.controller",
-            *core_parts,
+            *subsystems,
         )
     if within(importer, "oakmux.service"):
         return within(imported, "oakmux.cli")
     return False
 
 
-def circles(graph: dict[str, set[str]]) -> set[frozenset[str]]:
+def import_cycles(graph: dict[str, set[str]]) -> set[frozenset[str]]:
     """Return the strongly connected components of more than one module (Tarjan)."""
     order: dict[str, int] = {}
     lowest: dict[str, int] = {}
@@ -148,8 +148,8 @@
     assert KNOWN_LAYER_BREAKS - layer_breaks() == set()
 
 
-def test_no_modules_import_one_another_in_a_circle():
-    assert circles(GRAPH) == set()
+def test_there_are_no_import_cycles():
+    assert import_cycles(GRAPH) == set()
 
 
 @pytest.mark.parametrize(
@@ -170,9 +170,9 @@
     assert is_forbidden(importer, imported)
 
 
-def test_a_circle_is_found_and_a_chain_is_none():
-    assert circles({"a": {"b"}, "b": {"c"}, "c": {"a"}, "d": {"a"}}) == {frozenset("abc")}
-    assert circles({"a": {"b", "os"}, "b": {"c"}, "c": set()}) == set()
+def test_import_cycles_are_found_and_chains_are_not_reported():
+    assert import_cycles({"a": {"b"}, "b": {"c"}, "c": {"a"}, "d": {"a"}}) == {frozenset("abc")}
+    assert import_cycles({"a": {"b", "os"}, "b": {"c"}, "c": set()}) == set()
 
 
 def test_imports_for_type_checkers_and_inside_functions_count():
--- a/tests/test_job_api.py
+++ b/tests/test_job_api.py
@@ -1,4 +1,4 @@
-"""Submission and queries: which jobs are accepted, and that answers are never stale."""
+"""Submissions and queries: accepted and rejected jobs, and answers that are never stale."""
 
 import msgspec
 import pytest
@@ -30,25 +30,24 @@
     assert len(attempts) == 1  # the tasks of a gang share an attempt
 
 
-def test_an_unknown_job_is_404_and_an_invalid_one_is_rejected_unless_known():
+def test_unknown_jobs_get_404_and_invalid_new_submissions_are_rejected():
     sim = idle_cluster()
     answers = []
 
-    def ask(command, *fields):
+    def send(command, *fields):
         sim.command("h0", command(lambda s, a: answers.append(s), *fields))
         sim.run(1)
         return answers[-1]
 
-    assert ask(messages.QueryJob, "job-9") == 404
-    assert ask(messages.SubmitJob, "job-9", spec(team="nobody"), "") == 422
-    assert ask(messages.SubmitJob, "job-9", spec(gpus=5.0), "") == 422
-    assert ask(messages.SubmitJob, "job-9", spec("gang", 9), "") == 422
-    assert ask(messages.SubmitJob, "job-9", None, "pieces: missing") == 400
+    assert send(messages.QueryJob, "job-9") == 404
+    assert send(messages.SubmitJob, "job-9", spec(team="nobody"), "") == 422
+    assert send(messages.SubmitJob, "job-9", spec(gpus=5.0), "") == 422
+    assert send(messages.SubmitJob, "job-9", spec("gang", 9), "") == 422
+    assert send(messages.SubmitJob, "job-9", None, "pieces: missing") == 400
     sim.specs["job-9"] = spec()
-    assert ask(messages.SubmitJob, "job-9", spec(), "") == 201
-    assert (
-        ask(messages.SubmitJob, "job-9", None, "pieces: missing") == 200
-    )  # known: whatever the body
+    assert send(messages.SubmitJob, "job-9", spec(), "") == 201
+    # The body of a known job is not checked.
+    assert send(messages.SubmitJob, "job-9", None, "pieces: missing") == 200
 
 
 def test_store_reads_do_not_grow_with_the_number_of_polls():
@@ -56,15 +55,15 @@
     for number in range(60):
         sim.submit(f"job-{number}", spec("service", 1, "blue"))
     sim.run(10)
-    calls: list[messages.Transaction] = []
+    reads: list[messages.Transaction] = []
     carry_out = sim.carry_out
 
-    def noted(label: str, incarnation: int, effect: messages.Effect) -> None:
+    def count_reads(label: str, incarnation: int, effect: messages.Effect) -> None:
         if isinstance(effect, messages.Transaction) and not effect.writes:
-            calls.append(effect)
+            reads.append(effect)
         carry_out(label, incarnation, effect)
 
-    sim.carry_out = noted  # type: ignore[method-assign]
+    sim.carry_out = count_reads  # type: ignore[method-assign]
     answers: list[int] = []
     for _ in range(10):
         sim.step(
@@ -76,7 +75,7 @@
         )
         sim.run(1.0)
     assert answers == [200] * 4000
-    assert len(calls) == 10
+    assert len(reads) == 10
 
 
 def test_a_coalesced_read_is_never_older_than_an_answer_already_given():
@@ -84,7 +83,7 @@
     for number in range(60):
         sim.submit(f"job-{number}", spec("service", 1, "blue"))
     sim.run(10)
-    sim.cuts.add(frozenset(("h0", "state")))  # its records are behind, and it does not know
+    sim.cuts.add(frozenset(("h0", "state")))  # its records are behind, without a sign of that
     sim.cancel_requested.add("job-7")
     sim.command(
         "h1",
@@ -110,7 +109,7 @@
             ],
         )
     sim.run(2)
-    assert sim.answered_at["job-7"] > before  # and the fakes compared what was said
+    assert sim.answered_at["job-7"] > before  # the fakes compared the answers
 
 
 @pytest.mark.parametrize("count", [3, 7])
@@ -135,28 +134,28 @@
     check_recovered(sim)
 
 
-@pytest.mark.parametrize("how", ["watch behind", "peers cut", "roles change", "refused", "lost"])
+@pytest.mark.parametrize("fault", ["watch behind", "peers cut", "roles change", "refused", "lost"])
 @pytest.mark.parametrize("count", [3, 7])
-def test_no_controller_answers_with_an_older_state_after_a_user_was_told(count, how):
-    # Must not happen: went_back, forgotten, a cancellation undone by a repeated submission.
+def test_no_controller_answers_with_an_older_state_than_already_reported(count, fault):
+    # Must not happen: `went_back`, `forgotten`, a cancellation undone by a repeated submission.
     sim = Simulation(count, count)
     sim.run(12)
     sim.query_burst_share = 1.0
     for step in range(16):
         label = sim.labels[step % count]
-        if how == "watch behind":  # an instant, or for longer than a user waits
+        if fault == "watch behind":  # for a moment, or for longer than a user waits
             sim.stalled_watches = {label, sim.labels[(step + 1) % count]}
             sim.after(0.3 if step % 2 else 1.5, sim.stalled_watches.clear)
-        elif how == "peers cut":
+        elif fault == "peers cut":
             pair = {frozenset((label, sim.labels[(step + 1) % count]))}
             sim.cuts |= pair
             sim.after(1.5, lambda pair=pair: sim.cuts.difference_update(pair))
-        elif how == "roles change" and step % 2:
+        elif fault == "roles change" and step % 2:
             sim.crash(label, sim.rng.uniform(0.05, 1.0))
-        elif how == "refused" and step % 3 == 0:
+        elif fault == "refused" and step % 3 == 0:
             sim.store.refused = {label}
             sim.after(3.0, sim.store.refused.clear)
-        elif how == "lost":
+        elif fault == "lost":
             sim.lost_answer_share = 0.4
         sim.submit(
             f"job-{step}",
@@ -177,10 +176,10 @@
     check_recovered(sim, 60)
 
 
-@pytest.mark.parametrize("late", [-0.03, -0.01, 0.0, 0.005, 0.01, 0.02, 0.04, 0.1, 0.5, 1.5])
-def test_the_final_state_of_a_job_does_not_change_when_a_cancellation_races_with_its_end(late):
-    """A cancellation, a question or a repeated submission at each moment about the end. Must not
-    happen: done and then cancelled or the other way round, done too early."""
+@pytest.mark.parametrize("offset_s", [-0.03, -0.01, 0.0, 0.005, 0.01, 0.02, 0.04, 0.1, 0.5, 1.5])
+def test_a_final_job_state_is_stable_when_commands_race_with_the_jobs_end(offset_s):
+    """Sends a cancellation, a query or a repeated submission at moments around the job's end. Must
+    not happen: `done` and then `cancelled`, or the reverse, or `done` too early."""
     for kind in ("array", "gang"):
         for command in (messages.CancelJob, messages.QueryJob, messages.SubmitJob):
             sim = Simulation(5)
@@ -189,14 +188,14 @@
             while "job-1/1" not in sim.completed and not sim.running_tasks():
                 sim.run(0.01)
             end = max(row[2] for w in sim.workers.values() for row in w.tasks.values())
-            sim.run(max(0.0, end - sim.now + late))
+            sim.run(max(0.0, end - sim.now + offset_s))
             if command is messages.CancelJob:
                 sim.cancel_requested.add("job-1")
-            more = (sim.specs["job-1"], "") if command is messages.SubmitJob else ()
+            submission = (sim.specs["job-1"], "") if command is messages.SubmitJob else ()
             for label in sim.labels:
-                sim.send_request(label, command, "job-1", *more)
+                sim.send_request(label, command, "job-1", *submission)
                 sim.run(0.004)
-            for _ in range(30):  # the fakes compare each answer with what was told before
+            for _ in range(30):  # the fakes compare each answer with earlier ones
                 for label in sim.labels:
                     sim.send_request(label, messages.QueryJob, "job-1")
                 sim.run(0.1)
@@ -209,7 +208,7 @@
 
 @pytest.mark.parametrize("count", [3, 7])
 def test_a_flood_of_one_task_jobs_does_not_delay_leases_starts_or_answers(count):
-    # Must not happen: a lease, a start or a confirmation that starves behind the others' changes.
+    # Must not happen: a lease, a start or a confirmation starves behind the changes of other jobs.
     sim = Simulation(3, count)
     sim.run(12)
     sim.submit("job-0", spec("service", 2, "blue"))
@@ -227,19 +226,19 @@
             sim.late_write_share = 0.1
         sim.run(0.25)
     assert len(machines_running(sim, "job-0")) == 2
-    waits = [
+    start_delays = [
         at - sim.submitted[f"job-{n}"]
         for n in range(1, 241)
         if (at := sim.begun_at(f"job-{n}")) is not None
     ]
-    assert len(waits) >= 180
-    assert sorted(waits)[len(waits) // 2] < 6.0
-    assert max(waits) < 30.0
+    assert len(start_delays) >= 180
+    assert sorted(start_delays)[len(start_delays) // 2] < 6.0
+    assert max(start_delays) < 30.0
     sim.late_write_share = 0.0
     check_recovered(sim, 60)
 
 
-NEVER = [
+IMPOSSIBLE_JOBS = [
     spec(team="nobody"),
     spec(zone="z"),
     spec(types=["none"]),
@@ -253,7 +252,7 @@
 ]
 
 
-@pytest.mark.parametrize("job", NEVER, ids=range(len(NEVER)))
+@pytest.mark.parametrize("job", IMPOSSIBLE_JOBS, ids=range(len(IMPOSSIBLE_JOBS)))
 def test_a_job_that_can_never_run_is_rejected_by_every_controller(job):
     sim = Simulation(1)
     sim.run(8)
@@ -264,7 +263,7 @@
     sim.specs["job-1"] = spec()
     sim.submit("job-1", spec())
     sim.run(1)
-    for label in sim.labels:  # known by now: its state, whatever the body says
+    for label in sim.labels:  # known by now: the answer is its state, whatever the body
         answers = [
             *sim.send_request(label, messages.SubmitJob, "job-1", job, ""),
             *sim.send_request(label, messages.SubmitJob, "job-1", None, "pieces: missing"),
@@ -273,7 +272,7 @@
         assert sim.reported_state["job-1"] == "accepted"
     sim.run(30)
     sim.cancel_requested.add("job-1")
-    for label in sim.labels:  # a cancellation of what is done changes nothing
+    for label in sim.labels:  # cancelling a finished job changes nothing
         answers = sim.send_request(label, messages.CancelJob, "job-1")
         sim.run(0.5)
         assert [(status, answer[2]) for status, answer in answers] == [(200, "done")]
