--- a/tests/test_binding_batches.py
+++ b/tests/test_binding_batches.py
@@ -10,7 +10,7 @@
 from oakmux.core import messages
 from oakmux.core.state.binding_batches import BatchRow, reserved_bytes
 from oakmux.core.state.codecs import encode_block, encode_job
-from oakmux.core.state.known_formats import FORMAT, FORMAT_COMPACT, value_bytes
+from oakmux.core.state.formats import FORMAT, FORMAT_COMPACT, value_bytes
 from oakmux.core.state.keys import FORMAT_KEY, batch_key, job_key
 from oakmux.core.state.records import Binding, TaskBlock
 from oakmux.core.state.replica import Replica
@@ -259,9 +259,8 @@
     assert not core.context.replica.jobs["job-1"].bindings()
     sim.stalled_watches = set()
     sim.run(8)
-    assert [task for _, task, _ in sim.running_tasks()] == [
-        "job-2/0"
-    ]  # not blocked for good by job-1
+    # Not blocked for good by job-1.
+    assert [task for _, task, _ in sim.running_tasks()] == ["job-2/0"]
     assert sim.reported_state["job-1"] == "cancelled"
 
 
