--- a/tools/regress.py
+++ b/tools/regress.py
@@ -19,19 +19,26 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 # A fall of a site's figure up to this is noise (the bench's own word: two runs differ by it).
-NOISE = 0.03
+NOISE_MARGIN = 0.03
 # Names of site files below the kit, by the runs that play them.
-BENCH = "more/hunt/bin/fleetbench"
-OPS = ("more/umoja-giving-arusha-ops", "more/semarang-yearbook-utility-ops")
-USUAL = (*OPS, "change/umoja-giving-arusha-next", "change/semarang-yearbook-utility-next")
-FLEET = ("more/fleet/umoja-giving-arusha-fleet", "more/fleet/semarang-yearbook-utility-fleet")
+BENCH_PATH = "more/hunt/bin/fleetbench"
+OPS_SITES = ("more/umoja-giving-arusha-ops", "more/semarang-yearbook-utility-ops")
+USUAL_SITES = (
+    *OPS_SITES,
+    "change/umoja-giving-arusha-next",
+    "change/semarang-yearbook-utility-next",
+)
+FLEET_SITES = (
+    "more/fleet/umoja-giving-arusha-fleet",
+    "more/fleet/semarang-yearbook-utility-fleet",
+)
 # The sites whose recorded days hold two troubles at once, to hunt on.
-HUNT = ("more/hunt/umoja-giving-arusha-hunt", "more/hunt/semarang-yearbook-utility-hunt")
-GROWN = ("next/umoja-giving-arusha-grown", "next/semarang-yearbook-utility-grown")
+HUNT_SITES = ("more/hunt/umoja-giving-arusha-hunt", "more/hunt/semarang-yearbook-utility-hunt")
+GROWN_SITES = ("next/umoja-giving-arusha-grown", "next/semarang-yearbook-utility-grown")
 HUNT_DAYS = 4
 
 
-class Base(NamedTuple):
+class Baseline(NamedTuple):
     """What a site scored when its baseline was set."""
 
     figure: float
@@ -72,12 +79,12 @@
         }
 
 
-def read_baseline(path: Path) -> dict[tuple[str, str], Base]:
-    """Read the baselines: {(site, "quick" or "full"): Base}; raises ValueError on a bad file."""
-    found: dict[tuple[str, str], Base] = {}
+def read_baseline(path: Path) -> dict[tuple[str, str], Baseline]:
+    """Read the baselines, by site and "quick" or "full"; raises ValueError on a bad file."""
+    baselines: dict[tuple[str, str], Baseline] = {}
     try:
         for row in tomllib.loads(path.read_text()).get("site", []):
-            found[(row["name"], row["run"])] = Base(
+            baselines[(row["name"], row["run"])] = Baseline(
                 float(row["figure"]),
                 str(row["entry"]),
                 str(row["commit"]),
@@ -86,7 +93,7 @@
             )
     except (OSError, tomllib.TOMLDecodeError, KeyError, TypeError) as error:
         raise ValueError(f"{path}: {error!r}") from None
-    return found
+    return baselines
 
 
 def run_kind(entry: dict[str, Any]) -> str:
@@ -104,25 +111,25 @@
     return total
 
 
-def weakest(day: dict[str, Any]) -> str:
+def weakest_aim(day: dict[str, Any]) -> str:
     """Name the aim that a day misses most."""
     aims = [row for row in day.get("aims") or [] if row[1] is not None]
     if not aims:
         return "no aim counted"
-    text, worth = min(aims, key=lambda row: row[1])
-    return f"weakest {text} [{worth:.2f}]"
+    text, score = min(aims, key=lambda row: row[1])
+    return f"weakest {text} [{score:.2f}]"
 
 
 def judge_days(entry: dict[str, Any]) -> Iterable[Finding]:
     """Yield what is wrong with an entry's days whatever the baseline says."""
     site = entry.get("site") or "unknown site"
-    at = f"{site} ({entry.get('id')})"
+    prefix = f"{site} ({entry.get('id')})"
     if not entry.get("ok"):
-        yield Finding(1, f"{at}: unfinished: {entry.get('error') or 'no reason given'}")
+        yield Finding(1, f"{prefix}: unfinished: {entry.get('error') or 'no reason given'}")
     if entry.get("cmd") != "real" and not entry.get("days"):
-        yield Finding(1, f"{at}: no day was played")
+        yield Finding(1, f"{prefix}: no day was played")
     for day in entry.get("days", ()):
-        name = f"{at} day {day.get('name')}"
+        name = f"{prefix} day {day.get('name')}"
         for rule, count in sorted((day.get("rules") or {}).items()):
             yield Finding(0, f"{name}: rule {rule} broken {count} times")
         if day.get("fault"):
@@ -135,65 +142,67 @@
             yield Finding(1, f"{name}: failed")
 
 
-def judge(entry: dict[str, Any], base: Base | None) -> list[Finding]:
+def judge(entry: dict[str, Any], baseline: Baseline | None) -> list[Finding]:
     """Return the verdict on one entry, the gravest first."""
-    found = list(judge_days(entry))
+    findings = list(judge_days(entry))
     site, figure = entry.get("site"), entry.get("score")
     if figure is not None:
-        if base is None:
-            found.append(
+        if baseline is None:
+            findings.append(
                 Finding(3, f"{site}: {figure:.3f}, no baseline for a {run_kind(entry)} run")
             )
         else:
-            found += compare(entry, base, figure)
-    return sorted(found, key=lambda row: row.rank)
+            findings += compare(entry, baseline, figure)
+    return sorted(findings, key=lambda row: row.rank)
 
 
-def compare(entry: dict[str, Any], base: Base, figure: float) -> Iterable[Finding]:
+def compare(entry: dict[str, Any], baseline: Baseline, figure: float) -> Iterable[Finding]:
     """Compare an entry with its baseline: the site, then the days behind a fall."""
     site = entry["site"]
-    fell = base.figure - figure > NOISE
+    fell = baseline.figure - figure > NOISE_MARGIN
     yield Finding(
         2 if fell else 3,
-        f"{site}: {base.figure:.3f} ({base.entry}) -> {figure:.3f} "
+        f"{site}: {baseline.figure:.3f} ({baseline.entry}) -> {figure:.3f} "
         f"({entry.get('id')}){': fell' if fell else ''}",
     )
     for day in entry.get("days", ()):
-        was = base.days.get(day.get("name"))
-        if fell and was is not None and day.get("score") is not None:
+        old_score = baseline.days.get(day.get("name"))
+        if fell and old_score is not None and day.get("score") is not None:
             yield Finding(
-                3, f"{site} day {day['name']}: {was:.2f} -> {day['score']:.2f}; {weakest(day)}"
+                3,
+                f"{site} day {day['name']}: {old_score:.2f} -> {day['score']:.2f}; "
+                f"{weakest_aim(day)}",
             )
-    if base.cpu_s:
-        yield Finding(3, f"{site}: processor time {base.cpu_s:.0f} s -> {cpu_s(entry):.0f} s")
+    if baseline.cpu_s:
+        yield Finding(3, f"{site}: processor time {baseline.cpu_s:.0f} s -> {cpu_s(entry):.0f} s")
 
 
-def newest(journal: Path, since: set[str] = frozenset()) -> list[dict[str, Any]]:  # type: ignore[assignment]
+def newest_entries(journal: Path, old_names: set[str] = frozenset()) -> list[dict[str, Any]]:  # type: ignore[assignment]
     """Return the newest score of each site and kind of run, and every newer hunt or real run
-    whose file's name is not in `since`.
+    whose file's name is not in `old_names`.
     """
     latest: dict[tuple, dict[str, Any]] = {}
     for path in sorted(journal.glob("*.json")):
-        if path.name in since:
+        if path.name in old_names:
             continue
         entry = read_entry(path)
         if entry.get("cmd") == "score":
             latest[("score", entry.get("site"), run_kind(entry))] = entry
-        elif since and entry.get("cmd") in ("hunt", "real"):
+        elif old_names and entry.get("cmd") in ("hunt", "real"):
             latest[(entry["cmd"], entry.get("id"))] = entry
     return list(latest.values())
 
 
-def verdict(entries: list[dict[str, Any]], bases: dict[tuple[str, str], Base]) -> int:
+def verdict(entries: list[dict[str, Any]], baselines: dict[tuple[str, str], Baseline]) -> int:
     """Print the findings, broken rules first; return the exit code."""
-    found = [
+    findings = [
         row
         for entry in entries
-        for row in judge(entry, bases.get((entry.get("site") or "", run_kind(entry))))
+        for row in judge(entry, baselines.get((entry.get("site") or "", run_kind(entry))))
     ]
-    for row in sorted(found, key=lambda row: row.rank):
+    for row in sorted(findings, key=lambda row: row.rank):
         click.echo(f"{'BAD' if row.bad else '   '} {row.text}")
-    return 1 if not entries or any(row.bad for row in found) else 0
+    return 1 if not entries or any(row.bad for row in findings) else 0
 
 
 def baseline_row(entry: dict[str, Any], commit: str) -> str:
@@ -210,16 +219,16 @@
     )
 
 
-def play(kit: Path, args: list[str]) -> None:
+def run_bench(kit: Path, args: list[str]) -> None:
     """Run the bench in the repository; its own output goes to ours."""
-    bench = kit / BENCH
+    bench = kit / BENCH_PATH
     if not bench.exists():
         raise click.UsageError(f"no bench at {bench}: name the kit's folder with --kit")
     click.echo(f"running {bench.name} {' '.join(args)}")
     subprocess.run([str(bench), *args], cwd=ROOT, check=False)
 
 
-def sites(kit: Path, names: Iterable[str]) -> list[str]:
+def site_paths(kit: Path, names: Iterable[str]) -> list[str]:
     """Return the paths of site files."""
     return [str(kit / f"{name}.toml") for name in names]
 
@@ -247,21 +256,21 @@
 def main(ctx: click.Context, kit: Path | None, baseline: Path, journal: Path) -> None:
     """Read what all commands need."""
     try:
-        bases = read_baseline(baseline)
+        baselines = read_baseline(baseline)
     except ValueError as error:
         raise click.UsageError(str(error)) from None
-    ctx.obj = (kit.resolve() if kit else None, bases, journal)
+    ctx.obj = (kit.resolve() if kit else None, baselines, journal)
 
 
-def _run(obj: tuple, runs: list[list[str]]) -> None:
-    kit, bases, journal = obj
-    before = {path.name for path in journal.glob("*.json")}
+def _run_and_judge(obj: tuple, runs: list[list[str]]) -> None:
+    kit, baselines, journal = obj
+    old_names = {path.name for path in journal.glob("*.json")}
     for args in runs:
-        play(kit, args)
-    sys.exit(verdict(newest(journal, before), bases))
+        run_bench(kit, args)
+    sys.exit(verdict(newest_entries(journal, old_names), baselines))
 
 
-def _kit(obj: tuple) -> Path:
+def _kit_folder(obj: tuple) -> Path:
     if obj[0] is None:
         raise click.UsageError("name the kit's folder with --kit or OAKMUX_KIT")
     return obj[0]
@@ -278,9 +287,9 @@
 @click.pass_obj
 def quick(obj: tuple, fleet: bool, why: str) -> None:
     """Play the two roughest days of each site, as before every landing."""
-    kit = _kit(obj)
-    names = USUAL + (FLEET if fleet else ())
-    _run(obj, [["score", *sites(kit, names), "--quick", "--why", why]])
+    kit = _kit_folder(obj)
+    names = USUAL_SITES + (FLEET_SITES if fleet else ())
+    _run_and_judge(obj, [["score", *site_paths(kit, names), "--quick", "--why", why]])
 
 
 @main.command()
@@ -291,27 +300,33 @@
     """Play all sites in full, then hunt where two troubles meet, on fleet and ops, as at every
     third landing.
     """
-    kit = _kit(obj)
+    kit = _kit_folder(obj)
     hunts = [
         ["hunt", site, "--days", str(days), "--why", why]
-        for site in sites(kit, HUNT + FLEET + OPS)
+        for site in site_paths(kit, HUNT_SITES + FLEET_SITES + OPS_SITES)
     ]
-    _run(obj, [["score", *sites(kit, FLEET + USUAL + GROWN), "--why", why], *hunts])
+    _run_and_judge(
+        obj,
+        [
+            ["score", *site_paths(kit, FLEET_SITES + USUAL_SITES + GROWN_SITES), "--why", why],
+            *hunts,
+        ],
+    )
 
 
 @main.command()
 @click.pass_obj
 def check(obj: tuple) -> None:
     """Judge the newest score of each site that has a baseline."""
-    _, bases, journal = obj
+    _, baselines, journal = obj
     sys.exit(
         verdict(
             [
                 entry
-                for entry in newest(journal)
-                if (entry.get("site") or "", run_kind(entry)) in bases
+                for entry in newest_entries(journal)
+                if (entry.get("site") or "", run_kind(entry)) in baselines
             ],
-            bases,
+            baselines,
         )
     )
 
