--- a/tools/regress.py
+++ b/tools/regress.py
@@ -1,10 +1,10 @@
-"""Regression runs on the operators' bench, and the verdict on what its journal says of them.
+"""Run regression tests on the operators' bench, and judge the runs from the bench's journal.
 
-The bench and its site files stand outside the repository, in the folder that `--kit` or OAKMUX_KIT
-names; `check` needs neither, only the journal and docs/baseline.toml. All figures are from
-simulated machines.
+The bench and its site files are outside the repository, in the folder given by `--kit` or
+OAKMUX_KIT. `check` needs only the journal and docs/baseline.toml. All figures are from simulated
+machines.
 
-Exit codes: 0 all is well, 1 something broke or fell, 2 bad input.
+Exit codes: 0 no regression, 1 a broken rule, a failed day, a lower score or no run, 2 bad input.
 """
 
 import json
@@ -18,10 +18,12 @@
 import click
 
 ROOT = Path(__file__).resolve().parent.parent
-# A fall of a site's figure up to this is noise (the bench's own word: two runs differ by it).
+# A site's score may be this much below its baseline: the bench documents that
+# two runs differ by up to this much.
 NOISE_MARGIN = 0.03
-# Names of site files below the kit, by the runs that play them.
+# Path of the bench below the kit folder.
 BENCH_PATH = "more/hunt/bin/fleetbench"
+# Site files below the kit folder, without `.toml`, grouped by the runs that use them.
 OPS_SITES = ("more/umoja-giving-arusha-ops", "more/semarang-yearbook-utility-ops")
 USUAL_SITES = (
     *OPS_SITES,
@@ -32,14 +34,15 @@
     "more/fleet/umoja-giving-arusha-fleet",
     "more/fleet/semarang-yearbook-utility-fleet",
 )
-# The sites whose recorded days hold two troubles at once, to hunt on.
+# Sites whose recorded days have two faults at the same time; hunts use them.
 HUNT_SITES = ("more/hunt/umoja-giving-arusha-hunt", "more/hunt/semarang-yearbook-utility-hunt")
 GROWN_SITES = ("next/umoja-giving-arusha-grown", "next/semarang-yearbook-utility-grown")
+# Default number of days in a hunt.
 HUNT_DAYS = 4
 
 
 class Baseline(NamedTuple):
-    """What a site scored when its baseline was set."""
+    """Scores and processor time of a site, and the journal entry and commit they come from."""
 
     figure: float
     entry: str
@@ -49,23 +52,26 @@
 
 
 class Finding(NamedTuple):
-    """One line of the verdict; `rank` 0 is a broken rule, 1 a failed day, 2 a fall, 3 a remark."""
+    """One line of the verdict.
+
+    `rank` is 0 for a broken rule, 1 for a failed day, 2 for a lower score and 3 for a remark.
+    """
 
     rank: int
     text: str
 
     @property
     def bad(self) -> bool:
-        """Whether this alone fails the check."""
+        """Whether this finding alone fails the check."""
         return self.rank < 3
 
 
 def read_entry(path: Path) -> dict[str, Any]:
-    """Read a journal entry; one that is torn or not ours comes back as a failed run."""
+    """Read a journal entry; a truncated or foreign file is returned as a failed run."""
     try:
         entry = json.loads(path.read_bytes())
         if not isinstance(entry, dict) or not isinstance(entry.get("days", []), list):
-            raise ValueError("not an entry")
+            raise ValueError("not a journal entry")
         return entry
     except (OSError, ValueError) as error:
         return {
@@ -97,12 +103,12 @@
 
 
 def run_kind(entry: dict[str, Any]) -> str:
-    """Return which run an entry is of: quick or full."""
+    """Return the kind of an entry's run: quick or full."""
     return "quick" if "--quick" in entry.get("argv", ()) else "full"
 
 
 def cpu_s(entry: dict[str, Any]) -> float:
-    """Return the processor time of all of an entry's days, in seconds."""
+    """Return the processor time of all days of an entry in seconds; wall time if not recorded."""
     total = 0.0
     for day in entry.get("days", ()):
         spent = day.get("spent") or {}
@@ -112,16 +118,18 @@
 
 
 def weakest_aim(day: dict[str, Any]) -> str:
-    """Name the aim that a day misses most."""
+    """Return the text and score of the aim with the lowest score on a day."""
     aims = [row for row in day.get("aims") or [] if row[1] is not None]
     if not aims:
-        return "no aim counted"
+        return "no aim was scored"
     text, score = min(aims, key=lambda row: row[1])
     return f"weakest {text} [{score:.2f}]"
 
 
 def judge_days(entry: dict[str, Any]) -> Iterable[Finding]:
-    """Yield what is wrong with an entry's days whatever the baseline says."""
+    """Yield the findings on an entry that need no baseline: broken rules, failed days, unfinished
+    runs.
+    """
     site = entry.get("site") or "unknown site"
     prefix = f"{site} ({entry.get('id')})"
     if not entry.get("ok"):
@@ -143,7 +151,7 @@
 
 
 def judge(entry: dict[str, Any], baseline: Baseline | None) -> list[Finding]:
-    """Return the verdict on one entry, the gravest first."""
+    """Return the findings on one entry, most severe first."""
     findings = list(judge_days(entry))
     site, figure = entry.get("site"), entry.get("score")
     if figure is not None:
@@ -157,7 +165,7 @@
 
 
 def compare(entry: dict[str, Any], baseline: Baseline, figure: float) -> Iterable[Finding]:
-    """Compare an entry with its baseline: the site, then the days behind a fall."""
+    """Compare an entry with its baseline: the site's score, then each day if that fell."""
     site = entry["site"]
     fell = baseline.figure - figure > NOISE_MARGIN
     yield Finding(
@@ -178,8 +186,9 @@
 
 
 def newest_entries(journal: Path, old_names: set[str] = frozenset()) -> list[dict[str, Any]]:  # type: ignore[assignment]
-    """Return the newest score of each site and kind of run, and every newer hunt or real run
-    whose file's name is not in `old_names`.
+    """Return the newest score of each site and kind of run, from files not in `old_names`.
+
+    If `old_names` is not empty, also return each hunt and real run that is not in it.
     """
     latest: dict[tuple, dict[str, Any]] = {}
     for path in sorted(journal.glob("*.json")):
@@ -194,7 +203,7 @@
 
 
 def verdict(entries: list[dict[str, Any]], baselines: dict[tuple[str, str], Baseline]) -> int:
-    """Print the findings, broken rules first; return the exit code."""
+    """Print the findings, most severe first; return the exit code (1 without entries)."""
     findings = [
         row
         for entry in entries
@@ -206,7 +215,7 @@
 
 
 def baseline_row(entry: dict[str, Any], commit: str) -> str:
-    """Return an entry as a section of docs/baseline.toml."""
+    """Return an entry as a section of docs/baseline.toml, without its `fresh` days."""
     days = ", ".join(
         f"{json.dumps(day['name'])} = {day['score']:.3f}"
         for day in entry["days"]
@@ -220,16 +229,16 @@
 
 
 def run_bench(kit: Path, args: list[str]) -> None:
-    """Run the bench in the repository; its own output goes to ours."""
+    """Run the bench in the repository; its output goes to this process's output."""
     bench = kit / BENCH_PATH
     if not bench.exists():
-        raise click.UsageError(f"no bench at {bench}: name the kit's folder with --kit")
+        raise click.UsageError(f"no bench at {bench}: set --kit to the folder that holds it")
     click.echo(f"running {bench.name} {' '.join(args)}")
     subprocess.run([str(bench), *args], cwd=ROOT, check=False)
 
 
 def site_paths(kit: Path, names: Iterable[str]) -> list[str]:
-    """Return the paths of site files."""
+    """Return the paths of the named site files."""
     return [str(kit / f"{name}.toml") for name in names]
 
 
@@ -238,7 +247,7 @@
     "--kit",
     type=click.Path(file_okay=False, path_type=Path),
     envvar="OAKMUX_KIT",
-    help="The operators' folder with the bench and the site files.",
+    help="Folder with the operators' bench and its site files.",
 )
 @click.option(
     "--baseline",
@@ -254,7 +263,7 @@
 )
 @click.pass_context
 def main(ctx: click.Context, kit: Path | None, baseline: Path, journal: Path) -> None:
-    """Read what all commands need."""
+    """Read the baselines and options that the commands share."""
     try:
         baselines = read_baseline(baseline)
     except ValueError as error:
@@ -272,7 +281,7 @@
 
 def _kit_folder(obj: tuple) -> Path:
     if obj[0] is None:
-        raise click.UsageError("name the kit's folder with --kit or OAKMUX_KIT")
+        raise click.UsageError("set --kit or OAKMUX_KIT to the folder that holds the bench")
     return obj[0]
 
 
@@ -280,13 +289,13 @@
 @click.option(
     "--fleet",
     is_flag=True,
-    help="The fleet sites too: for what touches storage, "
+    help="Run the fleet sites too: for changes to storage, "
     "membership, timers or messages between machines.",
 )
 @click.option("--why", required=True, help="One sentence for the journal.")
 @click.pass_obj
 def quick(obj: tuple, fleet: bool, why: str) -> None:
-    """Play the two roughest days of each site, as before every landing."""
+    """Run the two hardest days of each site; for use before each merge."""
     kit = _kit_folder(obj)
     names = USUAL_SITES + (FLEET_SITES if fleet else ())
     _run_and_judge(obj, [["score", *site_paths(kit, names), "--quick", "--why", why]])
@@ -297,8 +306,8 @@
 @click.option("--days", default=HUNT_DAYS, show_default=True, help="Days of each hunt.")
 @click.pass_obj
 def full(obj: tuple, why: str, days: int) -> None:
-    """Play all sites in full, then hunt where two troubles meet, on fleet and ops, as at every
-    third landing.
+    """Run all sites in full, then hunts on the double-fault, fleet and ops sites; for use at
+    every third merge.
     """
     kit = _kit_folder(obj)
     hunts = [
@@ -317,7 +326,7 @@
 @main.command()
 @click.pass_obj
 def check(obj: tuple) -> None:
-    """Judge the newest score of each site that has a baseline."""
+    """Judge the newest score of each site and kind of run that has a baseline."""
     _, baselines, journal = obj
     sys.exit(
         verdict(
@@ -333,10 +342,13 @@
 
 @main.command()
 @click.argument("entries", nargs=-1, required=True)
-@click.option("--commit", required=True, help="The commit that the entries measured.")
+@click.option("--commit", required=True, help="Commit that the entries measure.")
 @click.pass_obj
 def rows(obj: tuple, entries: tuple[str, ...], commit: str) -> None:
-    """Print journal ENTRIES as sections of the baseline, for a commit that says why."""
+    """Print journal ENTRIES as sections of docs/baseline.toml.
+
+    The commit that changes the baseline states why.
+    """
     for path in sorted(obj[2].glob("*.json")):
         entry = read_entry(path)
         if entry.get("id") in entries and entry.get("score") is not None:
